--- a/src/main/java/org/fieldtrestle/ControllerMain.java
+++ b/src/main/java/org/fieldtrestle/ControllerMain.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.concurrent.ExecutionException;
-import org.fieldtrestle.coordination.Tuning;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.SettingsFile;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.config.SettingsParser;
 import org.fieldtrestle.transport.HttpClient;
 
 /**
@@ -31,10 +31,10 @@
       System.exit(EXIT_INVALID);
     }
     try {
-      Settings settings = SettingsFile.read(Path.of(args[0]));
+      Settings settings = SettingsParser.read(Path.of(args[0]));
       warn(settings);
-      run(settings, Tuning.DEFAULT);
-    } catch (Settings.Invalid e) {
+      run(settings, OperatorSettings.DEFAULT);
+    } catch (Settings.InvalidSettingException e) {
       System.err.println("fieldtrestle: " + e.getMessage());
       System.exit(EXIT_INVALID);
     }
@@ -49,7 +49,7 @@
   }
 
   /** Runs a controller until it is killed. */
-  static void run(Settings settings, Tuning tuning) throws InterruptedException {
+  static void run(Settings settings, OperatorSettings tuning) throws InterruptedException {
     ControllerProcess process = new ControllerProcess(settings, tuning);
     InetSocketAddress front = HttpClient.socket(settings.userAddress());
     try {
--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -8,17 +8,17 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.fieldtrestle.coordination.Controller;
-import org.fieldtrestle.coordination.Tuning;
-import org.fieldtrestle.protocol.PeerWire;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.WorkerWire;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.controller.Controller;
+import org.fieldtrestle.protocol.PeerProtocol;
+import org.fieldtrestle.protocol.WorkerProtocol;
+import org.fieldtrestle.transport.EventLoopMeter;
 import org.fieldtrestle.transport.HttpClient;
 import org.fieldtrestle.transport.HttpServer;
 import org.fieldtrestle.transport.NettyReactor;
-import org.fieldtrestle.transport.PeerNet;
-import org.fieldtrestle.transport.Sockets;
-import org.fieldtrestle.transport.WorkMeter;
+import org.fieldtrestle.transport.PeerTransport;
+import org.fieldtrestle.transport.SocketBudget;
 
 /** A controller with its event loop and its connections to everybody else. */
 final class ControllerProcess {
@@ -30,13 +30,13 @@
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final NettyReactor reactor = new NettyReactor(group.next());
-  private final PeerNet peers;
+  private final PeerTransport peers;
   private final Controller controller;
   private final HttpServer server;
 
-  ControllerProcess(Settings settings, Tuning tuning) {
-    WorkMeter meter = new WorkMeter(System::nanoTime);
-    Sockets sockets = new Sockets(settings.limits().maxConnections());
+  ControllerProcess(Settings settings, OperatorSettings tuning) {
+    EventLoopMeter meter = new EventLoopMeter(System::nanoTime);
+    SocketBudget sockets = new SocketBudget(settings.limits().maxConnections());
     long idleMs = settings.workerLeaseMs() * 2;
     HttpClient client =
         new HttpClient(
@@ -46,13 +46,13 @@
             settings.limits().maxConnections() / WORKER_CALLS_DIVISOR,
             meter);
     peers =
-        new PeerNet(
+        new PeerTransport(
             group,
             sockets,
-            PeerWire.MAX_FRAME,
+            PeerProtocol.MAX_FRAME,
             INBOUND_PER_PEER * (settings.peers().size() + 1),
             idleMs,
-            Math.round(settings.workers().reportS() * 1000));
+            Math.round(settings.workers().heartbeatIntervalS() * 1000));
     controller =
         new Controller(settings, tuning, reactor, new SplittableRandom(), client, peers, meter);
     server =
@@ -60,7 +60,7 @@
             group,
             controller,
             sockets,
-            WorkerWire.REPORT::equals,
+            WorkerProtocol.REPORT::equals,
             idleMs,
             settings.workerLeaseMs() / 2,
             meter);
--- a/src/main/java/org/fieldtrestle/Main.java
+++ b/src/main/java/org/fieldtrestle/Main.java
@@ -2,10 +2,10 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import org.fieldtrestle.coordination.OperatorFile;
-import org.fieldtrestle.coordination.Tuning;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.SettingsFile;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.OperatorSettingsParser;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.config.SettingsParser;
 import picocli.CommandLine;
 
 /** The command line: reads the settings of platform and operators and runs a controller. */
@@ -52,11 +52,11 @@
   @Override
   public Integer call() throws InterruptedException {
     Settings settings;
-    Tuning tuning;
+    OperatorSettings tuning;
     try {
-      settings = SettingsFile.read(config);
-      tuning = operator == null ? Tuning.DEFAULT : OperatorFile.read(operator);
-    } catch (Settings.Invalid e) {
+      settings = SettingsParser.read(config);
+      tuning = operator == null ? OperatorSettings.DEFAULT : OperatorSettingsParser.read(operator);
+    } catch (Settings.InvalidSettingException e) {
       System.err.println("fieldtrestle: " + e.getMessage());
       return ControllerMain.EXIT_INVALID;
     }
--- a/src/main/java/org/fieldtrestle/WarmUp.java
+++ b/src/main/java/org/fieldtrestle/WarmUp.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
-import org.fieldtrestle.coordination.Tuning;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.SettingsFile;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.config.SettingsParser;
+import org.fieldtrestle.transport.EventLoopMeter;
 import org.fieldtrestle.transport.HttpClient;
 import org.fieldtrestle.transport.HttpServer;
 import org.fieldtrestle.transport.NettyReactor;
-import org.fieldtrestle.transport.Sockets;
-import org.fieldtrestle.transport.WorkMeter;
+import org.fieldtrestle.transport.SocketBudget;
 
 /**
  * Run by the build only, to record the classes that a controller loads in an archive: with a small
@@ -44,7 +44,7 @@
       status = 0;
     } catch (IOException
         | InterruptedException
-        | Settings.Invalid
+        | Settings.InvalidSettingException
         | ClassNotFoundException
         | ExecutionException
         | RuntimeException e) {
@@ -57,14 +57,14 @@
   private static void run(String jar)
       throws IOException,
           InterruptedException,
-          Settings.Invalid,
+          Settings.InvalidSettingException,
           ClassNotFoundException,
           ExecutionException {
     LibrarySettings.apply();
     loadClasses(jar);
     NioEventLoopGroup group = new NioEventLoopGroup(1);
-    WorkMeter meter = new WorkMeter(System::nanoTime);
-    Sockets sockets = new Sockets(SOCKETS);
+    EventLoopMeter meter = new EventLoopMeter(System::nanoTime);
+    SocketBudget sockets = new SocketBudget(SOCKETS);
     HttpClient client = new HttpClient(group.next(), sockets, Set.of(), SOCKETS, meter);
     CountDownLatch served = new CountDownLatch(1);
     WarmUpServices services =
@@ -72,7 +72,7 @@
     HttpServer server =
         new HttpServer(group, services, sockets, path -> false, KEPT_MS, KEPT_MS, meter);
     int port = server.start(new InetSocketAddress(LOOPBACK, 0));
-    ControllerProcess controller = new ControllerProcess(settings(port), Tuning.DEFAULT);
+    ControllerProcess controller = new ControllerProcess(settings(port), OperatorSettings.DEFAULT);
     int front =
         controller
             .start(new InetSocketAddress(LOOPBACK, 0), new InetSocketAddress(LOOPBACK, 0))
@@ -95,12 +95,12 @@
   }
 
   /** The settings are read from a file, as a controller's are. */
-  static Settings settings(int port) throws IOException, Settings.Invalid {
+  static Settings settings(int port) throws IOException, Settings.InvalidSettingException {
     Path file = Files.createTempFile("fieldtrestle-warm-up", ".toml");
     try (InputStream in = WarmUp.class.getResourceAsStream("/warm-up.toml")) {
       String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
       Files.writeString(file, text.replace("PORT", Integer.toString(port)));
-      return SettingsFile.read(file);
+      return SettingsParser.read(file);
     } finally {
       Files.delete(file);
     }
--- a/src/main/java/org/fieldtrestle/WarmUpServices.java
+++ b/src/main/java/org/fieldtrestle/WarmUpServices.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.fieldtrestle.protocol.CloudWire;
+import org.fieldtrestle.protocol.CloudProtocol;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.StateWire;
-import org.fieldtrestle.protocol.UserWire;
-import org.fieldtrestle.protocol.WorkerWire;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.protocol.UserProtocol;
+import org.fieldtrestle.protocol.WorkerProtocol;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 
@@ -71,20 +71,20 @@
   public void handle(Http.Request request, Consumer<Http.Response> reply) {
     String path = request.path();
     JsonNode body = Json.parseOrEmpty(request.body());
-    if (path.equals(StateWire.WATCH)) {
+    if (path.equals(KeyValueProtocol.WATCH)) {
       reactor.schedule(STEP_MS, () -> reply.accept(ok(watched())));
-    } else if (path.equals(StateWire.KEYS)) {
+    } else if (path.equals(KeyValueProtocol.KEYS)) {
       reply.accept(ok(listed(request.query())));
-    } else if (path.equals(StateWire.COMMIT)) {
+    } else if (path.equals(KeyValueProtocol.COMMIT)) {
       body.path("apply").forEach(this::apply);
       reply.accept(ok(Json.object().put("ledger", ++revision)));
-    } else if (path.startsWith(StateWire.LEASES)) {
+    } else if (path.startsWith(KeyValueProtocol.LEASES)) {
       reply.accept(ok(Json.object().put("permit", 1)));
-    } else if (path.equals(CloudWire.TYPES)) {
+    } else if (path.equals(CloudProtocol.TYPES)) {
       reply.accept(ok(types()));
-    } else if (path.equals(CloudWire.MACHINES)) {
+    } else if (path.equals(CloudProtocol.MACHINES)) {
       reply.accept(request.method().equals("POST") ? rent() : ok(machines()));
-    } else if (path.equals(WorkerWire.COMMANDS)) {
+    } else if (path.equals(WorkerProtocol.COMMANDS)) {
       carryOut(body);
       reply.accept(ok(reportBody()));
     } else {
@@ -172,7 +172,7 @@
   private void report() {
     if (rented) {
       tasks.values().forEach(task -> task.stage = next(task.stage));
-      call("POST", WorkerWire.REPORT, reportBody(), answer -> carryOut(answer));
+      call("POST", WorkerProtocol.REPORT, reportBody(), answer -> carryOut(answer));
     }
     reactor.schedule(STEP_MS, this::report);
   }
@@ -240,11 +240,11 @@
             .put("tallyS", 0.0)
             .put("stackS", 0.0)
             .put("dueS", 100.0);
-    call("POST", UserWire.JOBS, job, answer -> ask(id));
+    call("POST", UserProtocol.JOBS, job, answer -> ask(id));
   }
 
   private void ask(String id) {
-    call("GET", UserWire.JOBS + "/" + id, Json.object(), answer -> answered(id, answer));
+    call("GET", UserProtocol.JOBS + "/" + id, Json.object(), answer -> answered(id, answer));
   }
 
   private void answered(String id, JsonNode answer) {
@@ -255,7 +255,7 @@
       cancelling = true;
       call(
           "POST",
-          UserWire.JOBS + "/" + CANCELLED_JOB + "/" + UserWire.CANCEL,
+          UserProtocol.JOBS + "/" + CANCELLED_JOB + "/" + UserProtocol.CANCEL,
           Json.object(),
           cancelled -> lookAround());
     } else if (!stage.isEmpty()) {
@@ -268,14 +268,14 @@
   private void lookAround() {
     call(
         "GET",
-        UserWire.JOBS + "/" + UNKNOWN_JOB,
+        UserProtocol.JOBS + "/" + UNKNOWN_JOB,
         Json.object(),
         unknown ->
             call(
                 "GET",
-                UserWire.READY,
+                UserProtocol.READY,
                 Json.object(),
-                ready -> call("GET", UserWire.STATS, Json.object(), stats -> done.run())));
+                ready -> call("GET", UserProtocol.STATS, Json.object(), stats -> done.run())));
   }
 
   private void call(String method, String path, JsonNode body, Consumer<JsonNode> answered) {
--- a/src/main/java/org/fieldtrestle/coordination/EndedJobs.java
+++ b/src/main/java/org/fieldtrestle/api/FinishedJobs.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.api;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,9 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.fieldtrestle.bookkeeping.Records;
-import org.fieldtrestle.bookkeeping.Store;
-import org.fieldtrestle.protocol.StateWire;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.state.BoundedCache;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.Records;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,8 +24,8 @@
  * <p>Who asks never shares a reading that was sent before: the job may have been accepted and have
  * ended since.
  */
-final class EndedJobs {
-  private static final Logger LOG = LoggerFactory.getLogger(EndedJobs.class);
+final class FinishedJobs {
+  private static final Logger LOG = LoggerFactory.getLogger(FinishedJobs.class);
 
   /** Ended jobs that are remembered; all others are read again. */
   private static final int MAX_REMEMBERED = 20_000;
@@ -39,7 +40,7 @@
   sealed interface Outcome {}
 
   /** It has ended like this. */
-  record Ended(Records.Final end) implements Outcome {}
+  record Ended(Records.FinishedJob end) implements Outcome {}
 
   /** It had not ended when the question came, or was never accepted. */
   record NotEnded() implements Outcome {}
@@ -47,9 +48,9 @@
   /** That could not be found out. */
   record Unavailable() implements Outcome {}
 
-  private final Store store;
-  private final RecentEntries<String, Records.Final> remembered =
-      new RecentEntries<>(MAX_REMEMBERED);
+  private final KeyValueClient store;
+  private final BoundedCache<String, Records.FinishedJob> remembered =
+      new BoundedCache<>(MAX_REMEMBERED);
 
   /** Who asks about jobs that no reading has been sent for yet, by the keys of their ends. */
   private TreeMap<String, List<Consumer<Outcome>>> waiting = new TreeMap<>();
@@ -57,17 +58,17 @@
   private boolean queued;
   private String nextFrom = "";
 
-  EndedJobs(Store store) {
+  FinishedJobs(KeyValueClient store) {
     this.store = store;
   }
 
   /** How a job ended, as far as that is remembered; null where it is not. */
-  Records.Final remembered(String job) {
+  Records.FinishedJob remembered(String job) {
     return remembered.get(job);
   }
 
   /** Remembers an end that is durable. */
-  void remember(String job, Records.Final end) {
+  void remember(String job, Records.FinishedJob end) {
     remembered.put(job, end);
   }
 
@@ -87,7 +88,7 @@
       return;
     }
     queued = true; // before it is sent, which may be at once
-    if (!store.whenReadAllowed(this::send)) {
+    if (!store.enqueueRead(this::send)) {
       queued = false;
       TreeMap<String, List<Consumer<Outcome>>> refused = waiting;
       waiting = new TreeMap<>();
@@ -107,7 +108,7 @@
     store.list(
         Records.FINAL,
         justBefore(from),
-        Math.min(Store.MAX_PAGE, PAGE_FOR_EACH * asked.size()),
+        Math.min(KeyValueClient.MAX_PAGE, PAGE_FOR_EACH * asked.size()),
         page -> received(asked, from, page));
   }
 
@@ -121,14 +122,14 @@
   }
 
   private void received(
-      TreeMap<String, List<Consumer<Outcome>>> asked, String from, StateWire.Listing page) {
+      TreeMap<String, List<Consumer<Outcome>>> asked, String from, KeyValueProtocol.Listing page) {
     if (page == null) {
       asked.values().forEach(askers -> tell(askers, new Unavailable()));
       return;
     }
     Map<String, Outcome> ends = new HashMap<>();
     String last = from;
-    for (StateWire.Entry entry : page.entries()) {
+    for (KeyValueProtocol.Entry entry : page.entries()) {
       ends.put(entry.key(), outcome(entry));
       last = entry.key();
     }
@@ -146,12 +147,12 @@
     queue();
   }
 
-  private Outcome outcome(StateWire.Entry entry) {
+  private Outcome outcome(KeyValueProtocol.Entry entry) {
     try {
-      Records.Final end = Records.readFinal(entry.value());
+      Records.FinishedJob end = Records.readFinal(entry.value());
       remember(entry.key().substring(Records.FINAL.length()), end);
       return new Ended(end);
-    } catch (Records.Unreadable e) {
+    } catch (Records.UnreadableRecordException e) {
       LOG.error("unreadable value at state key {}: {}", entry.key(), e.getMessage());
       return new Unavailable();
     }
--- a/src/main/java/org/fieldtrestle/coordination/Barrier.java
+++ b/src/main/java/org/fieldtrestle/api/ReadBarrier.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.api;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,9 +6,10 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.function.Consumer;
-import org.fieldtrestle.bookkeeping.Records;
-import org.fieldtrestle.bookkeeping.Store;
-import org.fieldtrestle.protocol.StateWire;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.Records;
 import org.fieldtrestle.transport.Reactor;
 
 /**
@@ -20,11 +21,11 @@
  * together share one request for the revision; a watch that is answered serves them also where that
  * request is late or lost.
  */
-final class Barrier {
+final class ReadBarrier {
   private static final int OUTAGE = 503;
 
-  private static final List<StateWire.Condition> NO_CHANGE =
-      List.of(new StateWire.Condition(Records.LIVE + "barrier", 0));
+  private static final List<KeyValueProtocol.Condition> NO_CHANGE =
+      List.of(new KeyValueProtocol.Condition(Records.LIVE + "barrier", 0));
 
   private static final class Waiter {
     final long askedAt;
@@ -42,7 +43,7 @@
   }
 
   private final Reactor reactor;
-  private final Node node;
+  private final ControllerContext context;
   private final long gapMs;
   private final long patienceMs;
 
@@ -56,12 +57,12 @@
   /**
    * @param patienceMs after which it is of no use to wait any longer
    */
-  Barrier(Node node, long patienceMs) {
-    this.node = node;
+  ReadBarrier(ControllerContext context, long patienceMs) {
+    this.context = context;
     this.patienceMs = patienceMs;
-    this.reactor = node.reactor();
-    this.gapMs = node.view().watchGapMs();
-    node.view().listenProgress(this::release);
+    this.reactor = context.reactor();
+    this.gapMs = context.stateCache().watchIntervalMs();
+    context.stateCache().addProgressListener(this::release);
   }
 
   /** Calls back with true once everything written before now is known; false where that failed. */
@@ -100,15 +101,15 @@
       return;
     }
     nextAt = reactor.now() + gapMs;
-    node.store().compare(NO_CHANGE, result -> answered(asked, result));
+    context.store().compare(NO_CHANGE, result -> answered(asked, result));
   }
 
-  private void answered(List<Waiter> asked, Store.Result result) {
+  private void answered(List<Waiter> asked, KeyValueClient.Result result) {
     asking = false;
-    if (result instanceof Store.Committed committed) {
+    if (result instanceof KeyValueClient.Committed committed) {
       asked.forEach(waiter -> waiter.revision = committed.revision());
       release();
-    } else if (result instanceof Store.Refused refused && refused.status() == OUTAGE) {
+    } else if (result instanceof KeyValueClient.Refused refused && refused.status() == OUTAGE) {
       finish(asked, false);
     }
     // Otherwise the next request is for them too.
@@ -117,11 +118,11 @@
 
   /** Lets those go who know enough now. */
   private void release() {
-    long followed = node.view().followed();
-    long freshAt = node.view().freshAt();
+    long followed = context.stateCache().appliedRevision();
+    long freshAsOf = context.stateCache().freshAsOf();
     List<Waiter> served = new ArrayList<>();
     for (Waiter waiter : waiters) {
-      if (waiter.askedAt < freshAt || waiter.revision >= 0 && waiter.revision <= followed) {
+      if (waiter.askedAt < freshAsOf || waiter.revision >= 0 && waiter.revision <= followed) {
         served.add(waiter);
       }
     }
--- a/src/main/java/org/fieldtrestle/coordination/Gateway.java
+++ b/src/main/java/org/fieldtrestle/api/UserApi.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,27 +7,31 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.fieldtrestle.bookkeeping.Records;
-import org.fieldtrestle.bookkeeping.Store;
-import org.fieldtrestle.bookkeeping.View;
-import org.fieldtrestle.coordination.QuestionStats.Unanswered;
-import org.fieldtrestle.protocol.CloudWire.MachineType;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.metrics.ControllerMetrics;
+import org.fieldtrestle.metrics.JobQueryMetrics.Unanswered;
+import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.StateWire;
-import org.fieldtrestle.protocol.UserWire;
-import org.fieldtrestle.protocol.UserWire.Stage;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.protocol.UserProtocol;
+import org.fieldtrestle.protocol.UserProtocol.Stage;
+import org.fieldtrestle.routing.JobSplitter;
+import org.fieldtrestle.routing.ShardLoads;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.StateCache;
 import org.fieldtrestle.transport.Actor;
+import org.fieldtrestle.transport.EventLoopMeter.Work;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
-import org.fieldtrestle.transport.WorkMeter.Work;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Takes submissions, polls and cancellations. */
-public final class Gateway extends Actor<Gateway.Message> {
-  private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
+public final class UserApi extends Actor<UserApi.Message> {
+  private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
 
   /** Submissions on their way to the state service; beyond these users are told to come back. */
   private static final int MOST_SUBMITTING = 24;
@@ -38,7 +42,7 @@
   /** Share of the time that a user waits for an answer after which there is one in any case. */
   private static final double PATIENCE = 0.9;
 
-  private static final long PATIENCE_MS = Math.round(UserWire.POLL_TIMEOUT_MS * PATIENCE);
+  private static final long PATIENCE_MS = Math.round(UserProtocol.POLL_TIMEOUT_MS * PATIENCE);
 
   /** What users ask. */
   public sealed interface Message {}
@@ -49,12 +53,12 @@
 
   public record Cancel(String id, Consumer<Http.Response> reply) implements Message {}
 
-  private final Node node;
-  private final Barrier barrier;
-  private final Loads loads;
+  private final ControllerContext context;
+  private final ReadBarrier barrier;
+  private final ShardLoads loads;
   private final Running running;
   private final Peers peers;
-  private final EndedJobs ended;
+  private final FinishedJobs ended;
   private int submitting;
 
   /** How many tasks of a job run here. */
@@ -74,19 +78,19 @@
     void cancelled(String job);
   }
 
-  public Gateway(Node node, Running running, Peers peers) {
-    super(node.reactor());
-    this.node = node;
-    this.barrier = new Barrier(node, PATIENCE_MS);
-    this.ended = new EndedJobs(node.store());
-    this.loads = node.loads();
+  public UserApi(ControllerContext context, Running running, Peers peers) {
+    super(context.reactor());
+    this.context = context;
+    this.barrier = new ReadBarrier(context, PATIENCE_MS);
+    this.ended = new FinishedJobs(context.store());
+    this.loads = context.loads();
     this.running = running;
     this.peers = peers;
   }
 
   /** Whether this node can take requests. */
   public boolean ready() {
-    return node.view().ready() && !node.types().isEmpty() && !cutOff();
+    return context.stateCache().ready() && !context.types().isEmpty() && !cutOff();
   }
 
   /**
@@ -96,21 +100,22 @@
    * must have ended, we step aside.
    */
   private boolean cutOff() {
-    long unanswered = node.store().unansweredMs();
-    long patience = node.settings().stateLeaseMs() / 12;
+    long unanswered = context.store().unavailableForMs();
+    long patience = context.settings().stateLeaseMs() / 12;
     return unanswered > patience
-        && (peers.anyServed() || !peers.anyHeard() && unanswered > node.settings().stateLeaseMs());
+        && (peers.anyServed()
+            || !peers.anyHeard() && unanswered > context.settings().stateLeaseMs());
   }
 
   /** Whether asking the state service once more only keeps a user waiting. */
   private boolean hopeless() {
-    return !node.view().ready()
-        || node.store().unansweredMs() > node.settings().stateLeaseMs() / 12;
+    return !context.stateCache().ready()
+        || context.store().unavailableForMs() > context.settings().stateLeaseMs() / 12;
   }
 
   @Override
   protected void receive(Message message) {
-    node.stats().work.run(kind(message), () -> answer(message));
+    context.metrics().work.run(kind(message), () -> answer(message));
   }
 
   private static Work kind(Message message) {
@@ -122,21 +127,21 @@
 
   private void answer(Message message) {
     if (message instanceof Submit submit) {
-      long began = node.now();
+      long began = context.now();
       submit(
           submit.body(),
           response -> {
-            Stats.record(node.stats().submitMs, node.now() - began);
+            ControllerMetrics.record(context.metrics().submitMs, context.now() - began);
             submit.reply().accept(response);
           });
     } else if (message instanceof Poll poll) {
-      long began = node.now();
+      long began = context.now();
       status(
           poll.id(),
           response -> {
-            Stats.record(node.stats().pollMs, node.now() - began);
+            ControllerMetrics.record(context.metrics().pollMs, context.now() - began);
             if (response.status() != 503) {
-              node.stats().questions.answered(node.now());
+              context.metrics().questions.answered(context.now());
             }
             poll.reply().accept(response);
           },
@@ -156,13 +161,13 @@
    * never moved.
    */
   private Http.Response unanswered(Unanswered reason) {
-    node.stats().questions.unanswered(reason, node.now());
+    context.metrics().questions.unanswered(reason, context.now());
     boolean elsewhere = reason != Unanswered.STATE_SERVICE_SILENT || cutOff();
     return new Http.Response(503, Http.Response.EMPTY, RETRY_AFTER_S, elsewhere);
   }
 
   private static Http.Response refuse(int status, String reason) {
-    return new Http.Response(status, UserWire.error(reason));
+    return new Http.Response(status, UserProtocol.error(reason));
   }
 
   // ---- submissions
@@ -170,8 +175,8 @@
   private void submit(byte[] body, Consumer<Http.Response> reply) {
     JobSpec spec;
     try {
-      spec = UserWire.readJob(body);
-    } catch (Json.Malformed e) {
+      spec = UserProtocol.readJob(body);
+    } catch (Json.MalformedJsonException e) {
       reply.accept(refuse(400, e.getMessage()));
       return;
     }
@@ -179,11 +184,11 @@
       reply.accept(later());
       return;
     }
-    if (ended.remembered(spec.id()) != null || node.view().job(spec.id()) != null) {
+    if (ended.remembered(spec.id()) != null || context.stateCache().job(spec.id()) != null) {
       status(spec.id(), reply, true);
       return;
     }
-    if (node.types().isEmpty()) {
+    if (context.types().isEmpty()) {
       reply.accept(later());
       return;
     }
@@ -192,8 +197,8 @@
       refuseUnlessAccepted(spec.id(), refuse(422, never), reply);
       return;
     }
-    if (submitting >= MOST_SUBMITTING || node.store().crowded()) {
-      node.stats().refusedSubmissions++;
+    if (submitting >= MOST_SUBMITTING || context.store().isCongested()) {
+      context.metrics().refusedSubmissions++;
       reply.accept(new Http.Response(429, Http.Response.EMPTY, 1));
       return;
     }
@@ -208,7 +213,7 @@
   }
 
   private String never(JobSpec spec) {
-    Settings.Team team = node.settings().team(spec.team());
+    Settings.Team team = context.settings().team(spec.team());
     if (team == null) {
       return "unknown team";
     }
@@ -217,7 +222,7 @@
         || team.gpusMax() > 0 && spec.gpus() * together > team.gpusMax()) {
       return "needs more than the team's limit";
     }
-    for (MachineType type : node.types()) {
+    for (MachineType type : context.types()) {
       if (type.allowedFor(spec)) {
         return null;
       }
@@ -233,69 +238,75 @@
 
   private void accept(JobSpec spec, Consumer<Http.Response> reply, int tries) {
     String zone = spec.oneZone() ? loads.roomiestZone(spec, zonesFor(spec)) : null;
-    List<JobSplit.Candidate> candidates = loads.candidates(spec, zone);
-    int maxRanges = node.settings().state().txnOps() - 4;
+    List<JobSplitter.Candidate> candidates = loads.candidates(spec, zone);
+    int maxRanges = context.settings().state().txnOps() - 4;
     // A bitmap of done tasks has to fit a value; half of it is left for the rest.
-    int maxPart = (int) (node.settings().state().valueKb() * 1024 / 2 * 6);
-    List<JobSplit.Part> parts = JobSplit.split(spec, candidates, maxPart, node.settings().zones());
+    int maxPart = (int) (context.settings().state().valueKb() * 1024 / 2 * 6);
+    List<JobSplitter.Part> parts =
+        JobSplitter.split(spec, candidates, maxPart, context.settings().zones());
     if (parts.size() > maxRanges) {
-      parts = JobSplit.split(spec, candidates.subList(0, 1), maxPart, node.settings().zones());
+      parts =
+          JobSplitter.split(spec, candidates.subList(0, 1), maxPart, context.settings().zones());
     }
-    List<StateWire.Condition> conditions = new ArrayList<>();
-    conditions.add(new StateWire.Condition(Records.job(spec.id()), 0));
-    conditions.add(new StateWire.Condition(Records.finished(spec.id()), 0));
+    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
+    conditions.add(new KeyValueProtocol.Condition(Records.job(spec.id()), 0));
+    conditions.add(new KeyValueProtocol.Condition(Records.finished(spec.id()), 0));
     Map<String, Long> epochs = new TreeMap<>();
-    for (JobSplit.Part part : parts) {
-      epochs.put(part.master(), node.view().version(Records.master(part.master())));
+    for (JobSplitter.Part part : parts) {
+      epochs.put(part.shard(), context.stateCache().version(Records.shard(part.shard())));
     }
-    // Were a master to change hands meanwhile, its new holder could not tell whether the old one
+    // Were a shard to change hands meanwhile, its new holder could not tell whether the old one
     // has started anything of these ranges.
     epochs.forEach(
-        (master, epoch) -> conditions.add(new StateWire.Condition(Records.master(master), epoch)));
+        (shard, epoch) ->
+            conditions.add(new KeyValueProtocol.Condition(Records.shard(shard), epoch)));
     List<Records.Part> given = new ArrayList<>();
-    for (JobSplit.Part part : parts) {
+    for (JobSplitter.Part part : parts) {
       given.add(
           new Records.Part(
-              part.master(), epochs.get(part.master()), part.from(), part.to(), part.caps()));
+              part.shard(), epochs.get(part.shard()), part.from(), part.to(), part.caps()));
     }
     // One write for the job and all its ranges: each gets a record of its own once it differs.
     JsonNode value = Records.write(new Records.Job(spec, reactor.wall(), zone, given));
-    if (Json.bytes(value).length > node.settings().state().valueKb() * 1024) {
-      // How it is split depends on how the masters stand now: it may have fitted before.
+    if (Json.bytes(value).length > context.settings().state().valueKb() * 1024) {
+      // How it is split depends on how the shards stand now: it may have fitted before.
       refuseUnlessAccepted(spec.id(), refuse(400, "larger than what can be kept of a job"), reply);
       return;
     }
-    List<StateWire.Change> changes = List.of(new StateWire.Put(Records.job(spec.id()), value, 0));
-    List<JobSplit.Part> taken = parts;
-    node.store()
+    List<KeyValueProtocol.Change> changes =
+        List.of(new KeyValueProtocol.Put(Records.job(spec.id()), value, 0));
+    List<JobSplitter.Part> taken = parts;
+    context
+        .store()
         .commit(
-            new Store.Txn(conditions, changes),
+            new KeyValueClient.Transaction(conditions, changes),
             result -> {
-              if (result instanceof Store.Committed committed) {
+              if (result instanceof KeyValueClient.Committed committed) {
                 loads.taken(spec, taken);
-                node.view().committed(changes, committed.revision());
+                context.stateCache().committed(changes, committed.revision());
                 LOG.debug(
                     "job {} of class {} accepted in {} ranges",
                     spec.id(),
                     spec.jobClass(),
                     taken.size());
                 answerAccepted(spec.id(), reply);
-              } else if (result instanceof Store.Conflict conflict
+              } else if (result instanceof KeyValueClient.Conflict conflict
                   && !conflict.keys().contains(Records.job(spec.id()))
                   && !conflict.keys().contains(Records.finished(spec.id()))) {
                 if (tries > 0) {
-                  node.view()
+                  context
+                      .stateCache()
                       .await(
                           conflict.revision(),
-                          node.view().watchGapMs() * 4,
+                          context.stateCache().watchIntervalMs() * 4,
                           seen -> accept(spec, reply, tries - 1));
                 } else {
                   reply.accept(later());
                 }
-              } else if (result instanceof Store.Conflict) {
+              } else if (result instanceof KeyValueClient.Conflict) {
                 status(spec.id(), reply, true);
               } else {
-                node.stats().refusedSubmissions++;
+                context.metrics().refusedSubmissions++;
                 reply.accept(later());
               }
             });
@@ -303,16 +314,16 @@
 
   /** Where the answer to the commit was late, the job may have ended since it was accepted. */
   private void answerAccepted(String id, Consumer<Http.Response> reply) {
-    if (node.view().job(id) == null) {
+    if (context.stateCache().job(id) == null) {
       status(id, reply, true);
     } else {
-      reply.accept(new Http.Response(201, UserWire.accepted(id, Stage.QUEUED)));
+      reply.accept(new Http.Response(201, UserProtocol.accepted(id, Stage.QUEUED)));
     }
   }
 
   private List<String> zonesFor(JobSpec spec) {
     TreeSet<String> zones = new TreeSet<>();
-    for (MachineType type : node.types()) {
+    for (MachineType type : context.types()) {
       if (type.allowedFor(spec)) {
         zones.addAll(type.zones());
       }
@@ -327,10 +338,10 @@
 
   /** The job's state, no older than any that was told before; 404 where there is none. */
   private void status(String id, Consumer<Http.Response> reply, boolean brief) {
-    Records.Final end = ended.remembered(id);
+    Records.FinishedJob end = ended.remembered(id);
     if (end != null) {
       reply.accept(finalAnswer(id, end, brief));
-    } else if (!UserWire.validId(id)) {
+    } else if (!UserProtocol.validId(id)) {
       reply.accept(refuse(404, "no such job"));
     } else if (hopeless()) {
       reply.accept(unanswered(Unanswered.STATE_SERVICE_SILENT));
@@ -346,10 +357,10 @@
             reply.accept(unanswered(Unanswered.NOT_FOLLOWED_IN_TIME));
             return;
           }
-          View.LiveJob job = node.view().job(id);
+          StateCache.ActiveJob job = context.stateCache().job(id);
           if (job != null) {
             reply.accept(liveAnswer(id, job, brief));
-          } else if (node.view().version(Records.job(id)) != 0) {
+          } else if (context.stateCache().version(Records.job(id)) != 0) {
             reply.accept(unreadableJob(id, brief));
           } else {
             readFinal(id, reply, brief);
@@ -359,7 +370,7 @@
 
   /** A live job whose record this version cannot read; its ranges show that it was accepted. */
   private Http.Response unreadableJob(String id, boolean brief) {
-    View.LiveJob rest = node.view().all().get(id);
+    StateCache.ActiveJob rest = context.stateCache().all().get(id);
     return rest == null || rest.ranges().isEmpty()
         ? unanswered(Unanswered.RECORD_UNREADABLE)
         : liveAnswer(id, rest, brief);
@@ -393,11 +404,11 @@
     ended.read(
         id,
         outcome -> {
-          if (outcome instanceof EndedJobs.Ended found) {
+          if (outcome instanceof FinishedJobs.Ended found) {
             reply.accept(finalAnswer(id, found.end(), brief));
-          } else if (outcome instanceof EndedJobs.NotEnded) {
+          } else if (outcome instanceof FinishedJobs.NotEnded) {
             // It may have been accepted since we passed the barrier.
-            View.LiveJob job = node.view().job(id);
+            StateCache.ActiveJob job = context.stateCache().job(id);
             reply.accept(job != null ? liveAnswer(id, job, brief) : refuse(404, "no such job"));
           } else {
             reply.accept(unanswered(Unanswered.END_NOT_READ));
@@ -405,24 +416,27 @@
         });
   }
 
-  private Http.Response liveAnswer(String id, View.LiveJob job, boolean brief) {
+  private Http.Response liveAnswer(String id, StateCache.ActiveJob job, boolean brief) {
     int runs = running.of(id);
     int done = job.done();
     Stage stage = runs > 0 || done > 0 ? Stage.RUNNING : Stage.QUEUED;
     return new Http.Response(
-        200, brief ? UserWire.accepted(id, stage) : UserWire.status(id, stage, done, runs));
+        200, brief ? UserProtocol.accepted(id, stage) : UserProtocol.status(id, stage, done, runs));
   }
 
-  private static Http.Response finalAnswer(String id, Records.Final end, boolean brief) {
+  private static Http.Response finalAnswer(String id, Records.FinishedJob end, boolean brief) {
     Stage stage = end.done() ? Stage.DONE : Stage.CANCELLED;
     return new Http.Response(
-        200, brief ? UserWire.accepted(id, stage) : UserWire.status(id, stage, end.finished(), 0));
+        200,
+        brief
+            ? UserProtocol.accepted(id, stage)
+            : UserProtocol.status(id, stage, end.finished(), 0));
   }
 
   // ---- cancellations
 
   private void cancel(String id, Consumer<Http.Response> reply, int tries) {
-    Records.Final end = ended.remembered(id);
+    Records.FinishedJob end = ended.remembered(id);
     if (end != null) {
       reply.accept(finalAnswer(id, end, true));
       return;
@@ -431,8 +445,8 @@
       reply.accept(later());
       return;
     }
-    View.LiveJob job = node.view().job(id);
-    if (job == null && node.view().version(Records.job(id)) != 0) {
+    StateCache.ActiveJob job = context.stateCache().job(id);
+    if (job == null && context.stateCache().version(Records.job(id)) != 0) {
       reply.accept(later()); // a record that we cannot read is not ours to end
       return;
     }
@@ -440,14 +454,14 @@
       status(id, reply, true);
       return;
     }
-    Records.Final cancelled =
-        new Records.Final(false, job.job().record().spec().tasks(), job.done());
-    List<StateWire.Condition> conditions = new ArrayList<>();
-    conditions.add(new StateWire.Condition(Records.job(id), job.job().version()));
-    conditions.add(new StateWire.Condition(Records.finished(id), 0));
-    List<StateWire.Change> changes = new ArrayList<>();
-    changes.add(new StateWire.Delete(Records.job(id)));
-    changes.add(new StateWire.Put(Records.finished(id), Records.write(cancelled), 0));
+    Records.FinishedJob cancelled =
+        new Records.FinishedJob(false, job.job().record().spec().tasks(), job.done());
+    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
+    conditions.add(new KeyValueProtocol.Condition(Records.job(id), job.job().version()));
+    conditions.add(new KeyValueProtocol.Condition(Records.finished(id), 0));
+    List<KeyValueProtocol.Change> changes = new ArrayList<>();
+    changes.add(new KeyValueProtocol.Delete(Records.job(id)));
+    changes.add(new KeyValueProtocol.Put(Records.finished(id), Records.write(cancelled), 0));
     // Ranges that only the job's record names outlive it by records of their own: their tasks count
     // against the team's limit until they are gone.
     job.ranges()
@@ -455,25 +469,27 @@
             (index, range) -> {
               if (range.version() == 0) {
                 String key = Records.range(new Records.RangeKey(id, index));
-                conditions.add(new StateWire.Condition(key, 0));
-                changes.add(new StateWire.Put(key, Records.write(range.record()), 0));
+                conditions.add(new KeyValueProtocol.Condition(key, 0));
+                changes.add(new KeyValueProtocol.Put(key, Records.write(range.record()), 0));
               }
             });
-    node.store()
+    context
+        .store()
         .commit(
-            new Store.Txn(conditions, changes),
+            new KeyValueClient.Transaction(conditions, changes),
             result -> {
-              if (result instanceof Store.Committed committed) {
+              if (result instanceof KeyValueClient.Committed committed) {
                 ended.remember(id, cancelled);
-                node.view().committed(changes, committed.revision());
+                context.stateCache().committed(changes, committed.revision());
                 confirmed(id, committed.revision());
                 peers.cancelled(id);
                 reply.accept(finalAnswer(id, cancelled, true));
-              } else if (result instanceof Store.Conflict conflict && tries > 0) {
-                node.view()
+              } else if (result instanceof KeyValueClient.Conflict conflict && tries > 0) {
+                context
+                    .stateCache()
                     .await(
                         conflict.revision(),
-                        node.view().watchGapMs() * 8,
+                        context.stateCache().watchIntervalMs() * 8,
                         seen -> {
                           if (seen) {
                             cancel(id, reply, tries - 1);
@@ -489,11 +505,11 @@
 
   /** The view has the end of the job already, so that no part of this controller acts on it. */
   private void confirmed(String id, long revision) {
-    node.cancellations().confirmed(revision);
+    context.cancellations().confirmed(revision);
     LOG.atInfo()
         .addKeyValue("job", id)
         .addKeyValue("revision", revision)
-        .addKeyValue("followed", node.view().followed())
+        .addKeyValue("followed", context.stateCache().appliedRevision())
         .log("cancellation confirmed");
   }
 }
--- a/src/main/java/org/fieldtrestle/coordination/Cloud.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -1,20 +1,20 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.cloud;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.fieldtrestle.protocol.CloudWire;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.protocol.CloudProtocol;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.Settings;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Our side of the cloud, within this controller's part of its limit. */
-public final class Cloud {
-  private static final Logger LOG = LoggerFactory.getLogger(Cloud.class);
+public final class CloudClient {
+  private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
 
   private final Reactor reactor;
   private final Http.Caller caller;
@@ -28,9 +28,9 @@
   private final ArrayDeque<Runnable> looks = new ArrayDeque<>();
   private long nextAt;
   private boolean scheduled;
-  private List<CloudWire.MachineType> types = List.of();
+  private List<CloudProtocol.MachineType> types = List.of();
 
-  public Cloud(Reactor reactor, Http.Caller caller, Settings settings) {
+  public CloudClient(Reactor reactor, Http.Caller caller, Settings settings) {
     this.reactor = reactor;
     this.caller = caller;
     this.address = settings.cloudAddress();
@@ -39,7 +39,7 @@
   }
 
   /** The machine types; empty until the cloud has told. */
-  public List<CloudWire.MachineType> types() {
+  public List<CloudProtocol.MachineType> types() {
     return types;
   }
 
@@ -47,13 +47,13 @@
   public void start() {
     call(
         "GET",
-        CloudWire.TYPES,
+        CloudProtocol.TYPES,
         Http.Response.EMPTY,
         outcome -> {
           if (outcome instanceof Http.Answer answer && answer.status() == 200) {
             try {
-              types = CloudWire.readTypes(answer.body());
-            } catch (Json.Malformed e) {
+              types = CloudProtocol.readTypes(answer.body());
+            } catch (Json.MalformedJsonException e) {
               LOG.warn("machine types are not as agreed: {}", e.getMessage());
             }
           }
@@ -78,8 +78,8 @@
       String request, String type, String zone, boolean spot, int count, Consumer<Rent> done) {
     call(
         "POST",
-        CloudWire.MACHINES,
-        CloudWire.rent(request, type, zone, spot, count),
+        CloudProtocol.MACHINES,
+        CloudProtocol.rent(request, type, zone, spot, count),
         outcome -> done.accept(rent(outcome)));
   }
 
@@ -87,8 +87,8 @@
     if (outcome instanceof Http.Answer answer) {
       if (answer.status() == 200) {
         try {
-          return new Rented(CloudWire.readRented(answer.body()));
-        } catch (Json.Malformed e) {
+          return new Rented(CloudProtocol.readRented(answer.body()));
+        } catch (Json.MalformedJsonException e) {
           return new Again();
         }
       }
@@ -104,29 +104,29 @@
   }
 
   /** Returns machines; true once they and all that was on them are gone. */
-  public void giveBack(List<String> machines, Consumer<Boolean> done) {
+  public void terminate(List<String> machines, Consumer<Boolean> done) {
     call(
         "POST",
-        CloudWire.RETURN,
-        CloudWire.giveBack(machines),
+        CloudProtocol.RETURN,
+        CloudProtocol.terminate(machines),
         outcome -> done.accept(outcome instanceof Http.Answer answer && answer.status() == 200));
   }
 
   /** Reads the whole machine list; null where that failed. */
-  public void list(Consumer<List<CloudWire.Listed>> done) {
+  public void list(Consumer<List<CloudProtocol.Listed>> done) {
     page("", new ArrayList<>(), done);
   }
 
   private void page(
-      String after, List<CloudWire.Listed> sofar, Consumer<List<CloudWire.Listed>> done) {
+      String after, List<CloudProtocol.Listed> sofar, Consumer<List<CloudProtocol.Listed>> done) {
     call(
         "GET",
-        CloudWire.listPath(after),
+        CloudProtocol.listPath(after),
         Http.Response.EMPTY,
         outcome -> {
           if (outcome instanceof Http.Answer answer && answer.status() == 200) {
             try {
-              CloudWire.Page page = CloudWire.readPage(answer.body());
+              CloudProtocol.Page page = CloudProtocol.readPage(answer.body());
               sofar.addAll(page.machines());
               if (page.more() && !page.machines().isEmpty()) {
                 page(page.machines().get(page.machines().size() - 1).machine(), sofar, done);
@@ -134,7 +134,7 @@
                 done.accept(sofar);
               }
               return;
-            } catch (Json.Malformed e) {
+            } catch (Json.MalformedJsonException e) {
               LOG.warn("machine list is not as agreed: {}", e.getMessage());
             }
           }
--- a/src/main/java/org/fieldtrestle/coordination/Tuning.java
+++ b/src/main/java/org/fieldtrestle/config/OperatorSettings.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.config;
 
 /**
  * The open figures of the design, with their defaults. Those of time are ratios to the platform's
@@ -13,7 +13,7 @@
  * @param victimShare a victim may have run at most this share of its estimate
  * @param reserve room kept for classes that are to start within some time, in jobs of their size
  */
-public record Tuning(
+public record OperatorSettings(
     double remainingWeight,
     double waitingWeight,
     double floorS,
@@ -22,5 +22,6 @@
     double evictWaitS,
     double victimShare,
     double reserve) {
-  public static final Tuning DEFAULT = new Tuning(0.5, 0.5, 1, 0.9, 0.5, 10, 0.3, 1);
+  public static final OperatorSettings DEFAULT =
+      new OperatorSettings(0.5, 0.5, 1, 0.9, 0.5, 10, 0.3, 1);
 }
--- a/src/main/java/org/fieldtrestle/protocol/Settings.java
+++ b/src/main/java/org/fieldtrestle/config/Settings.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.protocol;
+package org.fieldtrestle.config;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -31,7 +31,7 @@
   public record Objective(
       String kind, String jobClass, double share, double times, double withinS) {}
 
-  public record Workers(double reportS, double leaseS, double cancelS) {}
+  public record Workers(double heartbeatIntervalS, double leaseS, double cancelS) {}
 
   public record State(double rps, double writeRps, double valueKb, int txnOps) {}
 
@@ -52,6 +52,11 @@
         (workers.cancelS() * 0.95 - workers.leaseS() * (1 + DRIFT)) * 1000 * (1 - DRIFT));
   }
 
+  /** So many heartbeat intervals of the workers, in ms. */
+  public long heartbeatIntervalsMs(double count) {
+    return Math.round(workers.heartbeatIntervalS() * 1000 * count);
+  }
+
   public long workerLeaseMs() {
     return Math.round(workers.leaseS() * 1000);
   }
@@ -91,7 +96,7 @@
               + Math.round(heapMb)
               + " MB and what it needs beside that do not fit");
     }
-    if (workers.leaseS() < 3 * workers.reportS()) {
+    if (workers.leaseS() < 3 * workers.heartbeatIntervalS()) {
       all.add("cluster.workers.lease_s: under three reports; a lost one or two end a lease");
     }
     return all;
@@ -107,10 +112,10 @@
   private static final int BESIDE_HEAP_MB = 60;
 
   /** A setting that cannot be used: which field, and why. */
-  public static final class Invalid extends Exception {
+  public static final class InvalidSettingException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public Invalid(String field, String reason) {
+    public InvalidSettingException(String field, String reason) {
       super(field + ": " + reason);
     }
   }
--- a/src/main/java/org/fieldtrestle/protocol/SettingsFile.java
+++ b/src/main/java/org/fieldtrestle/config/SettingsParser.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.protocol;
+package org.fieldtrestle.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -11,22 +11,23 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.fieldtrestle.protocol.JsonTree;
 
 /** Reads the platform's settings file. Fields it does not know are left alone. */
-public final class SettingsFile {
-  private SettingsFile() {}
+public final class SettingsParser {
+  private SettingsParser() {}
 
-  public static Settings read(Path file) throws Settings.Invalid {
+  public static Settings read(Path file) throws Settings.InvalidSettingException {
     String text;
     try {
       text = Files.readString(file);
     } catch (IOException e) {
-      throw new Settings.Invalid("--config", "cannot read " + file);
+      throw new Settings.InvalidSettingException("--config", "cannot read " + file);
     }
     return parse(text);
   }
 
-  public static Settings parse(String text) throws Settings.Invalid {
+  public static Settings parse(String text) throws Settings.InvalidSettingException {
     Fields top = new Fields(tree(text), "");
     String label = top.text("label");
     List<Settings.Peer> peers = new ArrayList<>();
@@ -35,7 +36,8 @@
       Settings.Peer read =
           new Settings.Peer(peer.text("label"), peer.text("site"), peer.address("peer_addr"));
       if (!labels.add(read.label())) {
-        throw new Settings.Invalid(peer.name("label"), "used twice: " + read.label());
+        throw new Settings.InvalidSettingException(
+            peer.name("label"), "used twice: " + read.label());
       }
       peers.add(read);
     }
@@ -92,100 +94,104 @@
                 limits.positive("cpu"),
                 limits.positive("mem_mb"),
                 (int) limits.positive("fd_limit")));
-    if (settings.workers().leaseS() < 2 * settings.workers().reportS()) {
-      throw new Settings.Invalid(
+    if (settings.workers().leaseS() < 2 * settings.workers().heartbeatIntervalS()) {
+      throw new Settings.InvalidSettingException(
           "cluster.workers.lease_s", "must be at least twice report_s, or every lease runs out");
     }
     if (settings.stateLeaseMs() < 2000) {
-      throw new Settings.Invalid(
+      throw new Settings.InvalidSettingException(
           "cluster.workers.cancel_s",
           "leaves no time for a controller's own lease beside lease_s; a cancelled task could"
               + " outlive it");
     }
     if (settings.state().txnOps() < 8) {
-      throw new Settings.Invalid("cluster.state.txn_ops", "must be at least 8");
+      throw new Settings.InvalidSettingException("cluster.state.txn_ops", "must be at least 8");
     }
     return settings;
   }
 
-  private static JsonNode tree(String text) throws Settings.Invalid {
+  private static JsonNode tree(String text) throws Settings.InvalidSettingException {
     try (JsonParser parser = new TomlFactory().createParser(text)) {
       return JsonTree.readSingle(parser);
     } catch (JsonProcessingException e) {
-      throw new Settings.Invalid(
+      throw new Settings.InvalidSettingException(
           "file", "not TOML: " + e.getOriginalMessage().replaceAll("\\s+", " "));
     } catch (IOException e) {
-      throw new Settings.Invalid("file", "cannot be read");
+      throw new Settings.InvalidSettingException("file", "cannot be read");
     }
   }
 
   /** The fields of one table, with the names that errors give them. */
-  private record Fields(JsonNode node, String at) {
+  private record Fields(JsonNode context, String at) {
     String name(String field) {
       return at.isEmpty() ? field : at + "." + field;
     }
 
-    String text(String field) throws Settings.Invalid {
-      JsonNode value = node.path(field);
+    String text(String field) throws Settings.InvalidSettingException {
+      JsonNode value = context.path(field);
       if (!value.isTextual() || value.textValue().isBlank()) {
-        throw new Settings.Invalid(name(field), value.isMissingNode() ? "missing" : "not a text");
+        throw new Settings.InvalidSettingException(
+            name(field), value.isMissingNode() ? "missing" : "not a text");
       }
       return value.textValue();
     }
 
     String optionalText(String field) {
-      return node.path(field).asText("");
+      return context.path(field).asText("");
     }
 
     double optional(String field, double otherwise) {
-      return node.path(field).asDouble(otherwise);
+      return context.path(field).asDouble(otherwise);
     }
 
-    String address(String field) throws Settings.Invalid {
+    String address(String field) throws Settings.InvalidSettingException {
       String value = text(field);
       int colon = value.lastIndexOf(':');
       if (colon < 1 || !value.substring(colon + 1).matches("[0-9]{1,5}")) {
-        throw new Settings.Invalid(name(field), "not an address with a port: " + value);
+        throw new Settings.InvalidSettingException(
+            name(field), "not an address with a port: " + value);
       }
       int port = Integer.parseInt(value.substring(colon + 1));
       if (port < 1 || port > 65_535) {
-        throw new Settings.Invalid(name(field), "no such port: " + port);
+        throw new Settings.InvalidSettingException(name(field), "no such port: " + port);
       }
       return value;
     }
 
-    double atLeastZero(String field) throws Settings.Invalid {
-      JsonNode value = node.path(field);
+    double atLeastZero(String field) throws Settings.InvalidSettingException {
+      JsonNode value = context.path(field);
       if (!value.isNumber() || !Double.isFinite(value.doubleValue())) {
-        throw new Settings.Invalid(name(field), value.isMissingNode() ? "missing" : "not a number");
+        throw new Settings.InvalidSettingException(
+            name(field), value.isMissingNode() ? "missing" : "not a number");
       }
       if (value.doubleValue() < 0) {
-        throw new Settings.Invalid(name(field), "below 0");
+        throw new Settings.InvalidSettingException(name(field), "below 0");
       }
       return value.doubleValue();
     }
 
-    double positive(String field) throws Settings.Invalid {
+    double positive(String field) throws Settings.InvalidSettingException {
       double value = atLeastZero(field);
       if (value <= 0) {
-        throw new Settings.Invalid(name(field), "must be above 0");
+        throw new Settings.InvalidSettingException(name(field), "must be above 0");
       }
       return value;
     }
 
-    Fields table(String field) throws Settings.Invalid {
-      JsonNode value = node.path(field);
+    Fields table(String field) throws Settings.InvalidSettingException {
+      JsonNode value = context.path(field);
       if (!value.isObject()) {
-        throw new Settings.Invalid(name(field), value.isMissingNode() ? "missing" : "not a table");
+        throw new Settings.InvalidSettingException(
+            name(field), value.isMissingNode() ? "missing" : "not a table");
       }
       return new Fields(value, name(field));
     }
 
-    List<Fields> list(String field) throws Settings.Invalid {
-      JsonNode value = node.path(field);
+    List<Fields> list(String field) throws Settings.InvalidSettingException {
+      JsonNode value = context.path(field);
       List<Fields> all = new ArrayList<>();
       if (!value.isMissingNode() && !value.isArray()) {
-        throw new Settings.Invalid(name(field), "not a list");
+        throw new Settings.InvalidSettingException(name(field), "not a list");
       }
       for (JsonNode item : value) {
         all.add(new Fields(item, name(field) + "[" + all.size() + "]"));
@@ -193,14 +199,14 @@
       return all;
     }
 
-    List<String> texts(String field) throws Settings.Invalid {
-      JsonNode value = node.path(field);
+    List<String> texts(String field) throws Settings.InvalidSettingException {
+      JsonNode value = context.path(field);
       List<String> all = new ArrayList<>();
       for (JsonNode item : value) {
         all.add(item.asText());
       }
       if (all.isEmpty()) {
-        throw new Settings.Invalid(name(field), "missing or empty");
+        throw new Settings.InvalidSettingException(name(field), "missing or empty");
       }
       return List.copyOf(all);
     }
--- a/src/main/java/org/fieldtrestle/coordination/Node.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -1,12 +1,18 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.context;
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import org.fieldtrestle.bookkeeping.Store;
-import org.fieldtrestle.bookkeeping.View;
-import org.fieldtrestle.protocol.CloudWire.MachineType;
+import org.fieldtrestle.cloud.CloudClient;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.leadership.CancellationNotices;
+import org.fieldtrestle.leadership.Membership;
+import org.fieldtrestle.metrics.ControllerMetrics;
+import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.JobSpec;
-import org.fieldtrestle.protocol.Settings;
+import org.fieldtrestle.routing.ShardLoads;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.StateCache;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 
@@ -15,19 +21,19 @@
  *
  * @param cancellations jobs that are known to be cancelled before the followed state shows it
  */
-public record Node(
+public record ControllerContext(
     Settings settings,
-    Tuning tuning,
+    OperatorSettings operatorSettings,
     Reactor reactor,
     RandomGenerator random,
     Http.Caller caller,
-    Store store,
-    View view,
-    Cloud cloud,
+    KeyValueClient store,
+    StateCache stateCache,
+    CloudClient cloud,
     Membership membership,
-    Loads loads,
-    Cancellations cancellations,
-    Stats stats) {
+    ShardLoads loads,
+    CancellationNotices cancellations,
+    ControllerMetrics metrics) {
 
   /** A task may evict once this part of the time in which it is to start has gone by. */
   private static final double EVICT_AFTER = 6;
@@ -50,21 +56,21 @@
   }
 
   /** May we answer workers and give commands? */
-  public boolean acting() {
-    return membership.acting();
+  public boolean mayAct() {
+    return membership.mayAct();
   }
 
   /**
    * Whether tasks of the job are to start within some time: its class has such an objective, or its
    * deadline leaves less time than a machine takes to come up, so that room has to be there.
    */
-  boolean hurried(JobSpec spec) {
-    return spec.deadlineS() >= 0 && spec.deadlineS() - spec.estimateS() < bootS()
+  public boolean isLatencySensitive(JobSpec spec) {
+    return spec.deadlineS() >= 0 && spec.deadlineS() - spec.estimateS() < shortestBootS()
         || waitWithinS(spec) < Double.MAX_VALUE;
   }
 
   /** How soon a machine comes up, of the type that is the quickest. */
-  double bootS() {
+  public double shortestBootS() {
     double least = Double.MAX_VALUE;
     for (MachineType type : types()) {
       least = Math.min(least, type.bootS());
@@ -73,10 +79,10 @@
   }
 
   /** How long the image of a job takes to come, on the type with the slowest line. */
-  double fetchS(JobSpec spec) {
+  public double fetchS(JobSpec spec) {
     double fetchS = 0;
     for (MachineType type : types()) {
-      fetchS = Math.max(fetchS, Fleet.fetchS(type, spec));
+      fetchS = Math.max(fetchS, type.imageFetchS(spec));
     }
     return fetchS;
   }
@@ -95,9 +101,9 @@
    * How long a task waits for room before it may evict: less than usual where that would be more
    * than a part of the time within which it is to start.
    */
-  double evictWaitS(JobSpec spec, boolean guaranteed) {
-    double wait = Math.min(tuning.evictWaitS(), waitWithinS(spec) / EVICT_AFTER);
-    if (hurried(spec) && spec.deadlineS() >= 0) {
+  public double preemptionDelayS(JobSpec spec, boolean guaranteed) {
+    double wait = Math.min(operatorSettings.evictWaitS(), waitWithinS(spec) / EVICT_AFTER);
+    if (isLatencySensitive(spec) && spec.deadlineS() >= 0) {
       wait = Math.min(wait, Math.max(0, spec.deadlineS() - spec.estimateS()) / EVICT_AFTER);
     }
     if (guaranteed) {
@@ -110,7 +116,7 @@
     return wait;
   }
 
-  public long reportMs(double times) {
-    return Math.round(settings.workers().reportS() * 1000 * times);
+  public long heartbeatIntervalsMs(double times) {
+    return settings.heartbeatIntervalsMs(times);
   }
 }
--- a/src/main/java/org/fieldtrestle/coordination/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.controller;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -10,20 +10,32 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.fieldtrestle.bookkeeping.Records;
-import org.fieldtrestle.bookkeeping.Store;
-import org.fieldtrestle.bookkeeping.View;
+import org.fieldtrestle.api.UserApi;
+import org.fieldtrestle.cloud.CloudClient;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.leadership.CancellationNotices;
+import org.fieldtrestle.leadership.LeadershipTransfer;
+import org.fieldtrestle.leadership.Membership;
+import org.fieldtrestle.metrics.ControllerMetrics;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.PeerWire;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.StateWire;
-import org.fieldtrestle.protocol.UserWire;
-import org.fieldtrestle.protocol.WorkerWire;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.protocol.PeerProtocol;
+import org.fieldtrestle.protocol.UserProtocol;
+import org.fieldtrestle.protocol.WorkerProtocol;
+import org.fieldtrestle.routing.ShardLoads;
+import org.fieldtrestle.shard.ShardLeader;
+import org.fieldtrestle.state.BoundedCache;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.transport.EventLoopMeter;
+import org.fieldtrestle.transport.EventLoopMeter.Work;
 import org.fieldtrestle.transport.Http;
-import org.fieldtrestle.transport.PeerLink;
+import org.fieldtrestle.transport.PeerSender;
 import org.fieldtrestle.transport.Reactor;
-import org.fieldtrestle.transport.WorkMeter;
-import org.fieldtrestle.transport.WorkMeter.Work;
+import org.fieldtrestle.worker.JobCompletion;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -37,20 +49,20 @@
   /** Part of a worker's lease after which requests are accepted whether or not we act. */
   private static final long LISTEN_AFTER_DIVISOR = 4;
 
-  private final Node node;
+  private final ControllerContext context;
   private final Reactor reactor;
-  private final View view;
-  private final PeerLink peers;
-  private final Loads loads;
-  private final Gateway gateway;
+  private final StateCache stateCache;
+  private final PeerSender peers;
+  private final ShardLoads loads;
+  private final UserApi gateway;
   private final LeadershipTransfer leadershipTransfer;
-  private final WorkMeter meter;
-  private final Map<String, Master> masters = new TreeMap<>();
+  private final EventLoopMeter meter;
+  private final Map<String, ShardLeader> shards = new TreeMap<>();
   private final Set<String> adopting = new HashSet<>();
   private final Set<String> finishing = new HashSet<>();
 
   /** Machines whose record went; a late report must not bring them back. */
-  private final RecentEntries<String, Boolean> gone = new RecentEntries<>(MAX_GONE_MACHINES);
+  private final BoundedCache<String, Boolean> gone = new BoundedCache<>(MAX_GONE_MACHINES);
 
   private final Set<String> knownMachines = new HashSet<>();
   private final Map<String, Heard> pulses = new HashMap<>();
@@ -59,43 +71,44 @@
 
   public Controller(
       Settings settings,
-      Tuning tuning,
+      OperatorSettings operatorSettings,
       Reactor reactor,
       RandomGenerator random,
       Http.Caller unmetered,
-      PeerLink peers,
-      WorkMeter meter) {
+      PeerSender peers,
+      EventLoopMeter meter) {
     this.meter = meter;
     Http.Caller caller = metered(unmetered, settings, meter);
     this.reactor = reactor;
     this.peers = peers;
-    Store store = new Store(reactor, caller, settings);
-    this.view = new View(reactor, store, settings);
+    KeyValueClient store = new KeyValueClient(reactor, caller, settings);
+    this.stateCache = new StateCache(reactor, store, settings);
     String boot = Long.toHexString(random.nextLong());
-    Membership membership = new Membership(reactor, store, view, settings, boot);
-    Cloud cloud = new Cloud(reactor, caller, settings);
+    Membership membership = new Membership(reactor, store, stateCache, settings, boot);
+    CloudClient cloud = new CloudClient(reactor, caller, settings);
     this.loads =
-        new Loads(reactor, settings.label(), Math.round(settings.workers().reportS() * 800));
-    this.node =
-        new Node(
+        new ShardLoads(
+            reactor, settings.label(), Math.round(settings.workers().heartbeatIntervalS() * 800));
+    this.context =
+        new ControllerContext(
             settings,
-            tuning,
+            operatorSettings,
             reactor,
             random,
             caller,
             store,
-            view,
+            stateCache,
             cloud,
             membership,
             loads,
-            new Cancellations(),
-            new Stats(meter));
-    this.leadershipTransfer = new LeadershipTransfer(node);
+            new CancellationNotices(),
+            new ControllerMetrics(meter));
+    this.leadershipTransfer = new LeadershipTransfer(reactor, settings);
     this.gateway =
-        new Gateway(
-            node,
+        new UserApi(
+            context,
             this::running,
-            new Gateway.Peers() {
+            new UserApi.Peers() {
               @Override
               public boolean anyServed() {
                 return pulses.values().stream().anyMatch(p -> p.served() && fresh(p));
@@ -117,7 +130,7 @@
   private record Heard(long at, boolean served) {}
 
   private boolean fresh(Heard heard) {
-    return reactor.now() - heard.at() <= node.reportMs(0.8);
+    return reactor.now() - heard.at() <= context.heartbeatIntervalsMs(0.8);
   }
 
   /**
@@ -130,14 +143,16 @@
    *     state service, users had better be told when to come again.
    */
   public void start(Runnable listen) {
-    LOG.info("controller {} in zone {} starts", node.settings().label(), node.settings().zone());
+    LOG.info(
+        "controller {} in zone {} starts", context.settings().label(), context.settings().zone());
     this.listen = listen;
-    view.listen(this::changed);
-    view.listenProgress(() -> node.cancellations().followed(view.followed()));
-    view.start();
-    node.cloud().start();
+    stateCache.listen(this::changed);
+    stateCache.addProgressListener(
+        () -> context.cancellations().appliedRevision(stateCache.appliedRevision()));
+    stateCache.start();
+    context.cloud().start();
     awaitView();
-    reactor.schedule(node.settings().workerLeaseMs() / LISTEN_AFTER_DIVISOR, this::listenOnce);
+    reactor.schedule(context.settings().workerLeaseMs() / LISTEN_AFTER_DIVISOR, this::listenOnce);
   }
 
   private void listenOnce() {
@@ -148,29 +163,31 @@
   }
 
   private void awaitView() {
-    if (!view.ready()) {
-      reactor.schedule(view.watchGapMs() / 3, this::awaitView);
+    if (!stateCache.ready()) {
+      reactor.schedule(stateCache.watchIntervalMs() / 3, this::awaitView);
       return;
     }
-    node.membership()
+    context
+        .membership()
         .start(
             new Membership.Listener() {
               @Override
-              public void began(String name, long epoch, boolean othersMayAct) {
-                Master master =
-                    new Master(node, name, epoch, othersMayAct, Controller.this::listenOnce);
-                Master old = masters.put(name, master);
+              public void began(String name, long epoch, boolean formerLeaderMayAct) {
+                ShardLeader shard =
+                    new ShardLeader(
+                        context, name, epoch, formerLeaderMayAct, Controller.this::listenOnce);
+                ShardLeader old = shards.put(name, shard);
                 if (old != null) {
-                  old.tell(new Master.Ended());
+                  old.tell(new ShardLeader.Ended());
                 }
-                master.tell(new Master.Tick());
+                shard.tell(new ShardLeader.Tick());
               }
 
               @Override
               public void ended(String name) {
-                Master old = masters.remove(name);
+                ShardLeader old = shards.remove(name);
                 if (old != null) {
-                  old.tell(new Master.Ended());
+                  old.tell(new ShardLeader.Ended());
                 }
               }
             });
@@ -179,11 +196,11 @@
   }
 
   /** Counts what answers cost by who has given them. */
-  private static Http.Caller metered(Http.Caller caller, Settings settings, WorkMeter meter) {
+  private static Http.Caller metered(Http.Caller caller, Settings settings, EventLoopMeter meter) {
     return (address, method, path, body, timeoutMs, done) -> {
       Work work = Work.WORKER_COMMAND_ANSWER;
       if (address.equals(settings.stateAddress())) {
-        work = path.startsWith(StateWire.WATCH) ? Work.STATE_WATCH : Work.STATE_ANSWER;
+        work = path.startsWith(KeyValueProtocol.WATCH) ? Work.STATE_WATCH : Work.STATE_ANSWER;
       } else if (address.equals(settings.cloudAddress())) {
         work = Work.CLOUD_ANSWER;
       }
@@ -200,39 +217,53 @@
 
   private void tick() {
     meter.run(Work.PERIODIC_CHECKS, this::check);
-    reactor.schedule(node.reportMs(0.2), this::tick);
+    reactor.schedule(context.heartbeatIntervalsMs(0.2), this::tick);
   }
 
   private void check() {
-    masters.values().forEach(master -> master.tell(new Master.Tick()));
+    shards.values().forEach(shard -> shard.tell(new ShardLeader.Tick()));
     finishComplete();
-    handOver();
+    transferLeadership();
     takeFromUnreachable();
   }
 
-  /** Whoever our workers reach had better hold our masters while they do not reach us. */
-  private void handOver() {
-    String to = node.acting() ? leadershipTransfer.better(masters.values()) : null;
+  /** Whoever our workers reach had better hold our shards while they do not reach us. */
+  private void transferLeadership() {
+    String to = context.mayAct() ? leadershipTransfer.better(reachability()) : null;
     if (to != null) {
       LOG.warn("no machine of ours reaches us, but they reach {}: handing over to it", to);
-      List.copyOf(masters.keySet()).forEach(master -> node.membership().handOver(master, to));
+      List.copyOf(shards.keySet())
+          .forEach(shard -> context.membership().transferLeadership(shard, to));
     }
   }
 
-  /** Whose workers ask us, while nothing is heard of it itself, had better not keep its masters. */
+  private LeadershipTransfer.WorkerReachability reachability() {
+    int up = 0;
+    int silent = 0;
+    for (ShardLeader shard : shards.values()) {
+      LeadershipTransfer.WorkerReachability one =
+          shard.reachability(leadershipTransfer.silentAfterMs());
+      up += one.up();
+      silent += one.silent();
+    }
+    return new LeadershipTransfer.WorkerReachability(up, silent);
+  }
+
+  /** Whose workers ask us, while nothing is heard of it itself, had better not keep its shards. */
   private void takeFromUnreachable() {
-    if (!node.acting()) {
+    if (!context.mayAct()) {
       return;
     }
     for (Map.Entry<String, Heard> one : pulses.entrySet()) {
       long silentMs = reactor.now() - one.getValue().at();
-      if (fresh(one.getValue()) || !view.members().containsKey(one.getKey())) {
+      if (fresh(one.getValue()) || !stateCache.members().containsKey(one.getKey())) {
         continue;
       }
-      for (String master : view.mastersOf(one.getKey())) {
-        if (leadershipTransfer.unreachable(one.getKey(), silentMs, view.machinesOf(master))) {
+      for (String shard : stateCache.shardsLedBy(one.getKey())) {
+        if (leadershipTransfer.unreachable(
+            one.getKey(), silentMs, stateCache.machineCountOf(shard))) {
           LOG.warn("{} is out of reach of its workers and of us", one.getKey());
-          node.membership().takeFrom(master);
+          context.membership().seizeLeadership(shard);
         }
       }
     }
@@ -240,31 +271,33 @@
 
   private void gossip() {
     meter.run(Work.PEER_BROADCAST, this::broadcast);
-    reactor.schedule(node.reportMs(0.2), this::gossip);
+    reactor.schedule(context.heartbeatIntervalsMs(0.2), this::gossip);
   }
 
   private void broadcast() {
     ByteBuffer pulse =
-        PeerWire.encode(
+        PeerProtocol.encode(
             reactor.wall(),
-            new PeerWire.Pulse(
-                node.settings().label(), view.ready() && node.store().unansweredMs() == 0));
-    node.settings()
+            new PeerProtocol.Liveness(
+                context.settings().label(),
+                stateCache.ready() && context.store().unavailableForMs() == 0));
+    context
+        .settings()
         .peers()
         .forEach(
             p -> {
               peers.send(p.address(), pulse.duplicate());
               peers.send(
                   p.address(),
-                  PeerWire.encode(reactor.wall(), leadershipTransfer.frame(p.label())));
+                  PeerProtocol.encode(reactor.wall(), leadershipTransfer.frame(p.label())));
             });
-    if (node.acting()) {
-      for (Master master : masters.values()) {
-        if (master.isActive()) {
-          PeerWire.Load load = master.load();
+    if (context.mayAct()) {
+      for (ShardLeader shard : shards.values()) {
+        if (shard.isActive()) {
+          PeerProtocol.ShardLoad load = shard.load();
           loads.heard(load);
-          ByteBuffer frame = PeerWire.encode(reactor.wall(), load);
-          node.settings().peers().forEach(p -> peers.send(p.address(), frame.duplicate()));
+          ByteBuffer frame = PeerProtocol.encode(reactor.wall(), load);
+          context.settings().peers().forEach(p -> peers.send(p.address(), frame.duplicate()));
         }
       }
     }
@@ -277,25 +310,26 @@
 
   private void read(ByteBuffer frame) {
     try {
-      PeerWire.Frame read = PeerWire.decode(frame);
-      if (read.message() instanceof PeerWire.Cancelled cancelled) { // final, and true at any age
-        node.cancellations().heard(cancelled.job());
-        masters.values().forEach(master -> master.tell(new Master.Cancelled(cancelled.job())));
+      PeerProtocol.Frame read = PeerProtocol.decode(frame);
+      if (read.message()
+          instanceof PeerProtocol.JobCancelled cancelled) { // final, and true at any age
+        context.cancellations().heard(cancelled.job());
+        shards.values().forEach(shard -> shard.tell(new ShardLeader.Cancelled(cancelled.job())));
         return;
       }
       long age = Math.abs(reactor.wall() - read.sentWall());
-      if (age > node.reportMs(0.8) + 2 * node.settings().clockOffMs()) {
+      if (age > context.heartbeatIntervalsMs(0.8) + 2 * context.settings().clockOffMs()) {
         return; // held by a cut: what it says was so then
       }
-      PeerWire.Message message = read.message();
-      if (message instanceof PeerWire.Load load && !masters.containsKey(load.master())) {
+      PeerProtocol.Message message = read.message();
+      if (message instanceof PeerProtocol.ShardLoad load && !shards.containsKey(load.shard())) {
         loads.heard(load);
-      } else if (message instanceof PeerWire.Pulse pulse) {
+      } else if (message instanceof PeerProtocol.Liveness pulse) {
         pulses.put(pulse.sender(), new Heard(reactor.now(), pulse.served()));
-      } else if (message instanceof PeerWire.SentOn sent) {
+      } else if (message instanceof PeerProtocol.RedirectCount sent) {
         leadershipTransfer.heard(sent);
       }
-    } catch (PeerWire.BadFrame e) {
+    } catch (PeerProtocol.MalformedFrameException e) {
       LOG.warn("peer frame refused: {}", e.getMessage());
     }
   }
@@ -306,38 +340,39 @@
    */
   private void sayCancelled(String job) {
     ByteBuffer frame =
-        PeerWire.encode(reactor.wall(), new PeerWire.Cancelled(node.settings().label(), job));
-    node.settings().peers().forEach(p -> peers.send(p.address(), frame.duplicate()));
+        PeerProtocol.encode(
+            reactor.wall(), new PeerProtocol.JobCancelled(context.settings().label(), job));
+    context.settings().peers().forEach(p -> peers.send(p.address(), frame.duplicate()));
   }
 
   private int running(String job) {
     int sum = 0;
-    for (Master master : masters.values()) {
-      sum += master.runningOf(job);
+    for (ShardLeader shard : shards.values()) {
+      sum += shard.runningOf(job);
     }
     return sum;
   }
 
   private void changed(Records.Key key) {
     if (key instanceof Records.MachineKey k) {
-      if (view.machines().containsKey(k.machine())) {
+      if (stateCache.machines().containsKey(k.machine())) {
         knownMachines.add(k.machine());
       } else if (knownMachines.remove(k.machine())) {
         gone.put(k.machine(), true);
       }
     }
-    masters.values().forEach(master -> master.tell(new Master.Changed(key)));
+    shards.values().forEach(shard -> shard.tell(new ShardLeader.Changed(key)));
   }
 
-  /** Two masters that complete a job's last ranges at once may both miss that it is over. */
+  /** Two shards that complete a job's last ranges at once may both miss that it is over. */
   private void finishComplete() {
-    if (!node.acting() || node.store().crowded()) {
+    if (!context.mayAct() || context.store().isCongested()) {
       return;
     }
-    for (Map.Entry<String, View.LiveJob> one : view.all().entrySet()) {
-      View.LiveJob job = one.getValue();
+    for (Map.Entry<String, StateCache.ActiveJob> one : stateCache.all().entrySet()) {
+      StateCache.ActiveJob job = one.getValue();
       if (job.complete()
-          && masters.containsKey(job.ranges().firstEntry().getValue().record().master())
+          && shards.containsKey(job.ranges().firstEntry().getValue().record().shard())
           && !finishing.contains(one.getKey())) {
         finish(one.getKey());
         return;
@@ -346,20 +381,21 @@
   }
 
   private void finish(String job) {
-    List<StateWire.Condition> conditions = new ArrayList<>();
-    List<StateWire.Change> changes = new ArrayList<>();
-    if (!JobCompletion.whole(node, job, conditions, changes)) {
+    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
+    List<KeyValueProtocol.Change> changes = new ArrayList<>();
+    if (!JobCompletion.whole(context, job, conditions, changes)) {
       return;
     }
     finishing.add(job);
-    node.store()
+    context
+        .store()
         .commit(
-            new Store.Txn(conditions, changes),
+            new KeyValueClient.Transaction(conditions, changes),
             result -> {
-              if (result instanceof Store.Committed committed) {
-                view.committed(changes, committed.revision());
+              if (result instanceof KeyValueClient.Committed committed) {
+                stateCache.committed(changes, committed.revision());
               }
-              reactor.schedule(node.reportMs(0.2), () -> finishing.remove(job));
+              reactor.schedule(context.heartbeatIntervalsMs(0.2), () -> finishing.remove(job));
             });
   }
 
@@ -367,33 +403,34 @@
 
   @Override
   public void handle(Http.Request request, Consumer<Http.Response> reply) {
-    Work work = request.path().equals(WorkerWire.REPORT) ? Work.WORKER_REPORT : Work.OTHER_REQUEST;
+    Work work =
+        request.path().equals(WorkerProtocol.REPORT) ? Work.WORKER_REPORT : Work.OTHER_REQUEST;
     meter.run(work, () -> dispatch(request, reply));
   }
 
   private void dispatch(Http.Request request, Consumer<Http.Response> reply) {
     String path = request.path();
-    if (path.equals(WorkerWire.REPORT)) {
+    if (path.equals(WorkerProtocol.REPORT)) {
       if (request.method().equals("POST")) {
         report(request.body(), reply);
       } else {
         reply.accept(new Http.Response(405, Http.Response.EMPTY));
       }
-    } else if (path.equals(UserWire.READY)) {
+    } else if (path.equals(UserProtocol.READY)) {
       reply.accept(
           gateway.ready()
               ? new Http.Response(200, Http.Response.EMPTY)
               : new Http.Response(503, Http.Response.EMPTY, 1));
-    } else if (path.equals(UserWire.STATS) && request.method().equals("GET")) {
-      reply.accept(new Http.Response(200, StatsPage.render(node, masters.values())));
-    } else if (path.equals(UserWire.JOBS)) {
+    } else if (path.equals(UserProtocol.STATS) && request.method().equals("GET")) {
+      reply.accept(new Http.Response(200, StatsPage.render(context, shards.values())));
+    } else if (path.equals(UserProtocol.JOBS)) {
       if (request.method().equals("POST")) {
-        gateway.tell(new Gateway.Submit(request.body(), reply));
+        gateway.tell(new UserApi.Submit(request.body(), reply));
       } else {
         reply.accept(new Http.Response(405, Http.Response.EMPTY));
       }
-    } else if (path.startsWith(UserWire.JOBS + "/")) {
-      job(request, path.substring(UserWire.JOBS.length() + 1), reply);
+    } else if (path.startsWith(UserProtocol.JOBS + "/")) {
+      job(request, path.substring(UserProtocol.JOBS.length() + 1), reply);
     } else {
       reply.accept(new Http.Response(404, Http.Response.EMPTY));
     }
@@ -402,10 +439,10 @@
   private void job(Http.Request request, String rest, Consumer<Http.Response> reply) {
     int slash = rest.indexOf('/');
     if (slash < 0 && request.method().equals("GET")) {
-      gateway.tell(new Gateway.Poll(rest, reply));
-    } else if (slash >= 0 && rest.substring(slash + 1).equals(UserWire.CANCEL)) {
+      gateway.tell(new UserApi.Poll(rest, reply));
+    } else if (slash >= 0 && rest.substring(slash + 1).equals(UserProtocol.CANCEL)) {
       if (request.method().equals("POST")) {
-        gateway.tell(new Gateway.Cancel(rest.substring(0, slash), reply));
+        gateway.tell(new UserApi.Cancel(rest.substring(0, slash), reply));
       } else {
         reply.accept(new Http.Response(405, Http.Response.EMPTY));
       }
@@ -417,63 +454,64 @@
   }
 
   private void report(byte[] body, Consumer<Http.Response> reply) {
-    WorkerWire.Report report;
+    WorkerProtocol.Heartbeat report;
     try {
-      report = WorkerWire.readReport(body);
-    } catch (Json.Malformed e) {
-      reply.accept(new Http.Response(400, UserWire.error(e.getMessage())));
+      report = WorkerProtocol.readHeartbeat(body);
+    } catch (Json.MalformedJsonException e) {
+      reply.accept(new Http.Response(400, UserProtocol.error(e.getMessage())));
       return;
     }
-    if (!view.ready()) {
+    if (!stateCache.ready()) {
       reply.accept(new Http.Response(503, Http.Response.EMPTY));
       return;
     }
-    Records.Machine record = view.machines().get(report.machine());
+    Records.Machine record = stateCache.machines().get(report.machine());
     if (record == null) {
       adopt(report);
       reply.accept(new Http.Response(503, Http.Response.EMPTY));
       return;
     }
-    Master master = masters.get(record.master());
-    if (master != null) {
-      master.tell(new Master.Reported(report, reply));
+    ShardLeader shard = shards.get(record.shard());
+    if (shard != null) {
+      shard.tell(new ShardLeader.Reported(report, reply));
       return;
     }
-    View.Kept<Records.Master> holder = view.master(record.master());
+    StateCache.Versioned<Records.Shard> holder = stateCache.shard(record.shard());
     String to = holder == null ? null : holder.record().holder();
     if (to != null) {
       leadershipTransfer.sentOn(report.machine(), to);
     }
     reply.accept(
         new Http.Response(
-            421, WorkerWire.redirect(node.settings().label().equals(to) ? null : to)));
+            421, WorkerProtocol.redirect(context.settings().label().equals(to) ? null : to)));
   }
 
   /**
    * A machine without a record reports: it becomes ours once it answers, as a report may be a late
    * copy of one from a machine that was returned long ago.
    */
-  private void adopt(WorkerWire.Report report) {
-    Master master = masters.get(node.settings().label());
+  private void adopt(WorkerProtocol.Heartbeat report) {
+    ShardLeader shard = shards.get(context.settings().label());
     String id = report.machine();
-    if (master == null || !master.running() || gone.get(id) != null || !adopting.add(id)) {
+    if (shard == null || !shard.isLeading() || gone.get(id) != null || !adopting.add(id)) {
       return;
     }
-    node.caller()
+    context
+        .caller()
         .call(
             report.address(),
             "GET",
-            WorkerWire.INSPECT,
+            WorkerProtocol.INSPECT,
             Http.Response.EMPTY,
-            WorkerWire.ANSWER_WITHIN_MS,
+            WorkerProtocol.ANSWER_WITHIN_MS,
             outcome -> {
-              if (!master.running() || !answersAs(id, outcome)) {
-                reactor.schedule(node.reportMs(1), () -> adopting.remove(id));
+              if (!shard.isLeading() || !answersAs(id, outcome)) {
+                reactor.schedule(context.heartbeatIntervalsMs(1), () -> adopting.remove(id));
                 return;
               }
               LOG.info("machine {} reports and is nobody's, adopting it", id);
-              master
-                  .roster()
+              shard
+                  .inventory()
                   .add(
                       id,
                       report.type(),
@@ -487,8 +525,8 @@
   private static boolean answersAs(String machine, Http.Outcome outcome) {
     if (outcome instanceof Http.Answer answer && answer.status() == 200) {
       try {
-        return WorkerWire.readReport(answer.body()).machine().equals(machine);
-      } catch (Json.Malformed e) {
+        return WorkerProtocol.readHeartbeat(answer.body()).machine().equals(machine);
+      } catch (Json.MalformedJsonException e) {
         return false;
       }
     }
--- a/src/main/java/org/fieldtrestle/coordination/Fence.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
@@ -1,7 +1,7 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.leadership;
 
-import org.fieldtrestle.bookkeeping.View;
-import org.fieldtrestle.protocol.Settings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.state.StateCache;
 import org.fieldtrestle.transport.Reactor;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -15,8 +15,8 @@
  * as the lease. The bound is chosen so that whatever was last told to a worker is over within the
  * time that a cancellation has, see {@link Settings#stateLeaseMs}.
  */
-final class Fence {
-  private static final Logger LOG = LoggerFactory.getLogger(Fence.class);
+public final class LeadershipFence {
+  private static final Logger LOG = LoggerFactory.getLogger(LeadershipFence.class);
 
   /** What a turn of the event loop may take between the decision and the sending, in ms. */
   private static final long TURN_MS = 50;
@@ -24,7 +24,7 @@
   private static final long NEVER = Long.MIN_VALUE;
 
   private final Reactor reactor;
-  private final View view;
+  private final StateCache stateCache;
   private final long usableMs;
   private long leaseSentAt = NEVER;
   private boolean wasOpen;
@@ -33,14 +33,14 @@
   /**
    * @param leaseMs the time to live of the lease at the state service
    */
-  Fence(Reactor reactor, View view, long leaseMs) {
+  LeadershipFence(Reactor reactor, StateCache stateCache, long leaseMs) {
     this.reactor = reactor;
-    this.view = view;
+    this.stateCache = stateCache;
     this.usableMs = Math.round(leaseMs * (1 - Settings.DRIFT)) - TURN_MS;
   }
 
   /** The lease less what clocks may drift apart and a turn of the event loop may take, in ms. */
-  long usableMs() {
+  public long usableMs() {
     return usableMs;
   }
 
@@ -57,7 +57,7 @@
   /** Whether commands may be given and reports acknowledged now. */
   boolean open() {
     long since = reactor.now() - usableMs;
-    boolean open = leaseSentAt > since && view.freshAt() > since;
+    boolean open = leaseSentAt > since && stateCache.freshAsOf() > since;
     if (open != wasOpen) {
       wasOpen = open;
       openings += open ? 1 : 0;
@@ -67,18 +67,18 @@
   }
 
   /** How often it has opened since the start. */
-  long openings() {
+  public long openings() {
     return openings;
   }
 
   /** Milliseconds since the sending of what last renewed the lease; -1 where there is none. */
-  long leaseAgeMs() {
+  public long leaseAgeMs() {
     return age(leaseSentAt);
   }
 
   /** Milliseconds since the sending of the read that the followed state rests on; -1: none yet. */
-  long stateAgeMs() {
-    return age(view.freshAt());
+  public long stateAgeMs() {
+    return age(stateCache.freshAsOf());
   }
 
   private long age(long sentAt) {
@@ -89,7 +89,7 @@
     LOG.atInfo()
         .addKeyValue("leaseAgeMs", leaseAgeMs())
         .addKeyValue("stateAgeMs", stateAgeMs())
-        .addKeyValue("revision", view.followed())
+        .addKeyValue("revision", stateCache.appliedRevision())
         .addKeyValue("usableMs", usableMs)
         .log(open ? "fence opens" : "fence closes");
   }
--- a/src/main/java/org/fieldtrestle/coordination/Stats.java
+++ b/src/main/java/org/fieldtrestle/metrics/ControllerMetrics.java
@@ -1,12 +1,12 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.metrics;
 
 import java.util.EnumMap;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import org.fieldtrestle.transport.WorkMeter;
+import org.fieldtrestle.transport.EventLoopMeter;
 
 /** Counters and latencies of one controller, for those on call. */
-public final class Stats {
+public final class ControllerMetrics {
   private static final long MAX_MS = 600_000;
 
   public final Histogram submitMs = new Histogram(MAX_MS, 2);
@@ -15,14 +15,13 @@
   public final Histogram passMs = new Histogram(MAX_MS, 2);
 
   /** What the event loop spends its time on. */
-  public final WorkMeter work;
+  public final EventLoopMeter work;
 
   /** What became of users' questions. */
-  public final QuestionStats questions = new QuestionStats();
+  public final JobQueryMetrics questions = new JobQueryMetrics();
 
   /** Placement decisions that found a task not allowed to start, by reason. */
-  final Map<CommandPolicy.StartRefusal, Long> startsRefused =
-      new EnumMap<>(CommandPolicy.StartRefusal.class);
+  public final Map<StartRefusal, Long> startsRefused = new EnumMap<>(StartRefusal.class);
 
   public long placed;
 
@@ -35,7 +34,7 @@
   public long returned;
   public long refusedSubmissions;
 
-  public Stats(WorkMeter work) {
+  public ControllerMetrics(EventLoopMeter work) {
     this.work = work;
   }
 
--- a/src/main/java/org/fieldtrestle/coordination/QuestionStats.java
+++ b/src/main/java/org/fieldtrestle/metrics/JobQueryMetrics.java
@@ -1,10 +1,10 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.metrics;
 
 import java.util.EnumMap;
 import java.util.Map;
 
 /** How many questions of users were answered here, and why others were not. */
-public final class QuestionStats {
+public final class JobQueryMetrics {
   /** Why a question got no answer of use, but was told to come back. */
   public enum Unanswered {
     /** The state service has not answered this controller for some time. */
@@ -24,13 +24,13 @@
   private long longestSpellMs;
   private long failingSince = -1;
 
-  void answered(long now) {
+  public void answered(long now) {
     answered++;
     endSpell(now);
     failingSince = -1;
   }
 
-  void unanswered(Unanswered reason, long now) {
+  public void unanswered(Unanswered reason, long now) {
     unanswered.merge(reason, 1L, Long::sum);
     if (failingSince < 0) {
       failingSince = now;
--- a/src/main/java/org/fieldtrestle/protocol/CloudWire.java
+++ b/src/main/java/org/fieldtrestle/protocol/CloudProtocol.java
@@ -7,15 +7,16 @@
 import java.util.List;
 
 /** The cloud's interface. */
-public final class CloudWire {
+public final class CloudProtocol {
   public static final String TYPES = "/flavors";
   public static final String MACHINES = "/machines";
   public static final String RETURN = "/machines/return";
   public static final int MAX_RENT = 50;
   public static final int MAX_RETURN = 100;
   public static final int PAGE = 500;
+  private static final double MAX_TASKS_PER_MACHINE = 10_000;
 
-  private CloudWire() {}
+  private CloudProtocol() {}
 
   public record MachineType(
       String name,
@@ -32,6 +33,26 @@
       return cpus >= spec.cpus() && gpus >= spec.gpus() && memoryGb >= spec.memoryGb();
     }
 
+    /** How many tasks of a job fit on an empty machine; at least 1. */
+    public int tasksPerMachine(JobSpec spec) {
+      double most = MAX_TASKS_PER_MACHINE;
+      if (spec.cpus() > 0) {
+        most = Math.min(most, cpus / spec.cpus());
+      }
+      if (spec.gpus() > 0) {
+        most = Math.min(most, gpus / spec.gpus());
+      }
+      if (spec.memoryGb() > 0) {
+        most = Math.min(most, memoryGb / spec.memoryGb());
+      }
+      return Math.max(1, (int) Math.floor(most + 1e-6));
+    }
+
+    /** How long the image of a job takes to fetch by itself, in seconds. */
+    public double imageFetchS(JobSpec spec) {
+      return fetchGbPerS > 0 ? spec.imageGb() / fetchGbPerS : 0;
+    }
+
     public boolean allowedFor(JobSpec spec) {
       return (spec.types().isEmpty() || spec.types().contains(name))
           && (spec.zone() == null || zones.contains(spec.zone()))
@@ -52,26 +73,26 @@
 
   public record Page(List<Listed> machines, boolean more) {}
 
-  public static List<MachineType> readTypes(byte[] body) throws Json.Malformed {
+  public static List<MachineType> readTypes(byte[] body) throws Json.MalformedJsonException {
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode node : Json.parse(body).path("rigs")) {
+    for (JsonNode context : Json.parse(body).path("rigs")) {
       List<String> zones = new ArrayList<>();
-      node.path("yards").forEach(zone -> zones.add(zone.asText()));
+      context.path("yards").forEach(zone -> zones.add(zone.asText()));
       types.add(
           new MachineType(
-              Json.text(node, "name"),
-              Json.amount(node, "cpus"),
-              node.path("gpus").asDouble(0),
-              Json.amount(node, "memoryGb"),
-              node.path("cacheGb").asDouble(0),
-              node.path("pullGbPerS").asDouble(0),
-              Json.amount(node, "hourly"),
-              node.path("lowPrice").asDouble(0),
-              Json.amount(node, "readyS"),
+              Json.text(context, "name"),
+              Json.amount(context, "cpus"),
+              context.path("gpus").asDouble(0),
+              Json.amount(context, "memoryGb"),
+              context.path("cacheGb").asDouble(0),
+              context.path("pullGbPerS").asDouble(0),
+              Json.amount(context, "hourly"),
+              context.path("lowPrice").asDouble(0),
+              Json.amount(context, "readyS"),
               List.copyOf(zones)));
     }
     if (types.isEmpty()) {
-      throw new Json.Malformed("rigs");
+      throw new Json.MalformedJsonException("rigs");
     }
     return List.copyOf(types);
   }
@@ -86,31 +107,31 @@
             .put("count", count));
   }
 
-  public static List<String> readRented(byte[] body) throws Json.Malformed {
+  public static List<String> readRented(byte[] body) throws Json.MalformedJsonException {
     JsonNode list = Json.parse(body).path("benches");
     if (!list.isArray()) {
-      throw new Json.Malformed("benches");
+      throw new Json.MalformedJsonException("benches");
     }
     List<String> names = new ArrayList<>();
     list.forEach(name -> names.add(name.asText()));
     return names;
   }
 
-  public static byte[] giveBack(List<String> machines) {
-    ObjectNode node = Json.object();
-    ArrayNode names = node.putArray("benches");
+  public static byte[] terminate(List<String> machines) {
+    ObjectNode context = Json.object();
+    ArrayNode names = context.putArray("benches");
     machines.forEach(names::add);
-    return Json.bytes(node);
+    return Json.bytes(context);
   }
 
   public static String listPath(String after) {
     return MACHINES + "?most=" + PAGE + (after.isEmpty() ? "" : "&from=" + after);
   }
 
-  public static Page readPage(byte[] body) throws Json.Malformed {
-    JsonNode node = Json.parse(body);
+  public static Page readPage(byte[] body) throws Json.MalformedJsonException {
+    JsonNode context = Json.parse(body);
     List<Listed> all = new ArrayList<>();
-    for (JsonNode item : node.path("benches")) {
+    for (JsonNode item : context.path("benches")) {
       String state = item.path("stage").asText("");
       all.add(
           new Listed(
@@ -123,6 +144,6 @@
               state.equals("failed"),
               item.path("heldS").asDouble(0)));
     }
-    return new Page(all, node.path("more").asBoolean(false));
+    return new Page(all, context.path("more").asBoolean(false));
   }
 }
--- a/src/main/java/org/fieldtrestle/protocol/ReportReader.java
+++ b/src/main/java/org/fieldtrestle/protocol/HeartbeatReader.java
@@ -6,16 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import org.fieldtrestle.protocol.WorkerWire.Cause;
-import org.fieldtrestle.protocol.WorkerWire.Report;
-import org.fieldtrestle.protocol.WorkerWire.ReportedTask;
-import org.fieldtrestle.protocol.WorkerWire.TaskState;
+import org.fieldtrestle.protocol.WorkerProtocol.Cause;
+import org.fieldtrestle.protocol.WorkerProtocol.Heartbeat;
+import org.fieldtrestle.protocol.WorkerProtocol.ReportedTask;
+import org.fieldtrestle.protocol.WorkerProtocol.TaskState;
 
 /**
  * Reads workers' reports token by token: they are most of what a controller receives, and a tree of
  * each would cost several times as much.
  */
-final class ReportReader {
+final class HeartbeatReader {
   private static final Pattern MACHINE = Pattern.compile("[A-Za-z0-9._-]{1,100}");
   private static final Pattern ADDRESS = Pattern.compile("[0-9.]{7,15}:[0-9]{1,5}");
 
@@ -36,21 +36,21 @@
   private double noticeS = ABSENT;
   private List<ReportedTask> tasks = List.of();
 
-  private ReportReader(JsonParser parser) {
+  private HeartbeatReader(JsonParser parser) {
     this.parser = parser;
   }
 
-  static Report read(byte[] body) throws Json.Malformed {
+  static Heartbeat read(byte[] body) throws Json.MalformedJsonException {
     try (JsonParser parser = Json.parser(body)) {
-      return new ReportReader(parser).report();
+      return new HeartbeatReader(parser).report();
     } catch (IOException e) {
-      throw new Json.Malformed("not JSON");
+      throw new Json.MalformedJsonException("not JSON");
     }
   }
 
-  private Report report() throws IOException, Json.Malformed {
+  private Heartbeat report() throws IOException, Json.MalformedJsonException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
-      throw new Json.Malformed("not an object");
+      throw new Json.MalformedJsonException("not an object");
     }
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String field = parser.currentName();
@@ -58,9 +58,9 @@
       read(field);
     }
     if (parser.nextToken() != null) {
-      throw new Json.Malformed("not JSON");
+      throw new Json.MalformedJsonException("not JSON");
     }
-    return new Report(
+    return new Heartbeat(
         matching(MACHINE, machine, "bench"),
         matching(ADDRESS, address, "address"),
         present(type, "rig"),
@@ -73,7 +73,7 @@
         tasks);
   }
 
-  private void read(String field) throws IOException, Json.Malformed {
+  private void read(String field) throws IOException, Json.MalformedJsonException {
     switch (field) {
       case "bench" -> machine = text(field);
       case "address" -> address = text(field);
@@ -89,21 +89,21 @@
     }
   }
 
-  private List<ReportedTask> tasks() throws IOException, Json.Malformed {
+  private List<ReportedTask> tasks() throws IOException, Json.MalformedJsonException {
     if (parser.currentToken() != JsonToken.START_ARRAY) {
-      throw new Json.Malformed("boards");
+      throw new Json.MalformedJsonException("boards");
     }
     List<ReportedTask> all = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
       if (all.size() == MAX_TASKS || parser.currentToken() != JsonToken.START_OBJECT) {
-        throw new Json.Malformed("boards");
+        throw new Json.MalformedJsonException("boards");
       }
       all.add(task());
     }
     return all;
   }
 
-  private ReportedTask task() throws IOException, Json.Malformed {
+  private ReportedTask task() throws IOException, Json.MalformedJsonException {
     String id = null;
     long attempt = ABSENT;
     TaskState state = null;
@@ -160,58 +160,59 @@
     return parser.currentToken() == JsonToken.VALUE_NULL;
   }
 
-  private String text(String field) throws IOException, Json.Malformed {
+  private String text(String field) throws IOException, Json.MalformedJsonException {
     if (parser.currentToken() != JsonToken.VALUE_STRING) {
-      throw new Json.Malformed(field);
+      throw new Json.MalformedJsonException(field);
     }
     return parser.getText();
   }
 
-  private boolean flag(String field) throws IOException, Json.Malformed {
+  private boolean flag(String field) throws IOException, Json.MalformedJsonException {
     if (!parser.currentToken().isBoolean()) {
-      throw new Json.Malformed(field);
+      throw new Json.MalformedJsonException(field);
     }
     return parser.getBooleanValue();
   }
 
   /** A count; those beyond a signed long, though allowed on the wire, are never sent to us. */
-  private long count(String field) throws IOException, Json.Malformed {
+  private long count(String field) throws IOException, Json.MalformedJsonException {
     if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT
         || parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
         || parser.getLongValue() < 0) {
-      throw new Json.Malformed(field);
+      throw new Json.MalformedJsonException(field);
     }
     return parser.getLongValue();
   }
 
-  private double amount(String field) throws IOException, Json.Malformed {
+  private double amount(String field) throws IOException, Json.MalformedJsonException {
     if (!parser.currentToken().isNumeric()) {
-      throw new Json.Malformed(field);
+      throw new Json.MalformedJsonException(field);
     }
     double value = parser.getDoubleValue();
     if (!Double.isFinite(value) || value < 0) {
-      throw new Json.Malformed(field);
+      throw new Json.MalformedJsonException(field);
     }
     return value;
   }
 
-  private static <T> T present(T value, String field) throws Json.Malformed {
+  private static <T> T present(T value, String field) throws Json.MalformedJsonException {
     if (value == null) {
-      throw new Json.Malformed(field);
+      throw new Json.MalformedJsonException(field);
     }
     return value;
   }
 
-  private static long present(long value, String field) throws Json.Malformed {
+  private static long present(long value, String field) throws Json.MalformedJsonException {
     if (value == ABSENT) {
-      throw new Json.Malformed(field);
+      throw new Json.MalformedJsonException(field);
     }
     return value;
   }
 
-  private static String matching(Pattern pattern, String text, String field) throws Json.Malformed {
+  private static String matching(Pattern pattern, String text, String field)
+      throws Json.MalformedJsonException {
     if (text == null || !pattern.matcher(text).matches()) {
-      throw new Json.Malformed(field);
+      throw new Json.MalformedJsonException(field);
     }
     return text;
   }
--- a/src/main/java/org/fieldtrestle/protocol/JobSpec.java
+++ b/src/main/java/org/fieldtrestle/protocol/JobSpec.java
@@ -43,7 +43,7 @@
     return kind != Kind.ARRAY;
   }
 
-  public boolean savesWork() {
+  public boolean hasCheckpoints() {
     return checkpointS > 0;
   }
 
--- a/src/main/java/org/fieldtrestle/protocol/Json.java
+++ b/src/main/java/org/fieldtrestle/protocol/Json.java
@@ -21,10 +21,10 @@
   private Json() {}
 
   /** Foreign JSON that breaks its protocol. */
-  public static final class Malformed extends Exception {
+  public static final class MalformedJsonException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public Malformed(String message) {
+    public MalformedJsonException(String message) {
       super(message);
     }
   }
@@ -37,8 +37,8 @@
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  public static byte[] bytes(JsonNode node) {
-    return generated(out -> JsonTree.write(out, node));
+  public static byte[] bytes(JsonNode context) {
+    return generated(out -> JsonTree.write(out, context));
   }
 
   /** Writes the fields of an object. */
@@ -71,62 +71,62 @@
     return FACTORY.createParser(body);
   }
 
-  public static JsonNode parse(byte[] body) throws Malformed {
-    JsonNode node;
+  public static JsonNode parse(byte[] body) throws MalformedJsonException {
+    JsonNode context;
     try (JsonParser parser = FACTORY.createParser(body)) {
-      node = JsonTree.readSingle(parser);
+      context = JsonTree.readSingle(parser);
     } catch (IOException e) {
-      throw new Malformed("not JSON");
+      throw new MalformedJsonException("not JSON");
     }
-    if (node == null || !node.isObject()) {
-      throw new Malformed("not an object");
+    if (context == null || !context.isObject()) {
+      throw new MalformedJsonException("not an object");
     }
-    return node;
+    return context;
   }
 
   /** Like {@link #parse}, for an answer whose body is not worth an error of its own. */
   public static JsonNode parseOrEmpty(byte[] body) {
     try {
       return parse(body);
-    } catch (Malformed e) {
+    } catch (MalformedJsonException e) {
       return object();
     }
   }
 
-  static boolean absent(JsonNode node, String field) {
-    JsonNode value = node.get(field);
+  static boolean absent(JsonNode context, String field) {
+    JsonNode value = context.get(field);
     return value == null || value.isNull();
   }
 
-  public static String text(JsonNode node, String field) throws Malformed {
-    JsonNode value = node.path(field);
+  public static String text(JsonNode context, String field) throws MalformedJsonException {
+    JsonNode value = context.path(field);
     if (!value.isTextual()) {
-      throw new Malformed(field);
+      throw new MalformedJsonException(field);
     }
     return value.textValue();
   }
 
-  static boolean flag(JsonNode node, String field) throws Malformed {
-    JsonNode value = node.path(field);
+  static boolean flag(JsonNode context, String field) throws MalformedJsonException {
+    JsonNode value = context.path(field);
     if (!value.isBoolean()) {
-      throw new Malformed(field);
+      throw new MalformedJsonException(field);
     }
     return value.booleanValue();
   }
 
-  static double amount(JsonNode node, String field) throws Malformed {
-    JsonNode value = node.path(field);
+  static double amount(JsonNode context, String field) throws MalformedJsonException {
+    JsonNode value = context.path(field);
     if (!value.isNumber() || !Double.isFinite(value.doubleValue()) || value.doubleValue() < 0) {
-      throw new Malformed(field);
+      throw new MalformedJsonException(field);
     }
     return value.doubleValue();
   }
 
   /** A count; those beyond a signed long, though allowed on the wire, are never sent to us. */
-  public static long count(JsonNode node, String field) throws Malformed {
-    JsonNode value = node.path(field);
+  public static long count(JsonNode context, String field) throws MalformedJsonException {
+    JsonNode value = context.path(field);
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.longValue() < 0) {
-      throw new Malformed(field);
+      throw new MalformedJsonException(field);
     }
     return value.longValue();
   }
--- a/src/main/java/org/fieldtrestle/protocol/JsonTree.java
+++ b/src/main/java/org/fieldtrestle/protocol/JsonTree.java
@@ -16,7 +16,7 @@
  * does the same, but sets up formats of dates and inspection of classes that nothing here uses,
  * which takes tens of milliseconds of processor time at each start.
  */
-final class JsonTree {
+public final class JsonTree {
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
   private JsonTree() {}
@@ -27,7 +27,7 @@
    * @return null where there is no value, or more than one
    * @throws IOException if the input is not well formed
    */
-  static JsonNode readSingle(JsonParser parser) throws IOException {
+  public static JsonNode readSingle(JsonParser parser) throws IOException {
     if (parser.nextToken() == null) {
       return null;
     }
@@ -75,20 +75,20 @@
   }
 
   /** Writes a value with all that is in it. */
-  static void write(JsonGenerator out, JsonNode node) throws IOException {
-    switch (node.getNodeType()) {
-      case OBJECT -> writeObject(out, node);
-      case ARRAY -> writeArray(out, node);
-      case STRING -> out.writeString(node.textValue());
-      case BOOLEAN -> out.writeBoolean(node.booleanValue());
-      case NUMBER -> writeNumber(out, node);
+  static void write(JsonGenerator out, JsonNode context) throws IOException {
+    switch (context.getNodeType()) {
+      case OBJECT -> writeObject(out, context);
+      case ARRAY -> writeArray(out, context);
+      case STRING -> out.writeString(context.textValue());
+      case BOOLEAN -> out.writeBoolean(context.booleanValue());
+      case NUMBER -> writeNumber(out, context);
       default -> out.writeNull();
     }
   }
 
-  private static void writeObject(JsonGenerator out, JsonNode node) throws IOException {
+  private static void writeObject(JsonGenerator out, JsonNode context) throws IOException {
     out.writeStartObject();
-    Iterator<Map.Entry<String, JsonNode>> fields = node.fields();
+    Iterator<Map.Entry<String, JsonNode>> fields = context.fields();
     while (fields.hasNext()) {
       Map.Entry<String, JsonNode> field = fields.next();
       out.writeFieldName(field.getKey());
@@ -97,22 +97,22 @@
     out.writeEndObject();
   }
 
-  private static void writeArray(JsonGenerator out, JsonNode node) throws IOException {
+  private static void writeArray(JsonGenerator out, JsonNode context) throws IOException {
     out.writeStartArray();
-    for (JsonNode item : node) {
+    for (JsonNode item : context) {
       write(out, item);
     }
     out.writeEndArray();
   }
 
-  private static void writeNumber(JsonGenerator out, JsonNode node) throws IOException {
-    switch (node.numberType()) {
-      case INT -> out.writeNumber(node.intValue());
-      case LONG -> out.writeNumber(node.longValue());
-      case BIG_INTEGER -> out.writeNumber(node.bigIntegerValue());
-      case FLOAT -> out.writeNumber(node.floatValue());
-      case DOUBLE -> out.writeNumber(node.doubleValue());
-      case BIG_DECIMAL -> out.writeNumber(node.decimalValue());
+  private static void writeNumber(JsonGenerator out, JsonNode context) throws IOException {
+    switch (context.numberType()) {
+      case INT -> out.writeNumber(context.intValue());
+      case LONG -> out.writeNumber(context.longValue());
+      case BIG_INTEGER -> out.writeNumber(context.bigIntegerValue());
+      case FLOAT -> out.writeNumber(context.floatValue());
+      case DOUBLE -> out.writeNumber(context.doubleValue());
+      case BIG_DECIMAL -> out.writeNumber(context.decimalValue());
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/protocol/StateWire.java
+++ b/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /** The state service's interface. */
-public final class StateWire {
+public final class KeyValueProtocol {
   public static final String KEYS = "/kv";
   public static final String COMMIT = "/commit";
   public static final String LEASES = "/leases";
   public static final String WATCH = "/watch";
 
-  private StateWire() {}
+  private KeyValueProtocol() {}
 
   /** A key that must still have this version; 0: must not exist. */
   public record Condition(String key, long version) {}
@@ -37,13 +37,13 @@
   public record Events(List<Entry> events, long revision) {}
 
   public static byte[] commit(List<Condition> conditions, List<Change> changes) {
-    ObjectNode node = Json.object();
-    ArrayNode when = node.putArray("when");
+    ObjectNode context = Json.object();
+    ArrayNode when = context.putArray("when");
     for (Condition condition : conditions) {
       when.addObject().put("key", condition.key()).put("entry", condition.version());
     }
     if (!changes.isEmpty()) {
-      ArrayNode apply = node.putArray("apply");
+      ArrayNode apply = context.putArray("apply");
       for (Change change : changes) {
         ObjectNode op = apply.addObject();
         if (change instanceof Put put) {
@@ -57,7 +57,7 @@
         }
       }
     }
-    return Json.bytes(node);
+    return Json.bytes(context);
   }
 
   public static String listPath(String prefix, String after, int limit) {
@@ -81,11 +81,11 @@
     return Json.bytes(Json.object().put("lifeMs", ms));
   }
 
-  public static long readLease(byte[] body) throws Json.Malformed {
+  public static long readLease(byte[] body) throws Json.MalformedJsonException {
     return Json.count(Json.parse(body), "permit");
   }
 
-  public static long readRevision(byte[] body) throws Json.Malformed {
+  public static long readRevision(byte[] body) throws Json.MalformedJsonException {
     return Json.count(Json.parse(body), "ledger");
   }
 
@@ -95,23 +95,24 @@
     return keys;
   }
 
-  private static Entry entry(JsonNode node) throws Json.Malformed {
-    return new Entry(Json.text(node, "key"), node.path("v"), Json.count(node, "entry"));
+  private static Entry entry(JsonNode context) throws Json.MalformedJsonException {
+    return new Entry(Json.text(context, "key"), context.path("v"), Json.count(context, "entry"));
   }
 
-  public static Listing readListing(byte[] body) throws Json.Malformed {
-    JsonNode node = Json.parse(body);
+  public static Listing readListing(byte[] body) throws Json.MalformedJsonException {
+    JsonNode context = Json.parse(body);
     List<Entry> entries = new ArrayList<>();
-    for (JsonNode item : node.path("items")) {
+    for (JsonNode item : context.path("items")) {
       entries.add(entry(item));
     }
-    return new Listing(entries, node.path("more").asBoolean(false), Json.count(node, "ledger"));
+    return new Listing(
+        entries, context.path("more").asBoolean(false), Json.count(context, "ledger"));
   }
 
-  public static Events readEvents(byte[] body) throws Json.Malformed {
-    JsonNode node = Json.parse(body);
+  public static Events readEvents(byte[] body) throws Json.MalformedJsonException {
+    JsonNode context = Json.parse(body);
     List<Entry> events = new ArrayList<>();
-    for (JsonNode item : node.path("log")) {
+    for (JsonNode item : context.path("log")) {
       boolean removal = item.has("remove");
       events.add(
           new Entry(
@@ -119,6 +120,6 @@
               removal ? null : item.path("v"),
               Json.count(item, "entry")));
     }
-    return new Events(events, Json.count(node, "ledger"));
+    return new Events(events, Json.count(context, "ledger"));
   }
 }
--- a/src/main/java/org/fieldtrestle/protocol/PeerWire.java
+++ b/src/main/java/org/fieldtrestle/protocol/PeerProtocol.java
@@ -11,7 +11,7 @@
  * version (2 + 1), a kind (1), the sender's time of day (8) and a body. Nothing that a rule depends
  * on travels here: a lost, late or repeated frame costs time only.
  */
-public final class PeerWire {
+public final class PeerProtocol {
   public static final int MAX_FRAME = 16 * 1024;
   private static final short MAGIC = 0x4654;
   private static final byte VERSION = 2;
@@ -21,46 +21,46 @@
   private static final byte CANCELLED = 4;
   private static final int MAX_ITEMS = 64;
 
-  private PeerWire() {}
+  private PeerProtocol() {}
 
   public sealed interface Message {}
 
   /** A message and the sender's time of day: what a cut has held for long says nothing of now. */
   public record Frame(long sentWall, Message message) {}
 
-  /** Room of one kind in a zone at one master. */
-  public record Room(String zone, double cpus, double gpus, double memoryGb) {}
+  /** Room of one kind in a zone at one shard. */
+  public record FreeCapacity(String zone, double cpus, double gpus, double memoryGb) {}
 
   /**
-   * How one master stands: its free room by zone, the CPUs that wait for room, and those of all its
+   * How one shard stands: its free room by zone, the CPUs that wait for room, and those of all its
    * machines, booting ones too.
    */
-  public record Load(
+  public record ShardLoad(
       String sender,
-      String master,
+      String shard,
       long epoch,
       double waitingCpus,
       double capacityCpus,
-      List<Room> rooms)
+      List<FreeCapacity> rooms)
       implements Message {}
 
   /** That a controller is there, and whether the state service answers it. */
-  public record Pulse(String sender, boolean served) implements Message {}
+  public record Liveness(String sender, boolean served) implements Message {}
 
   /**
    * How many machines have lately reported to the sender and been sent on to another controller:
    * where that one hears nothing of them, it is cut off from its workers.
    */
-  public record SentOn(String sender, String to, int machines) implements Message {}
+  public record RedirectCount(String sender, String to, int machines) implements Message {}
 
   /** That a job is cancelled for good, once that is durable. */
-  public record Cancelled(String sender, String job) implements Message {}
+  public record JobCancelled(String sender, String job) implements Message {}
 
   /** A frame that is not ours or was damaged. */
-  public static final class BadFrame extends Exception {
+  public static final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public BadFrame(String message) {
+    public MalformedFrameException(String message) {
       super(message);
     }
   }
@@ -68,27 +68,27 @@
   public static ByteBuffer encode(long wall, Message message) {
     ByteBuffer out = ByteBuffer.allocate(MAX_FRAME);
     out.putInt(0).putShort(MAGIC).put(VERSION).put(kind(message)).putLong(wall);
-    if (message instanceof Load load) {
+    if (message instanceof ShardLoad load) {
       putText(out, load.sender());
-      putText(out, load.master());
+      putText(out, load.shard());
       out.putLong(load.epoch()).putDouble(load.waitingCpus()).putDouble(load.capacityCpus());
       int count = Math.min(load.rooms().size(), MAX_ITEMS);
       out.put((byte) count);
-      for (Room room : load.rooms().subList(0, count)) {
+      for (FreeCapacity room : load.rooms().subList(0, count)) {
         putText(out, room.zone());
         out.putDouble(room.cpus()).putDouble(room.gpus()).putDouble(room.memoryGb());
       }
     }
-    if (message instanceof Pulse pulse) {
+    if (message instanceof Liveness pulse) {
       putText(out, pulse.sender());
       out.put((byte) (pulse.served() ? 1 : 0));
     }
-    if (message instanceof SentOn sent) {
+    if (message instanceof RedirectCount sent) {
       putText(out, sent.sender());
       putText(out, sent.to());
       out.putInt(sent.machines());
     }
-    if (message instanceof Cancelled cancelled) {
+    if (message instanceof JobCancelled cancelled) {
       putText(out, cancelled.sender());
       putText(out, cancelled.job());
     }
@@ -97,13 +97,13 @@
   }
 
   private static byte kind(Message message) {
-    if (message instanceof Load) {
+    if (message instanceof ShardLoad) {
       return LOAD;
     }
-    if (message instanceof Pulse) {
+    if (message instanceof Liveness) {
       return PULSE;
     }
-    return message instanceof SentOn ? SENT_ON : CANCELLED;
+    return message instanceof RedirectCount ? SENT_ON : CANCELLED;
   }
 
   private static void putText(ByteBuffer out, String text) {
@@ -119,63 +119,63 @@
   }
 
   /** Reads the body of one frame, without its length. */
-  public static Frame decode(ByteBuffer in) throws BadFrame {
+  public static Frame decode(ByteBuffer in) throws MalformedFrameException {
     try {
       if (in.getShort() != MAGIC) {
-        throw new BadFrame("magic");
+        throw new MalformedFrameException("magic");
       }
       byte version = in.get();
       if (version != VERSION) {
-        throw new BadFrame("version " + version);
+        throw new MalformedFrameException("version " + version);
       }
       byte kind = in.get();
       long wall = in.getLong();
       Message message =
           switch (kind) {
             case LOAD -> readLoad(in);
-            case PULSE -> new Pulse(getText(in), in.get() != 0);
-            case SENT_ON -> new SentOn(getText(in), getText(in), count(in));
-            case CANCELLED -> new Cancelled(getText(in), getText(in));
-            default -> throw new BadFrame("kind " + kind);
+            case PULSE -> new Liveness(getText(in), in.get() != 0);
+            case SENT_ON -> new RedirectCount(getText(in), getText(in), count(in));
+            case CANCELLED -> new JobCancelled(getText(in), getText(in));
+            default -> throw new MalformedFrameException("kind " + kind);
           };
       if (in.hasRemaining()) {
-        throw new BadFrame("trailing bytes");
+        throw new MalformedFrameException("trailing bytes");
       }
       return new Frame(wall, message);
     } catch (BufferUnderflowException e) {
-      throw new BadFrame("short");
+      throw new MalformedFrameException("short");
     }
   }
 
-  private static Load readLoad(ByteBuffer in) throws BadFrame {
+  private static ShardLoad readLoad(ByteBuffer in) throws MalformedFrameException {
     String sender = getText(in);
-    String master = getText(in);
+    String shard = getText(in);
     long epoch = in.getLong();
     double waiting = amount(in);
     double capacity = amount(in);
     int count = in.get();
     if (count < 0 || count > MAX_ITEMS) {
-      throw new BadFrame("count " + count);
+      throw new MalformedFrameException("count " + count);
     }
-    List<Room> rooms = new ArrayList<>();
+    List<FreeCapacity> rooms = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      rooms.add(new Room(getText(in), amount(in), amount(in), amount(in)));
+      rooms.add(new FreeCapacity(getText(in), amount(in), amount(in), amount(in)));
     }
-    return new Load(sender, master, epoch, waiting, capacity, List.copyOf(rooms));
+    return new ShardLoad(sender, shard, epoch, waiting, capacity, List.copyOf(rooms));
   }
 
-  private static int count(ByteBuffer in) throws BadFrame {
+  private static int count(ByteBuffer in) throws MalformedFrameException {
     int value = in.getInt();
     if (value < 0) {
-      throw new BadFrame("count " + value);
+      throw new MalformedFrameException("count " + value);
     }
     return value;
   }
 
-  private static double amount(ByteBuffer in) throws BadFrame {
+  private static double amount(ByteBuffer in) throws MalformedFrameException {
     double value = in.getDouble();
     if (!Double.isFinite(value) || value < 0) {
-      throw new BadFrame("amount");
+      throw new MalformedFrameException("amount");
     }
     return value;
   }
--- a/src/main/java/org/fieldtrestle/protocol/TaskId.java
+++ b/src/main/java/org/fieldtrestle/protocol/TaskId.java
@@ -18,19 +18,19 @@
     return job + "/" + index;
   }
 
-  public static TaskId parse(String text) throws Json.Malformed {
+  public static TaskId parse(String text) throws Json.MalformedJsonException {
     int slash = text.lastIndexOf('/');
     if (slash < 1 || text.length() - slash > 7) {
-      throw new Json.Malformed("task");
+      throw new Json.MalformedJsonException("task");
     }
     try {
       int index = Integer.parseInt(text.substring(slash + 1));
       if (index < 0) {
-        throw new Json.Malformed("task");
+        throw new Json.MalformedJsonException("task");
       }
       return new TaskId(text.substring(0, slash), index);
     } catch (NumberFormatException e) {
-      throw new Json.Malformed("task");
+      throw new Json.MalformedJsonException("task");
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/protocol/UserWire.java
+++ b/src/main/java/org/fieldtrestle/protocol/UserProtocol.java
@@ -8,7 +8,7 @@
 import java.util.regex.Pattern;
 
 /** The users' interface: names and shapes of its messages. */
-public final class UserWire {
+public final class UserProtocol {
   public static final String JOBS = "/v2/runs";
   public static final String CANCEL = "abort";
   public static final String READY = "/ready";
@@ -21,108 +21,108 @@
   private static final Pattern ID = Pattern.compile("job-[0-9]{1,40}");
   private static final int MAX_NAME = 512;
 
-  private UserWire() {}
+  private UserProtocol() {}
 
   public static boolean validId(String id) {
     return ID.matcher(id).matches();
   }
 
-  public static JobSpec readJob(byte[] body) throws Json.Malformed {
+  public static JobSpec readJob(byte[] body) throws Json.MalformedJsonException {
     JobSpec spec = readJob(Json.parse(body));
     if (spec.tasks() < 1 || spec.tasks() > MAX_TASKS) {
-      throw new Json.Malformed("boards");
+      throw new Json.MalformedJsonException("boards");
     }
     return spec;
   }
 
   /** Also the form in which a job is kept at the state service. */
-  public static JobSpec readJob(JsonNode node) throws Json.Malformed {
-    String id = Json.text(node, "uid");
+  public static JobSpec readJob(JsonNode context) throws Json.MalformedJsonException {
+    String id = Json.text(context, "uid");
     if (!validId(id)) {
-      throw new Json.Malformed("uid");
+      throw new Json.MalformedJsonException("uid");
     }
     JobSpec.Kind kind =
-        switch (Json.text(node, "cut")) {
+        switch (Json.text(context, "cut")) {
           case "array" -> JobSpec.Kind.ARRAY;
           case "group" -> JobSpec.Kind.GANG;
           case "daemon" -> JobSpec.Kind.SERVICE;
-          default -> throw new Json.Malformed("cut");
+          default -> throw new Json.MalformedJsonException("cut");
         };
-    long tasks = Json.count(node, "boards");
+    long tasks = Json.count(context, "boards");
     if (tasks > MAX_TASKS) {
-      throw new Json.Malformed("boards");
+      throw new Json.MalformedJsonException("boards");
     }
     List<String> types = new ArrayList<>();
-    if (!Json.absent(node, "rigs")) {
-      if (!node.get("rigs").isArray() || node.get("rigs").isEmpty()) {
-        throw new Json.Malformed("rigs");
+    if (!Json.absent(context, "rigs")) {
+      if (!context.get("rigs").isArray() || context.get("rigs").isEmpty()) {
+        throw new Json.MalformedJsonException("rigs");
       }
-      for (JsonNode type : node.get("rigs")) {
+      for (JsonNode type : context.get("rigs")) {
         if (!type.isTextual()) {
-          throw new Json.Malformed("rigs");
+          throw new Json.MalformedJsonException("rigs");
         }
         types.add(name(type.textValue(), "rigs"));
       }
     }
-    double cpus = Json.amount(node, "cpus");
-    double gpus = Json.amount(node, "gpus");
-    double memoryGb = Json.amount(node, "memoryGb");
+    double cpus = Json.amount(context, "cpus");
+    double gpus = Json.amount(context, "gpus");
+    double memoryGb = Json.amount(context, "memoryGb");
     if (cpus + gpus + memoryGb <= 0) {
-      throw new Json.Malformed("cpus");
+      throw new Json.MalformedJsonException("cpus");
     }
     return new JobSpec(
         id,
-        name(Json.text(node, "lot"), "lot"),
-        name(Json.text(node, "crew"), "crew"),
+        name(Json.text(context, "lot"), "lot"),
+        name(Json.text(context, "crew"), "crew"),
         kind,
-        priority(Json.text(node, "urgency")),
+        priority(Json.text(context, "urgency")),
         (int) tasks,
         cpus,
         gpus,
         memoryGb,
-        name(Json.text(node, "blueprint"), "blueprint"),
-        Json.amount(node, "pullGb"),
+        name(Json.text(context, "blueprint"), "blueprint"),
+        Json.amount(context, "pullGb"),
         List.copyOf(types),
-        Json.absent(node, "yard") ? null : name(Json.text(node, "yard"), "yard"),
-        Json.flag(node, "together"),
-        Json.flag(node, "scatter"),
-        Json.flag(node, "loaners"),
-        Json.amount(node, "expectedS"),
-        Json.amount(node, "tallyS"),
-        Json.amount(node, "stackS"),
-        Json.absent(node, "dueS") ? -1 : Json.amount(node, "dueS"));
+        Json.absent(context, "yard") ? null : name(Json.text(context, "yard"), "yard"),
+        Json.flag(context, "together"),
+        Json.flag(context, "scatter"),
+        Json.flag(context, "loaners"),
+        Json.amount(context, "expectedS"),
+        Json.amount(context, "tallyS"),
+        Json.amount(context, "stackS"),
+        Json.absent(context, "dueS") ? -1 : Json.amount(context, "dueS"));
   }
 
-  private static String name(String text, String field) throws Json.Malformed {
+  private static String name(String text, String field) throws Json.MalformedJsonException {
     if (text.isEmpty() || text.length() > MAX_NAME) {
-      throw new Json.Malformed(field);
+      throw new Json.MalformedJsonException(field);
     }
     return text;
   }
 
-  private static Priority priority(String text) throws Json.Malformed {
+  private static Priority priority(String text) throws Json.MalformedJsonException {
     return switch (text) {
       case "critical" -> Priority.CRITICAL;
       case "urgent" -> Priority.URGENT;
       case "normal" -> Priority.NORMAL;
       case "low" -> Priority.LOW;
-      default -> throw new Json.Malformed("urgency");
+      default -> throw new Json.MalformedJsonException("urgency");
     };
   }
 
   public static ObjectNode writeJob(JobSpec spec) {
-    ObjectNode node = Json.object();
-    node.put("uid", spec.id());
-    node.put("lot", spec.jobClass());
-    node.put("crew", spec.team());
-    node.put(
+    ObjectNode context = Json.object();
+    context.put("uid", spec.id());
+    context.put("lot", spec.jobClass());
+    context.put("crew", spec.team());
+    context.put(
         "cut",
         switch (spec.kind()) {
           case ARRAY -> "array";
           case GANG -> "group";
           case SERVICE -> "daemon";
         });
-    node.put(
+    context.put(
         "urgency",
         switch (spec.priority()) {
           case CRITICAL -> "critical";
@@ -130,29 +130,29 @@
           case NORMAL -> "normal";
           case LOW -> "low";
         });
-    node.put("boards", spec.tasks());
-    node.put("cpus", spec.cpus());
-    node.put("gpus", spec.gpus());
-    node.put("memoryGb", spec.memoryGb());
-    node.put("blueprint", spec.image());
-    node.put("pullGb", spec.imageGb());
+    context.put("boards", spec.tasks());
+    context.put("cpus", spec.cpus());
+    context.put("gpus", spec.gpus());
+    context.put("memoryGb", spec.memoryGb());
+    context.put("blueprint", spec.image());
+    context.put("pullGb", spec.imageGb());
     if (!spec.types().isEmpty()) {
-      ArrayNode types = node.putArray("rigs");
+      ArrayNode types = context.putArray("rigs");
       spec.types().forEach(types::add);
     }
     if (spec.zone() != null) {
-      node.put("yard", spec.zone());
+      context.put("yard", spec.zone());
     }
-    node.put("together", spec.oneZone());
-    node.put("scatter", spec.spread());
-    node.put("loaners", spec.spot());
-    node.put("expectedS", spec.estimateS());
-    node.put("tallyS", spec.checkpointS());
-    node.put("stackS", spec.saveS());
+    context.put("together", spec.oneZone());
+    context.put("scatter", spec.spread());
+    context.put("loaners", spec.spot());
+    context.put("expectedS", spec.estimateS());
+    context.put("tallyS", spec.checkpointS());
+    context.put("stackS", spec.saveS());
     if (spec.deadlineS() >= 0) {
-      node.put("dueS", spec.deadlineS());
+      context.put("dueS", spec.deadlineS());
     }
-    return node;
+    return context;
   }
 
   /** What a user is told of a job. */
--- a/src/main/java/org/fieldtrestle/protocol/WorkerWire.java
+++ b/src/main/java/org/fieldtrestle/protocol/WorkerProtocol.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** The workers' interface: reports, commands and answers. */
-public final class WorkerWire {
+public final class WorkerProtocol {
   public static final String REPORT = "/hello";
   public static final String COMMANDS = "/commands";
   public static final String INSPECT = "/inspect";
@@ -14,7 +14,7 @@
   /** A worker waits so long for the answer to a report. */
   public static final long ANSWER_WITHIN_MS = 4000;
 
-  private WorkerWire() {}
+  private WorkerProtocol() {}
 
   /** Where a task on a machine stands. */
   public enum TaskState {
@@ -38,7 +38,7 @@
   public record ReportedTask(TaskId task, long attempt, TaskState state, Cause cause) {}
 
   /** A worker's report; {@code noticeS} below 0 is none. */
-  public record Report(
+  public record Heartbeat(
       String machine,
       String address,
       String type,
@@ -68,8 +68,8 @@
   public record Clear(TaskId task, long attempt) implements Command {}
 
   /** Reads a worker's report. */
-  public static Report readReport(byte[] body) throws Json.Malformed {
-    return ReportReader.read(body);
+  public static Heartbeat readHeartbeat(byte[] body) throws Json.MalformedJsonException {
+    return HeartbeatReader.read(body);
   }
 
   private static void writeOrders(JsonGenerator out, List<Command> commands) throws IOException {
@@ -112,10 +112,10 @@
 
   /** Sends a worker on to another node; null where we cannot say to which. */
   public static byte[] redirect(String label) {
-    ObjectNode node = Json.object();
+    ObjectNode context = Json.object();
     if (label != null) {
-      node.put("foreman", label);
+      context.put("foreman", label);
     }
-    return Json.bytes(node);
+    return Json.bytes(context);
   }
 }
--- a/src/main/java/org/fieldtrestle/coordination/JobSplit.java
+++ b/src/main/java/org/fieldtrestle/routing/JobSplitter.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.routing;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,23 +8,23 @@
 import java.util.TreeMap;
 import org.fieldtrestle.protocol.JobSpec;
 
-/** Splits a job into ranges over masters by their free room. */
-public final class JobSplit {
-  private JobSplit() {}
+/** Splits a job into ranges over shards by their free room. */
+public final class JobSplitter {
+  private JobSplitter() {}
 
   /**
-   * A master that may take tasks: how many it has room for now, what waits there already, and the
+   * A shard that may take tasks: how many it has room for now, what waits there already, and the
    * CPUs of its machines.
    */
-  public record Candidate(String master, int freeTasks, double waitingCpus, double capacityCpus) {
+  public record Candidate(String shard, int freeTasks, double waitingCpus, double capacityCpus) {
     /** What waits, measured in all of its machines. */
-    double pressure() {
+    public double pressure() {
       return waitingCpus / Math.max(1, capacityCpus);
     }
   }
 
-  /** Tasks from {@code from} up to but without {@code to} for a master. */
-  public record Part(String master, int from, int to, Map<String, Integer> caps) {}
+  /** Tasks from {@code from} up to but without {@code to} for a shard. */
+  public record Part(String shard, int from, int to, Map<String, Integer> caps) {}
 
   /**
    * Free room first, most of it first, so that small jobs stay together and their image is fetched
@@ -38,14 +38,14 @@
     int left = spec.tasks();
     if (spec.spread() || spec.kind() == JobSpec.Kind.GANG) {
       // In small parts a zone limit would round to nothing, and a gang starts as a whole: such a
-      // job stays with one master.
-      counts.put(byRoom.get(0).master(), left);
+      // job stays with one shard.
+      counts.put(byRoom.get(0).shard(), left);
       left = 0;
     }
     for (Candidate candidate : byRoom) {
       int taken = Math.min(left, Math.max(0, candidate.freeTasks()));
       if (taken > 0) {
-        counts.merge(candidate.master(), taken, Integer::sum);
+        counts.merge(candidate.shard(), taken, Integer::sum);
         left -= taken;
       }
     }
@@ -53,11 +53,11 @@
     List<Part> parts = new ArrayList<>();
     int from = 0;
     for (Candidate candidate : byRoom) {
-      int count = counts.getOrDefault(candidate.master(), 0);
+      int count = counts.getOrDefault(candidate.shard(), 0);
       while (count > 0) {
         int size = Math.min(count, maxPart);
         parts.add(
-            new Part(candidate.master(), from, from + size, caps(spec, from, from + size, zones)));
+            new Part(candidate.shard(), from, from + size, caps(spec, from, from + size, zones)));
         from += size;
         count -= size;
       }
@@ -73,7 +73,7 @@
     }
     double cpus = Math.max(spec.cpus(), 0.1);
     Map<String, Double> waiting = new HashMap<>();
-    candidates.forEach(c -> waiting.put(c.master(), c.waitingCpus()));
+    candidates.forEach(c -> waiting.put(c.shard(), c.waitingCpus()));
     // One with few machines rents for what it is given. Were it given little for having few, the
     // first to rent would get nearly all the work, and so nearly all the machines.
     double usual = 0;
@@ -85,14 +85,14 @@
     while (left > 0) {
       Candidate least = candidates.get(0);
       for (Candidate candidate : candidates) {
-        if (waiting.get(candidate.master()) / Math.max(floor, candidate.capacityCpus())
-            < waiting.get(least.master()) / Math.max(floor, least.capacityCpus())) {
+        if (waiting.get(candidate.shard()) / Math.max(floor, candidate.capacityCpus())
+            < waiting.get(least.shard()) / Math.max(floor, least.capacityCpus())) {
           least = candidate;
         }
       }
       int taken = Math.min(bite, left);
-      counts.merge(least.master(), taken, Integer::sum);
-      waiting.merge(least.master(), taken * cpus, Double::sum);
+      counts.merge(least.shard(), taken, Integer::sum);
+      waiting.merge(least.shard(), taken * cpus, Double::sum);
       left -= taken;
     }
   }
--- a/src/main/java/org/fieldtrestle/coordination/Loads.java
+++ b/src/main/java/org/fieldtrestle/routing/ShardLoads.java
@@ -1,17 +1,17 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.routing;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.fieldtrestle.protocol.JobSpec;
-import org.fieldtrestle.protocol.PeerWire;
+import org.fieldtrestle.protocol.PeerProtocol;
 import org.fieldtrestle.transport.Reactor;
 
-/** How the masters stand, as far as their controllers have told lately. */
-public final class Loads {
+/** How the shards stand, as far as their controllers have told lately. */
+public final class ShardLoads {
   private static final class Known {
-    PeerWire.Load load;
+    PeerProtocol.ShardLoad load;
     long at;
     double cpusTaken;
   }
@@ -22,17 +22,17 @@
   private final Map<String, Known> known = new TreeMap<>();
 
   /**
-   * @param freshMs a master not heard of for so long is given nothing
+   * @param freshMs a shard not heard of for so long is given nothing
    */
-  public Loads(Reactor reactor, String self, long freshMs) {
+  public ShardLoads(Reactor reactor, String self, long freshMs) {
     this.reactor = reactor;
     this.self = self;
     this.freshMs = freshMs;
   }
 
   /** An older epoch's or a repeated frame costs nothing: the next replaces it. */
-  public void heard(PeerWire.Load load) {
-    Known one = known.computeIfAbsent(load.master(), m -> new Known());
+  public void heard(PeerProtocol.ShardLoad load) {
+    Known one = known.computeIfAbsent(load.shard(), m -> new Known());
     if (one.load != null && load.epoch() < one.load.epoch()) {
       return;
     }
@@ -45,35 +45,35 @@
     return reactor.now() - one.at <= freshMs;
   }
 
-  /** Those that may be given ranges; our own master where none is known. */
-  List<JobSplit.Candidate> candidates(JobSpec spec, String zone) {
-    List<JobSplit.Candidate> all = new ArrayList<>();
+  /** Those that may be given ranges; our own shard where none is known. */
+  public List<JobSplitter.Candidate> candidates(JobSpec spec, String zone) {
+    List<JobSplitter.Candidate> all = new ArrayList<>();
     for (Map.Entry<String, Known> entry : known.entrySet()) {
       Known one = entry.getValue();
       if (!fresh(one)) {
         continue;
       }
       int free = 0;
-      for (PeerWire.Room room : one.load.rooms()) {
+      for (PeerProtocol.FreeCapacity room : one.load.rooms()) {
         if ((zone == null || zone.equals(room.zone()))
             && (spec.zone() == null || spec.zone().equals(room.zone()))) {
           free += tasksIn(room, spec, one.cpusTaken);
         }
       }
       all.add(
-          new JobSplit.Candidate(
+          new JobSplitter.Candidate(
               entry.getKey(),
               free,
               one.load.waitingCpus() + one.cpusTaken,
               one.load.capacityCpus()));
     }
     if (all.isEmpty()) {
-      all.add(new JobSplit.Candidate(self, 0, 0, 0));
+      all.add(new JobSplitter.Candidate(self, 0, 0, 0));
     }
     return all;
   }
 
-  private static int tasksIn(PeerWire.Room room, JobSpec spec, double taken) {
+  private static int tasksIn(PeerProtocol.FreeCapacity room, JobSpec spec, double taken) {
     double most = 1e6;
     if (spec.cpus() > 0) {
       most = Math.min(most, (room.cpus() - taken) / spec.cpus());
@@ -87,8 +87,8 @@
     return (int) Math.max(0, Math.floor(most));
   }
 
-  /** The CPUs of all masters' machines but one's. */
-  double capacityOfOthers(String except) {
+  /** The CPUs of all shards' machines but one's. */
+  public double capacityOfOthers(String except) {
     double sum = 0;
     for (Map.Entry<String, Known> entry : known.entrySet()) {
       if (!entry.getKey().equals(except) && fresh(entry.getValue())) {
@@ -98,11 +98,11 @@
     return sum;
   }
 
-  /** The fresh master other than this one where least waits for its CPUs; null if there is none. */
-  JobSplit.Candidate leastLoaded(JobSpec spec, String zone, String except) {
-    JobSplit.Candidate best = null;
-    for (JobSplit.Candidate one : candidates(spec, zone)) {
-      if (one.master().equals(except) || !known.containsKey(one.master())) {
+  /** The fresh shard other than this one where least waits for its CPUs; null if there is none. */
+  public JobSplitter.Candidate leastLoaded(JobSpec spec, String zone, String except) {
+    JobSplitter.Candidate best = null;
+    for (JobSplitter.Candidate one : candidates(spec, zone)) {
+      if (one.shard().equals(except) || !known.containsKey(one.shard())) {
         continue;
       }
       if (best == null
@@ -114,10 +114,10 @@
     return best;
   }
 
-  /** What was handed out since a master last told counts as taken. */
-  void taken(JobSpec spec, List<JobSplit.Part> parts) {
-    for (JobSplit.Part part : parts) {
-      Known one = known.get(part.master());
+  /** What was handed out since a shard last told counts as taken. */
+  public void taken(JobSpec spec, List<JobSplitter.Part> parts) {
+    for (JobSplitter.Part part : parts) {
+      Known one = known.get(part.shard());
       if (one != null) {
         one.cpusTaken += (part.to() - part.from()) * spec.cpus();
       }
@@ -125,7 +125,7 @@
   }
 
   /** The zone with most free CPUs, of those in which the job may be. */
-  String roomiestZone(JobSpec spec, List<String> zones) {
+  public String roomiestZone(JobSpec spec, List<String> zones) {
     Map<String, Double> free = new TreeMap<>();
     for (Known one : known.values()) {
       if (fresh(one)) {
--- a/src/main/java/org/fieldtrestle/coordination/Fleet.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.scaling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,16 +8,26 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import org.fieldtrestle.protocol.CloudWire;
-import org.fieldtrestle.protocol.CloudWire.MachineType;
+import java.util.function.DoubleSupplier;
+import org.fieldtrestle.cloud.CloudClient;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.CloudProtocol;
+import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.JobSpec;
-import org.fieldtrestle.protocol.Settings;
+import org.fieldtrestle.worker.FailureTracker;
+import org.fieldtrestle.worker.LeadershipTerm;
+import org.fieldtrestle.worker.TaskAttempt;
+import org.fieldtrestle.worker.TaskRange;
+import org.fieldtrestle.worker.TaskRanges;
+import org.fieldtrestle.worker.Worker;
+import org.fieldtrestle.worker.WorkerRegistry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A master's machines come and go here: rented for its backlog, returned when idle or no good. */
-final class Fleet {
-  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+/** A shard's machines come and go here: rented for its backlog, returned when idle or no good. */
+public final class Autoscaler {
+  private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
 
   /** How much of the time that a deadline leaves may pass before the last waiting task starts. */
   private static final double SLACK_USED = 0.75;
@@ -34,8 +44,12 @@
     int silent;
   }
 
-  private final Master master;
-  private final Node node;
+  private final LeadershipTerm term;
+  private final WorkerRegistry workers;
+  private final TaskRanges ranges;
+  private final MachineInventory inventory;
+  private final DoubleSupplier reservedCpus;
+  private final ControllerContext context;
   private final FailureTracker failures;
   private final Map<String, Long> refusedUntil = new HashMap<>();
   private final Map<String, Long> strangers = new HashMap<>();
@@ -54,15 +68,29 @@
 
   private final Map<String, ZoneCount> zoneCounts = new HashMap<>();
 
-  Fleet(Master master, FailureTracker failures) {
-    this.master = master;
-    this.node = master.node;
+  /**
+   * @param reservedCpus CPUs that are kept free for urgent classes
+   */
+  public Autoscaler(
+      ControllerContext context,
+      LeadershipTerm term,
+      WorkerRegistry workers,
+      TaskRanges ranges,
+      FailureTracker failures,
+      MachineInventory inventory,
+      DoubleSupplier reservedCpus) {
+    this.context = context;
+    this.term = term;
+    this.workers = workers;
+    this.ranges = ranges;
+    this.inventory = inventory;
+    this.reservedCpus = reservedCpus;
     this.failures = failures;
   }
 
-  void activated() {
-    loadAt = node.now();
-    listedAt = node.now();
+  public void activated() {
+    loadAt = context.now();
+    listedAt = context.now();
   }
 
   /**
@@ -70,12 +98,12 @@
    * counted as if all of it had come at once, every restart and every change of hands rented for a
    * flow of work that there never was.
    */
-  void arrived(OwnedRange range) {
+  public void arrived(TaskRange range) {
     if (range.spec == null) {
       return;
     }
     if (range.inherited) {
-      double agoS = (node.now() - range.waitingSince) / 1000.0;
+      double agoS = (context.now() - range.waitingSince) / 1000.0;
       load += machineSeconds(range.spec, range.record.size()) * Math.exp(-agoS / FADES_S) / FADES_S;
     } else {
       arrivedWork += machineSeconds(range.spec, range.waiting());
@@ -83,18 +111,18 @@
   }
 
   private long lagMs() {
-    return Math.round(node.settings().cloud().listLagS() * 1000);
+    return Math.round(context.settings().cloud().listLagS() * 1000);
   }
 
-  void tick(long now) {
+  public void tick(long now) {
     failures.forgetEnded();
     list(now);
     countMachines(now);
-    for (Host host : master.machines().all()) {
-      replaceIfUseless(host, now);
+    for (Worker worker : workers.all()) {
+      replaceIfUseless(worker, now);
     }
     close();
-    giveBack(now);
+    terminate(now);
     rent(now);
   }
 
@@ -104,70 +132,71 @@
   private void countMachines(long now) {
     cheap = 0;
     zoneCounts.clear();
-    for (Host host : master.machines().all()) {
-      cheap += host.spot && !host.draining ? 1 : 0;
-      if (host.up) {
-        ZoneCount count = zoneCounts.computeIfAbsent(host.zone, z -> new ZoneCount());
+    for (Worker worker : workers.all()) {
+      cheap += worker.spot && !worker.draining ? 1 : 0;
+      if (worker.up) {
+        ZoneCount count = zoneCounts.computeIfAbsent(worker.zone, z -> new ZoneCount());
         count.up++;
-        count.silent += master.machines().silentFor(host, now) > node.reportMs(2) ? 1 : 0;
+        count.silent += workers.silentFor(worker, now) > context.heartbeatIntervalsMs(2) ? 1 : 0;
       }
     }
   }
 
-  private void replaceIfUseless(Host host, long now) {
-    MachineType type = node.type(host.type);
-    if (host.draining || type == null) {
+  private void replaceIfUseless(Worker worker, long now) {
+    MachineType type = context.type(worker.machineType);
+    if (worker.draining || type == null) {
       return;
     }
-    for (PlacedTask task : host.placed()) {
-      if (task.state() == PlacedTask.State.RUNNING) {
+    for (TaskAttempt task : worker.attempts()) {
+      if (task.state() == TaskAttempt.State.RUNNING) {
         failures.crawled(task, now);
       }
     }
-    if (host.heardAt < 0 && !host.up && host.ageMs(now) > type.bootS() * 3500) {
-      drain(host, "never came up");
+    if (worker.lastHeartbeatAt < 0 && !worker.up && worker.ageMs(now) > type.bootS() * 3500) {
+      drain(worker, "never came up");
       return;
     }
-    if (host.up && !host.lost && silent(host, now) && !zoneSilent(host, now)) {
-      drain(host, "silent while others of its zone report");
+    if (worker.up && !worker.leaseExpired && silent(worker, now) && !zoneSilent(worker, now)) {
+      drain(worker, "silent while others of its zone report");
       return;
     }
-    if (host.lost && master.machines().silentFor(host, now) > 2 * node.settings().workerLeaseMs()) {
-      drain(host, "silent for two leases");
+    if (worker.leaseExpired
+        && workers.silentFor(worker, now) > 2 * context.settings().workerLeaseMs()) {
+      drain(worker, "silent for two leases");
       return;
     }
-    if (host.up && !host.lost && deaf(host, now)) {
+    if (worker.up && !worker.leaseExpired && deaf(worker, now)) {
       // Its reports say nothing of whether it hears us. Nothing that it has can be stopped but by
       // its lease, and nothing that it is given comes: only its return makes sure of that.
-      drain(host, "does not hear us");
-      host.returning = true;
+      drain(worker, "does not hear us");
+      worker.terminating = true;
       return;
     }
-    if (host.up
-        && host.resolved
-        && host.empty()
-        && master.machines().listenedFor(host.idleSince, now) > idleMs(host, type)) {
-      drain(host, host.closing ? "not needed" : "idle");
+    if (worker.up
+        && worker.reconciled
+        && worker.empty()
+        && workers.listenedFor(worker.idleSince, now) > idleMs(worker, type)) {
+      drain(worker, worker.cordoned ? "not needed" : "idle");
     }
   }
 
   /** Whether a machine that reports has shown for long that our answers do not come through. */
-  private boolean deaf(Host host, long now) {
-    long lease = node.settings().workerLeaseMs();
-    if (host.deafSince >= 0) {
-      return master.machines().listenedFor(host.deafSince, now) > lease / 2;
+  private boolean deaf(Worker worker, long now) {
+    long lease = context.settings().workerLeaseMs();
+    if (worker.unresponsiveSince >= 0) {
+      return workers.listenedFor(worker.unresponsiveSince, now) > lease / 2;
     }
-    return !host.resolved
-        && host.heardAt >= 0
-        && master.machines().listenedFor(host.since, now) > lease + node.reportMs(4);
+    return !worker.reconciled
+        && worker.lastHeartbeatAt >= 0
+        && workers.listenedFor(worker.since, now) > lease + context.heartbeatIntervalsMs(4);
   }
 
   /** A cheap machine is kept for a while where the usual flow of work will want it again. */
-  private long idleMs(Host host, MachineType type) {
-    if (host.closing) {
+  private long idleMs(Worker worker, MachineType type) {
+    if (worker.cordoned) {
       return Math.round(type.bootS() * 250);
     }
-    boolean wanted = host.spot && cheap <= target();
+    boolean wanted = worker.spot && cheap <= target();
     return Math.round(type.bootS() * (wanted ? 2000 : 500));
   }
 
@@ -178,115 +207,120 @@
    * does for a moment, and no machine was ever closed.
    */
   private void close() {
-    List<Host> open = new ArrayList<>();
-    List<Host> closed = new ArrayList<>();
-    double surplus = -master.reserve();
-    for (Host host : master.machines().all()) {
-      MachineType type = node.type(host.type);
-      if (type == null || !host.up || host.draining) {
+    List<Worker> open = new ArrayList<>();
+    List<Worker> closed = new ArrayList<>();
+    double surplus = -reservedCpus.getAsDouble();
+    for (Worker worker : workers.all()) {
+      MachineType type = context.type(worker.machineType);
+      if (type == null || !worker.up || worker.draining) {
         continue;
       }
-      if (host.closing) {
-        closed.add(host);
-      } else if (master.machines().usable(host, node.now())) {
-        open.add(host);
-        surplus += type.cpus() - host.usedCpus();
+      if (worker.cordoned) {
+        closed.add(worker);
+      } else if (workers.usable(worker, context.now())) {
+        open.add(worker);
+        surplus += type.cpus() - worker.usedCpus();
       }
     }
-    Comparator<Host> order =
-        Comparator.comparing((Host host) -> host.spot).thenComparingDouble(Host::usedCpus);
+    Comparator<Worker> order =
+        Comparator.comparing((Worker worker) -> worker.spot).thenComparingDouble(Worker::usedCpus);
     closed.sort(order.reversed());
-    for (Host host : closed) {
+    for (Worker worker : closed) {
       if (surplus >= 0) {
         break;
       }
-      host.closing = false;
-      surplus += node.type(host.type).cpus() - host.usedCpus();
+      worker.cordoned = false;
+      surplus += context.type(worker.machineType).cpus() - worker.usedCpus();
     }
     if (open.size() < 2) {
       return;
     }
     open.sort(order);
     int left = open.size();
-    for (Host host : open) {
-      MachineType type = node.type(host.type);
-      double free = type.cpus() - host.usedCpus();
-      if (surplus - free < type.cpus() * (host.spot ? 0.75 : 0.25)
-          || host.spot && left <= target()) {
+    for (Worker worker : open) {
+      MachineType type = context.type(worker.machineType);
+      double free = type.cpus() - worker.usedCpus();
+      if (surplus - free < type.cpus() * (worker.spot ? 0.75 : 0.25)
+          || worker.spot && left <= target()) {
         return;
       }
-      host.closing = true;
+      worker.cordoned = true;
       left--;
       surplus -= free;
     }
   }
 
-  private boolean silent(Host host, long now) {
-    return master.machines().silentFor(host, now) > node.reportMs(3.2);
+  private boolean silent(Worker worker, long now) {
+    return workers.silentFor(worker, now) > context.heartbeatIntervalsMs(3.2);
   }
 
   /** Most of a zone silent at once is a cut, not the machines. */
-  private boolean zoneSilent(Host host, long now) {
-    ZoneCount count = zoneCounts.get(host.zone);
-    int self = master.machines().silentFor(host, now) > node.reportMs(2) ? 1 : 0;
+  private boolean zoneSilent(Worker worker, long now) {
+    ZoneCount count = zoneCounts.get(worker.zone);
+    int self = workers.silentFor(worker, now) > context.heartbeatIntervalsMs(2) ? 1 : 0;
     int silent = count.silent - self;
     return silent > 0 && silent * 2 >= count.up - 1;
   }
 
-  private void drain(Host host, String why) {
-    host.drain(why);
-    LOG.info("machine {} goes: {}", host.id, why);
+  private void drain(Worker worker, String why) {
+    worker.drain(why);
+    LOG.info("machine {} goes: {}", worker.id, why);
   }
 
   // ---- giving back
 
-  private void giveBack(long now) {
+  private void terminate(long now) {
     if (giving) {
       return;
     }
     List<String> names = new ArrayList<>();
-    for (Host host : master.machines().all()) {
-      if (names.size() < CloudWire.MAX_RETURN
-          && !host.returned
-          && (host.returning || host.draining && mayGo(host, now))) {
-        host.returning = true;
-        names.add(host.id);
+    for (Worker worker : workers.all()) {
+      if (names.size() < CloudProtocol.MAX_RETURN
+          && !worker.terminated
+          && (worker.terminating || worker.draining && mayGo(worker, now))) {
+        worker.terminating = true;
+        names.add(worker.id);
       }
     }
     if (names.isEmpty()) {
       return;
     }
     giving = true;
-    node.cloud()
-        .giveBack(
+    context
+        .cloud()
+        .terminate(
             names,
             gone -> {
               giving = false;
-              if (gone && !master.isOver()) {
+              if (gone && !term.isOver()) {
                 names.forEach(this::returned);
               }
             });
   }
 
-  private boolean mayGo(Host host, long now) {
-    if (host.noticeUntil >= 0) {
+  private boolean mayGo(Worker worker, long now) {
+    if (worker.spotNoticeUntil >= 0) {
       // Charged until it is taken; it may finish what it has until then.
-      return host.empty() || now > host.noticeUntil + node.reportMs(1) && silent(host, now);
+      return worker.empty()
+          || now > worker.spotNoticeUntil + context.heartbeatIntervalsMs(1) && silent(worker, now);
     }
-    return host.empty() && host.quiet() || host.lost || silent(host, now) || deaf(host, now);
+    return worker.empty() && worker.hasNoCommandInFlight()
+        || worker.leaseExpired
+        || silent(worker, now)
+        || deaf(worker, now);
   }
 
   /** The cloud has answered: the machine and all that was on it are gone. */
   private void returned(String id) {
-    Host host = master.machines().get(id);
-    if (host == null) {
+    Worker worker = workers.get(id);
+    if (worker == null) {
       return;
     }
-    node.stats().returned++;
-    host.returned = true;
-    host.lost = true;
-    master.machines().loseTasks(host, "returned (" + host.drainReason + ")");
-    master.roster().remove(id);
+    context.metrics().returned++;
+    worker.terminated = true;
+    worker.leaseExpired = true;
+    workers.loseTasks(worker, "returned (" + worker.drainReason + ")");
+    inventory.remove(id);
   }
 
   // ---- the machine list
@@ -297,57 +331,58 @@
     }
     listing = true;
     listedAt = now;
-    node.cloud()
+    context
+        .cloud()
         .list(
             machines -> {
               listing = false;
-              if (machines != null && master.running()) {
-                compare(machines, node.now());
+              if (machines != null && term.isLeading()) {
+                compare(machines, context.now());
               }
             });
   }
 
-  private void compare(List<CloudWire.Listed> machines, long now) {
+  private void compare(List<CloudProtocol.Listed> machines, long now) {
     Set<String> listed = new HashSet<>();
-    for (CloudWire.Listed one : machines) {
+    for (CloudProtocol.Listed one : machines) {
       listed.add(one.machine());
-      Host host = master.machines().get(one.machine());
-      if (host != null && one.failed() && !host.returning) {
-        drain(host, "stopped by itself");
-        host.lost = true;
-        host.returning = true;
+      Worker worker = workers.get(one.machine());
+      if (worker != null && one.failed() && !worker.terminating) {
+        drain(worker, "stopped by itself");
+        worker.leaseExpired = true;
+        worker.terminating = true;
       }
-      if (host == null && !node.view().machines().containsKey(one.machine())) {
+      if (worker == null && !context.stateCache().machines().containsKey(one.machine())) {
         stranger(one, now);
       }
     }
     strangers.keySet().retainAll(listed);
-    for (Host host : master.machines().all()) {
-      if (listed.contains(host.id) || host.ageMs(now) < 4 * lagMs()) {
-        missing.remove(host.id);
-      } else if (missing.merge(host.id, 1, Integer::sum) >= 3
-          && (host.heardAt < 0 || silent(host, now))) {
+    for (Worker worker : workers.all()) {
+      if (listed.contains(worker.id) || worker.ageMs(now) < 4 * lagMs()) {
+        missing.remove(worker.id);
+      } else if (missing.merge(worker.id, 1, Integer::sum) >= 3
+          && (worker.lastHeartbeatAt < 0 || silent(worker, now))) {
         // One that this epoch has never heard of holds up its team's limit and inherited tasks, for
         // the former holder's lease and its own; several changes of hands in a row begin anew.
-        if (!host.draining) {
-          drain(host, "no longer listed");
+        if (!worker.draining) {
+          drain(worker, "no longer listed");
         }
-        host.returning = true;
+        worker.terminating = true;
       }
     }
-    master.machines().forgetMissing(missing);
+    workers.forgetMissing(missing);
   }
 
   /** A machine that nobody has a record of: a late rental, or one whose renter died. */
-  private void stranger(CloudWire.Listed one, long now) {
+  private void stranger(CloudProtocol.Listed one, long now) {
     long since = strangers.computeIfAbsent(one.machine(), m -> now);
-    if (!node.membership().first()
-        || !master.name.equals(node.membership().self())
+    if (!context.membership().isFirst()
+        || !term.shard().equals(context.membership().self())
         || now - since < 3 * lagMs()) {
       return;
     }
     LOG.info("machine {} is nobody's, adopting it", one.machine());
-    master.roster().add(one.machine(), one.type(), one.zone(), one.spot(), true, owned -> {});
+    inventory.add(one.machine(), one.type(), one.zone(), one.spot(), true, owned -> {});
   }
 
   // ---- renting
@@ -355,32 +390,18 @@
   /** How many seconds of a whole machine some tasks of a job take. */
   private double machineSeconds(JobSpec spec, int tasks) {
     MachineType type = typeFor(spec);
-    return type == null ? 0 : tasks * spec.estimateS() / perMachine(type, spec);
-  }
-
-  static int perMachine(MachineType type, JobSpec spec) {
-    double most = 10_000;
-    if (spec.cpus() > 0) {
-      most = Math.min(most, type.cpus() / spec.cpus());
-    }
-    if (spec.gpus() > 0) {
-      most = Math.min(most, type.gpus() / spec.gpus());
-    }
-    if (spec.memoryGb() > 0) {
-      most = Math.min(most, type.memoryGb() / spec.memoryGb());
-    }
-    return Math.max(1, (int) Math.floor(most + 1e-6));
+    return type == null ? 0 : tasks * spec.estimateS() / type.tasksPerMachine(spec);
   }
 
   /** The type on which a task of the job costs least. */
   private MachineType typeFor(JobSpec spec) {
     MachineType best = null;
     double bestPrice = 0;
-    for (MachineType type : node.types()) {
+    for (MachineType type : context.types()) {
       if (type.allowedFor(spec)) {
         double price =
             (spec.spot() && type.spotPrice() > 0 ? type.spotPrice() : type.price())
-                / perMachine(type, spec);
+                / type.tasksPerMachine(spec);
         if (best == null || price < bestPrice) {
           best = type;
           bestPrice = price;
@@ -408,33 +429,33 @@
 
   /** Waiting work that has to be through within some time, in seconds of a whole machine. */
   private record Need(
-      OwnedRange range, MachineType type, boolean spot, String zone, double work, double withinS) {
+      TaskRange range, MachineType type, boolean spot, String zone, double work, double withinS) {
     boolean sameAs(Need other) {
       return type.name().equals(other.type.name())
           && spot == other.spot
           && Objects.equals(zone, other.zone);
     }
 
-    boolean servedBy(Host host) {
-      return host.type.equals(type.name())
-          && (spot || !host.spot)
-          && (zone == null || zone.equals(host.zone));
+    boolean servedBy(Worker worker) {
+      return worker.machineType.equals(type.name())
+          && (spot || !worker.spot)
+          && (zone == null || zone.equals(worker.zone));
     }
   }
 
   private void rent(long now) {
     measure(now);
-    if (renting > 0 || node.types().isEmpty() || node.store().crowded()) {
+    if (renting > 0 || context.types().isEmpty() || context.store().isCongested()) {
       return;
     }
     List<Need> needs = new ArrayList<>();
-    for (OwnedRange range : master.ranges().all()) {
+    for (TaskRange range : ranges.all()) {
       // While a machine has not been heard of, what waits of an inherited range may be there, and
       // none of it may start anyway: else every restart rented a second fleet.
       if (range.spec != null
-          && !master.policy().mustStop(range)
+          && !term.policy().mustStop(range)
           && range.waiting() > 0
-          && !master.ranges().blocked(range)) {
+          && !ranges.blocked(range)) {
         MachineType type = typeFor(range.spec);
         if (type != null) {
           needs.add(need(range, type, now));
@@ -463,17 +484,17 @@
       }
     }
     if (wanted > 0) {
-      hire(largest, Math.min(wanted, CloudWire.MAX_RENT), now, true);
+      hire(largest, Math.min(wanted, CloudProtocol.MAX_RENT), now, true);
       return;
     }
     // What the usual flow keeps busy is rented ahead of it, but only where that is cheap.
     int machines = 0;
-    for (Host host : master.machines().all()) {
-      machines += host.draining ? 0 : 1;
+    for (Worker worker : workers.all()) {
+      machines += worker.draining ? 0 : 1;
     }
     wanted = (int) Math.floor(target()) - machines;
     if (wanted > 0 && needs.get(0).spot()) {
-      hire(needs.get(0), Math.min(wanted, CloudWire.MAX_RENT), now, false);
+      hire(needs.get(0), Math.min(wanted, CloudProtocol.MAX_RENT), now, false);
     }
   }
 
@@ -483,21 +504,21 @@
     double busy = 0;
     int machines = 0;
     double booting = 0;
-    for (Host host : master.machines().all()) {
-      if (host.draining
-          || host.lost && silent(host, now)
-          || !kind.servedBy(host)
-          || failures.avoids(kind.range(), host)) {
+    for (Worker worker : workers.all()) {
+      if (worker.draining
+          || worker.leaseExpired && silent(worker, now)
+          || !kind.servedBy(worker)
+          || failures.avoids(kind.range(), worker)) {
         continue;
       }
       machines++;
-      if (!host.up) {
-        booting += Math.max(type.bootS() * 0.2, type.bootS() - host.ageMs(now) / 1000.0);
+      if (!worker.up) {
+        booting += Math.max(type.bootS() * 0.2, type.bootS() - worker.ageMs(now) / 1000.0);
       }
-      for (PlacedTask task : host.placed()) {
+      for (TaskAttempt task : worker.attempts()) {
         if (task.live() && task.range != null && task.range.spec != null) {
           JobSpec spec = task.range.spec;
-          busy += Math.max(2, remainingS(task, type, now)) / perMachine(type, spec);
+          busy += Math.max(2, remainingS(task, type, now)) / type.tasksPerMachine(spec);
         }
       }
     }
@@ -518,16 +539,19 @@
     return wanted;
   }
 
-  private Need need(OwnedRange range, MachineType type, long now) {
+  private Need need(TaskRange range, MachineType type, long now) {
     JobSpec spec = range.spec;
     double work =
-        (spec.estimateS() + fetchS(type, spec) / 2) * range.waiting() / perMachine(type, spec);
+        (spec.estimateS() + type.imageFetchS(spec) / 2)
+            * range.waiting()
+            / type.tasksPerMachine(spec);
     String zone = range.zone != null ? range.zone : spec.zone();
     double waited = (now - range.waitingSince) / 1000.0;
     double slack =
         spec.deadlineS() < 0
             ? 4 * type.bootS()
-            : (spec.deadlineS() - waited - spec.estimateS() - fetchS(type, spec)) * slackUsed(spec)
+            : (spec.deadlineS() - waited - spec.estimateS() - type.imageFetchS(spec))
+                    * slackUsed(spec)
                 + spec.estimateS();
     // A machine that is rented now helps no sooner than it boots, however late the job is.
     double within = Math.min(Math.max(slack, 2 * type.bootS()), 6 * type.bootS());
@@ -537,7 +561,7 @@
   /** The more of a class has to be in time, the less of its slack is used up. */
   private double slackUsed(JobSpec spec) {
     double used = SLACK_USED;
-    for (Settings.Objective aim : node.settings().objectives()) {
+    for (Settings.Objective aim : context.settings().objectives()) {
       if (aim.kind().equals("deadline")
           && aim.jobClass().equals(spec.jobClass())
           && aim.times() <= 1) {
@@ -547,16 +571,12 @@
     return used;
   }
 
-  static double fetchS(MachineType type, JobSpec spec) {
-    return type.fetchGbPerS() > 0 ? spec.imageGb() / type.fetchGbPerS() : 0;
-  }
-
-  private static double remainingS(PlacedTask task, MachineType type, long now) {
+  private static double remainingS(TaskAttempt task, MachineType type, long now) {
     JobSpec spec = task.range.spec;
     double fetch =
         task.runningSince >= 0
             ? 0
-            : Math.max(0, fetchS(type, spec) - (now - task.placedAt) / 1000.0);
+            : Math.max(0, type.imageFetchS(spec) - (now - task.placedAt) / 1000.0);
     return fetch + task.remainingS(now, spec.estimateS());
   }
 
@@ -567,10 +587,11 @@
         zones.add(zone);
       }
     }
-    // The own zone first: a cut then parts a master from few of its machines.
+    // The own zone first: a cut then parts a shard from few of its machines.
     zones.sort(
         (a, b) ->
-            Boolean.compare(b.equals(node.settings().zone()), a.equals(node.settings().zone())));
+            Boolean.compare(
+                b.equals(context.settings().zone()), a.equals(context.settings().zone())));
     for (boolean spot : new boolean[] {true, false}) {
       if (spot ? !need.spot() : !ordinary) {
         continue;
@@ -580,11 +601,11 @@
         if (refusedUntil.getOrDefault(place, 0L) <= now) {
           String request =
               "r-"
-                  + node.membership().self()
+                  + context.membership().self()
                   + "-"
-                  + master.name
+                  + term.shard()
                   + "-"
-                  + master.epoch
+                  + term.epoch()
                   + "-"
                   + ++requests;
           renting++;
@@ -597,7 +618,8 @@
 
   private void rentNow(
       String request, String type, String zone, boolean spot, int count, int tries) {
-    node.cloud()
+    context
+        .cloud()
         .rent(
             request,
             type,
@@ -605,13 +627,13 @@
             spot,
             count,
             rent -> {
-              if (master.isOver()) {
+              if (term.isOver()) {
                 return;
               }
-              long now = node.now();
-              if (rent instanceof Cloud.Rented rented) {
+              long now = context.now();
+              if (rent instanceof CloudClient.Rented rented) {
                 renting--;
-                node.stats().rented += rented.machines().size();
+                context.metrics().rented += rented.machines().size();
                 LOG.info(
                     "rented {} {} machines in {} of {} wanted: {}",
                     rented.machines().size(),
@@ -624,11 +646,12 @@
                 }
                 for (String id : rented.machines()) {
                   // Somebody may have adopted it before, as it can be up at once.
-                  master.roster().add(id, type, zone, spot, false, owned -> {});
+                  inventory.add(id, type, zone, spot, false, owned -> {});
                 }
-              } else if (rent instanceof Cloud.Again && tries < 20) {
+              } else if (rent instanceof CloudClient.Again && tries < 20) {
                 // The same name again: if it was executed, this gets the same machines.
-                node.reactor()
+                context
+                    .reactor()
                     .schedule(
                         lagMs() / 4, () -> rentNow(request, type, zone, spot, count, tries + 1));
               } else {
--- a/src/main/java/org/fieldtrestle/coordination/Roster.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.scaling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,18 +7,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.fieldtrestle.bookkeeping.Records;
-import org.fieldtrestle.protocol.StateWire;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.state.Records;
+import org.fieldtrestle.worker.LeadershipTerm;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes which machines are a master's, many of them in one value: hundreds come up within a
- * minute, and a write for each would take all that the state service allows. What comes in while a
- * write is under way, and for a short while after, goes into the next.
+ * Writes which machines are a shard's, many of them in one value: hundreds come up within a minute,
+ * and a write for each would take all that the state service allows. What comes in while a write is
+ * under way, and for a short while after, goes into the next.
  */
-final class Roster {
-  private static final Logger LOG = LoggerFactory.getLogger(Roster.class);
+public final class MachineInventory {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
 
   /** Share of a value that is filled, and what a machine takes of it at the most. */
   private static final double FILLED = 0.8;
@@ -28,7 +30,7 @@
   /** What a transaction may hold, less what is in it beside values. */
   private static final double MOST_KB = 56;
 
-  /** Writes of this master's part of what the state service allows that go by between two. */
+  /** Writes of this shard's part of what the state service allows that go by between two. */
   private static final double APART = 3;
 
   /** What is to become of a machine in the roster. */
@@ -41,15 +43,15 @@
 
   private record Remove() implements Wish {}
 
-  private final Master master;
-  private final Node node;
+  private final LeadershipTerm term;
+  private final ControllerContext context;
   private final Map<String, Wish> wishes = new LinkedHashMap<>();
   private boolean busy;
   private long notBefore;
 
-  Roster(Master master) {
-    this.master = master;
-    this.node = master.node;
+  public MachineInventory(ControllerContext context, LeadershipTerm term) {
+    this.context = context;
+    this.term = term;
   }
 
   /**
@@ -57,17 +59,18 @@
    *
    * @param adopted it was rented by somebody else, or nobody knows by whom, and may be up
    */
-  void add(
+  public void add(
       String id, String type, String zone, boolean spot, boolean adopted, Consumer<Boolean> done) {
-    long upIn = adopted ? master.epoch : 0;
-    long since = adopted ? 0 : node.reactor().wall();
+    long upIn = adopted ? term.epoch() : 0;
+    long since = adopted ? 0 : context.reactor().wall();
     wish(
         id,
-        new Add(new Records.Machine(master.name, 0, type, zone, spot, since, upIn), adopted, done));
+        new Add(
+            new Records.Machine(term.shard(), 0, type, zone, spot, since, upIn), adopted, done));
   }
 
   /** Tasks may be started on a machine once this is durable. */
-  void up(String id) {
+  public void up(String id) {
     wish(id, new Up());
   }
 
@@ -78,7 +81,7 @@
 
   private void wish(String id, Wish wish) {
     if (wishes.get(id) instanceof Add before) {
-      node.reactor().execute(() -> before.done().accept(false));
+      context.reactor().execute(() -> before.done().accept(false));
     }
     wishes.put(id, wish);
     soon();
@@ -87,44 +90,45 @@
   private void soon() {
     if (!busy) {
       busy = true;
-      node.reactor().schedule(Math.max(0, notBefore - node.now()), this::write);
+      context.reactor().schedule(Math.max(0, notBefore - context.now()), this::write);
     }
   }
 
   /** One transaction being put together. */
   private final class Batch {
     final Map<String, Wish> taken = new LinkedHashMap<>();
-    final List<StateWire.Condition> conditions = new ArrayList<>();
-    final List<StateWire.Change> changes = new ArrayList<>();
-    final Map<Records.RosterKey, TreeMap<String, Records.Machine>> parts = new TreeMap<>(BY_PART);
+    final List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
+    final List<KeyValueProtocol.Change> changes = new ArrayList<>();
+    final Map<Records.InventoryKey, TreeMap<String, Records.Machine>> parts =
+        new TreeMap<>(BY_PART);
 
-    TreeMap<String, Records.Machine> part(Records.RosterKey key) {
+    TreeMap<String, Records.Machine> part(Records.InventoryKey key) {
       return parts.computeIfAbsent(
-          key, k -> new TreeMap<>(node.view().rosters().getOrDefault(k, Map.of())));
+          key, k -> new TreeMap<>(context.stateCache().inventories().getOrDefault(k, Map.of())));
     }
 
     /** Room for one more machine: the state service limits both. */
     boolean open() {
-      return changes.size() + parts.size() + 4 < node.settings().state().txnOps()
-          && conditions.size() + 2 * parts.size() + 16 < 4 * node.settings().state().txnOps();
+      return changes.size() + parts.size() + 4 < context.settings().state().txnOps()
+          && conditions.size() + 2 * parts.size() + 16 < 4 * context.settings().state().txnOps();
     }
 
     /**
      * Whether another part still fits the transaction. One that does not waits for the next, while
-     * machines of those that are in it go on: else a master of many parts writes few at a time.
+     * machines of those that are in it go on: else a shard of many parts writes few at a time.
      */
     private boolean fits(int part) {
       return parts.containsKey(key(part))
-          || (parts.size() + 1) * node.settings().state().valueKb() <= MOST_KB;
+          || (parts.size() + 1) * context.settings().state().valueKb() <= MOST_KB;
     }
 
     void include(String id, Wish wish) {
-      Records.Machine known = node.view().machines().get(id);
-      boolean ours = known != null && known.master().equals(master.name);
+      Records.Machine known = context.stateCache().machines().get(id);
+      boolean ours = known != null && known.shard().equals(term.shard());
       if (wish instanceof Add add) {
         if (known != null) {
           wishes.remove(id, wish);
-          node.reactor().execute(() -> add.done().accept(ours));
+          context.reactor().execute(() -> add.done().accept(ours));
           return;
         }
         add(id, add);
@@ -135,11 +139,11 @@
       } else if (!fits(known.part())) {
         return;
       } else if (wish instanceof Up) {
-        part(key(known.part())).put(id, known.upIn(master.epoch));
+        part(key(known.part())).put(id, known.upIn(term.epoch()));
       } else {
         part(key(known.part())).remove(id);
-        if (node.view().version(Records.stray(id)) != 0) {
-          changes.add(new StateWire.Delete(Records.stray(id)));
+        if (context.stateCache().version(Records.orphan(id)) != 0) {
+          changes.add(new KeyValueProtocol.Delete(Records.orphan(id)));
         }
       }
       taken.put(id, wish);
@@ -149,13 +153,14 @@
       Map<String, Records.Machine> changed = parts.get(key(part));
       return changed != null
           ? changed.size()
-          : node.view().rosters().getOrDefault(key(part), Map.of()).size();
+          : context.stateCache().inventories().getOrDefault(key(part), Map.of()).size();
     }
 
     private void add(String id, Add add) {
       int number = 0;
-      int most = (int) (node.settings().state().valueKb() * 1024 * FILLED / BYTES_EACH);
-      while (sizeOf(number) >= most || !node.view().readable(Records.roster(key(number)))) {
+      int most = (int) (context.settings().state().valueKb() * 1024 * FILLED / BYTES_EACH);
+      while (sizeOf(number) >= most
+          || !context.stateCache().readable(Records.inventory(key(number)))) {
         number++;
       }
       if (!fits(number)) {
@@ -167,24 +172,24 @@
           .put(
               id,
               new Records.Machine(
-                  m.master(), number, m.type(), m.zone(), m.spot(), m.sinceWall(), m.upIn()));
-      String stray = Records.stray(id);
-      conditions.add(new StateWire.Condition(stray, node.view().version(stray)));
+                  m.shard(), number, m.type(), m.zone(), m.spot(), m.sinceWall(), m.upIn()));
+      String stray = Records.orphan(id);
+      conditions.add(new KeyValueProtocol.Condition(stray, context.stateCache().version(stray)));
       if (add.adopted()) {
-        changes.add(new StateWire.Put(stray, Records.writeStray(master.name), 0));
+        changes.add(new KeyValueProtocol.Put(stray, Records.writeOrphan(term.shard()), 0));
       }
     }
 
     /** Nobody else may have entered a machine that we adopt since we looked. */
     private void othersUnchanged() {
-      for (String other : node.view().masters().keySet()) {
-        if (!other.equals(master.name)) {
+      for (String other : context.stateCache().shards().keySet()) {
+        if (!other.equals(term.shard())) {
           int number = 0;
           long version;
           do {
-            String key = Records.roster(new Records.RosterKey(other, number++));
-            version = node.view().version(key);
-            conditions.add(new StateWire.Condition(key, version));
+            String key = Records.inventory(new Records.InventoryKey(other, number++));
+            version = context.stateCache().version(key);
+            conditions.add(new KeyValueProtocol.Condition(key, version));
           } while (version != 0);
         }
       }
@@ -196,27 +201,27 @@
       }
       parts.forEach(
           (key, machines) -> {
-            String name = Records.roster(key);
-            long version = node.view().version(name);
-            if (machines.equals(node.view().rosters().getOrDefault(key, Map.of()))) {
+            String name = Records.inventory(key);
+            long version = context.stateCache().version(name);
+            if (machines.equals(context.stateCache().inventories().getOrDefault(key, Map.of()))) {
               return; // looked at only
             }
-            conditions.add(new StateWire.Condition(name, version));
-            changes.add(new StateWire.Put(name, Records.writeRoster(machines), 0));
+            conditions.add(new KeyValueProtocol.Condition(name, version));
+            changes.add(new KeyValueProtocol.Put(name, Records.writeInventory(machines), 0));
           });
     }
   }
 
-  private static final Comparator<Records.RosterKey> BY_PART =
-      Comparator.comparingInt(Records.RosterKey::part);
+  private static final Comparator<Records.InventoryKey> BY_PART =
+      Comparator.comparingInt(Records.InventoryKey::part);
 
-  private Records.RosterKey key(int part) {
-    return new Records.RosterKey(master.name, part);
+  private Records.InventoryKey key(int part) {
+    return new Records.InventoryKey(term.shard(), part);
   }
 
   private void write() {
     busy = false;
-    if (master.isOver() || wishes.isEmpty()) {
+    if (term.isOver() || wishes.isEmpty()) {
       return;
     }
     Batch batch = new Batch();
@@ -236,9 +241,10 @@
     }
     busy = true;
     notBefore =
-        node.now()
-            + Math.round(1000 * APART / node.settings().share(node.settings().state().writeRps()));
-    master.write(
+        context.now()
+            + Math.round(
+                1000 * APART / context.settings().share(context.settings().state().writeRps()));
+    term.write(
         batch.conditions,
         batch.changes,
         committed -> {
--- a/src/main/java/org/fieldtrestle/coordination/Falcon.java
+++ b/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
@@ -1,28 +1,29 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.random.RandomGenerator;
+import org.fieldtrestle.config.OperatorSettings;
 import org.fieldtrestle.protocol.Priority;
 
 /**
  * Falcon's Selective Preemption: scores, conditions and the draw. Knows nothing of machines or
  * messages.
  */
-public final class Falcon {
-  private final Tuning tuning;
+public final class SelectivePreemption {
+  private final OperatorSettings operatorSettings;
   private final RandomGenerator random;
 
-  public Falcon(Tuning tuning, RandomGenerator random) {
-    this.tuning = tuning;
+  public SelectivePreemption(OperatorSettings operatorSettings, RandomGenerator random) {
+    this.operatorSettings = operatorSettings;
     this.random = random;
   }
 
   /** Equation 3: what a task without children scores. */
   public double score(double remainingS, double waitedS) {
-    return tuning.remainingWeight() / Math.max(tuning.floorS(), remainingS)
-        + tuning.waitingWeight() * Math.max(0, waitedS);
+    return operatorSettings.remainingWeight() / Math.max(operatorSettings.floorS(), remainingS)
+        + operatorSettings.waitingWeight() * Math.max(0, waitedS);
   }
 
   /** Some waiting tasks that score alike: a range's tasks that wait since the same time. */
@@ -52,7 +53,7 @@
       return null;
     }
     ranked.sort(Comparator.comparingDouble((Waiting<T> w) -> w.score()).reversed());
-    long eligible = Math.max(1, (long) Math.floor((1 - tuning.delta()) * k));
+    long eligible = Math.max(1, (long) Math.floor((1 - operatorSettings.delta()) * k));
     return draw(ranked, eligible);
   }
 
@@ -91,7 +92,7 @@
       while (end < slots.size() && slots.get(end).group.priority() == highest) {
         k += slots.get(end++).left;
       }
-      long eligible = Math.max(1, (long) Math.floor((1 - tuning.delta()) * k));
+      long eligible = Math.max(1, (long) Math.floor((1 - operatorSettings.delta()) * k));
       double at = random.nextDouble() * (eligible * (eligible + 1) / 2.0);
       long rank = 0;
       for (int i = first; i < end; i++) {
@@ -170,7 +171,7 @@
         less += other.count();
       }
     }
-    return k > 0 && less >= tuning.delta() * k;
+    return k > 0 && less >= operatorSettings.delta() * k;
   }
 
   /**
@@ -197,7 +198,7 @@
           && rising.get(to).score() == rising.get(from).score()) {
         Waiting<T> one = rising.get(to++);
         alike += one.count();
-        if (below + one.count() - 1 >= tuning.delta() * k) {
+        if (below + one.count() - 1 >= operatorSettings.delta() * k) {
           enough.add(one);
         }
       }
@@ -220,8 +221,8 @@
     List<Running<U>> all = new ArrayList<>();
     for (Running<U> victim : running) {
       if ((one.priority().above(victim.priority()) || victim.owed())
-          && one.score() > victim.score() + tuning.margin()
-          && victim.elapsedS() <= tuning.victimShare() * victim.estimateS()) {
+          && one.score() > victim.score() + operatorSettings.margin()
+          && victim.elapsedS() <= operatorSettings.victimShare() * victim.estimateS()) {
         all.add(victim);
       }
     }
@@ -229,7 +230,7 @@
     return all;
   }
 
-  public Tuning tuning() {
-    return tuning;
+  public OperatorSettings operatorSettings() {
+    return operatorSettings;
   }
 }
