--- a/src/main/java/org/fieldtrestle/coordination/Placement.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.scheduling;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -6,17 +6,28 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.fieldtrestle.protocol.CloudWire.MachineType;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.metrics.StartRefusal;
+import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Priority;
 import org.fieldtrestle.protocol.TaskId;
+import org.fieldtrestle.worker.CommandPolicy;
+import org.fieldtrestle.worker.FailureTracker;
+import org.fieldtrestle.worker.FreeResources;
+import org.fieldtrestle.worker.ImageDownloads;
+import org.fieldtrestle.worker.TaskAttempt;
+import org.fieldtrestle.worker.TaskRange;
+import org.fieldtrestle.worker.TaskRanges;
+import org.fieldtrestle.worker.Worker;
+import org.fieldtrestle.worker.WorkerRegistry;
 
 /**
  * Which waiting task goes where. A pass takes the machines with room and the waiting ranges as they
  * are, and costs what there is of these: full machines and tasks alike are not looked at one by
  * one.
  */
-final class Placement {
+public final class TaskPlacer {
   /** Share of all CPUs that is kept for classes that hurry at the most. */
   private static final double RESERVED_AT_MOST = 0.25;
 
@@ -51,42 +62,42 @@
   private static final double RESERVE_YIELDS_AFTER_LEASES = 2;
 
   /** What a pass decides. */
-  interface Decisions {
+  public interface Decisions {
     /** A task goes to a machine; a whole job's tasks go under one attempt. */
-    void place(OwnedRange range, int offset, Host host, long attempt);
+    void place(TaskRange range, int offset, Worker worker, long attempt);
 
     long nextAttempt();
 
-    void stop(PlacedTask task, double graceS);
+    void stop(TaskAttempt task, double graceS);
   }
 
-  private final Node node;
-  private final String master;
+  private final ControllerContext context;
+  private final String shard;
   private final CommandPolicy policy;
-  private final Falcon falcon;
-  private final Machines machines;
-  private final Ranges ranges;
-  private final Shares shares;
+  private final SelectivePreemption falcon;
+  private final WorkerRegistry machines;
+  private final TaskRanges ranges;
+  private final QuotaShares shares;
   private final FailureTracker failures;
   private final ImageDownloads downloads;
   private final Decisions decisions;
-  private final Eviction eviction;
+  private final Preemptor eviction;
   private double urgentCpus;
   private long steps;
 
-  Placement(
-      Node node,
-      String master,
+  public TaskPlacer(
+      ControllerContext context,
+      String shard,
       CommandPolicy policy,
-      Falcon falcon,
-      Machines machines,
-      Ranges ranges,
-      Shares shares,
+      SelectivePreemption falcon,
+      WorkerRegistry machines,
+      TaskRanges ranges,
+      QuotaShares shares,
       FailureTracker failures,
       ImageDownloads downloads,
       Decisions decisions) {
-    this.node = node;
-    this.master = master;
+    this.context = context;
+    this.shard = shard;
     this.policy = policy;
     this.falcon = falcon;
     this.machines = machines;
@@ -95,12 +106,12 @@
     this.failures = failures;
     this.downloads = downloads;
     this.decisions = decisions;
-    this.eviction = new Eviction(node, falcon, machines, shares, failures, decisions);
+    this.eviction = new Preemptor(context, falcon, machines, shares, failures, decisions);
   }
 
   /** Some tasks of a range that have waited equally long. */
-  record Group(OwnedRange range, int offset, boolean overdue) {
-    Group(OwnedRange range, int offset) {
+  record Group(TaskRange range, int offset, boolean overdue) {
+    Group(TaskRange range, int offset) {
       this(range, offset, false);
     }
 
@@ -122,28 +133,28 @@
   /** What one pass knows beside the machines' room. */
   private final class Pass {
     final long now;
-    final List<Host.Room> rooms = new ArrayList<>();
+    final List<FreeResources> rooms = new ArrayList<>();
     final Map<String, Double> workByImage = new HashMap<>();
-    final Map<OwnedRange, Boolean> patient = new HashMap<>();
+    final Map<TaskRange, Boolean> patient = new HashMap<>();
     double free;
     double all;
     final double reserve;
 
-    Pass(long now, List<Falcon.Waiting<Group>> groups) {
+    Pass(long now, List<SelectivePreemption.Waiting<Group>> groups) {
       this.now = now;
       double cpus = Double.MAX_VALUE;
       double gpus = Double.MAX_VALUE;
       double memoryGb = Double.MAX_VALUE;
-      for (Falcon.Waiting<Group> one : groups) {
+      for (SelectivePreemption.Waiting<Group> one : groups) {
         JobSpec spec = one.what().range().spec;
         cpus = Math.min(cpus, spec.cpus());
         gpus = Math.min(gpus, spec.gpus());
         memoryGb = Math.min(memoryGb, spec.memoryGb());
         workByImage.merge(spec.image(), one.count() * spec.estimateS(), Double::sum);
       }
-      for (Host.Room room : machines.rooms(now)) {
+      for (FreeResources room : machines.rooms(now)) {
         free += room.cpus();
-        all += room.type.cpus();
+        all += room.machineType.cpus();
         if (room.has(cpus, gpus, memoryGb)) { // a full machine is of no use to any of them
           rooms.add(room);
         }
@@ -151,7 +162,7 @@
       reserve = reserve();
     }
 
-    void take(Host.Room room, JobSpec spec) {
+    void take(FreeResources room, JobSpec spec) {
       free -= Math.min(room.cpus(), spec.cpus());
       room.take(spec);
       workByImage.merge(spec.image(), -spec.estimateS(), Double::sum);
@@ -161,16 +172,16 @@
     boolean kept(JobSpec spec) {
       // On machines that run nothing, a task larger than what is not kept would wait for ever.
       return urgentCpus > 0
-          && !node.hurried(spec)
+          && !context.isLatencySensitive(spec)
           && free - spec.cpus() < reserve
           && free < all - 1e-6;
     }
 
     /** Whether some machine has room for a task of the range, reserved or not. */
-    boolean hasRoomFor(OwnedRange range) {
+    boolean hasRoomFor(TaskRange range) {
       int offset = range.firstWaiting();
-      for (Host.Room room : rooms) {
-        if (room.fits(range.spec) && allowed(failures, range, offset, room.host)) {
+      for (FreeResources room : rooms) {
+        if (room.fits(range.spec) && allowed(failures, range, offset, room.worker)) {
           return true;
         }
       }
@@ -179,8 +190,8 @@
   }
 
   /** A range that is new here. */
-  void arrived(OwnedRange range) {
-    if (range.spec != null && node.hurried(range.spec) && range.key.index() == 0) {
+  public void arrived(TaskRange range) {
+    if (range.spec != null && context.isLatencySensitive(range.spec) && range.key.index() == 0) {
       double cpus = range.spec.cpus() * range.spec.tasks();
       urgentCpus = urgentCpus == 0 ? cpus : urgentCpus * 0.8 + cpus * 0.2;
     }
@@ -188,31 +199,32 @@
 
   /**
    * CPUs kept free of tasks that may wait, for classes that are to start within some time: as much
-   * as one of their jobs usually takes, in all masters together.
+   * as one of their jobs usually takes, in all shards together.
    */
-  double reserve() {
+  public double reserve() {
     double mine = machines.capacity();
-    double part = mine / Math.max(1, mine + node.loads().capacityOfOthers(master));
-    return Math.min(urgentCpus * node.tuning().reserve() * part, mine * RESERVED_AT_MOST);
+    double part = mine / Math.max(1, mine + context.loads().capacityOfOthers(shard));
+    return Math.min(
+        urgentCpus * context.operatorSettings().reserve() * part, mine * RESERVED_AT_MOST);
   }
 
   /** Places what fits and lets what does not evict; does nothing where nothing waits. */
-  void pass(long now) {
-    List<Falcon.Waiting<Group>> groups = waiting(now);
+  public void pass(long now) {
+    List<SelectivePreemption.Waiting<Group>> groups = waiting(now);
     if (groups.isEmpty()) {
       return;
     }
     Pass pass = new Pass(now, groups);
     // Machines that have the image first: a task that would fetch takes no room that another, whose
     // image is there, waits for as well.
-    List<Falcon.Waiting<Group>> without = fill(pass, groups, true);
-    List<Falcon.Waiting<Group>> stuck = fill(pass, without, false);
+    List<SelectivePreemption.Waiting<Group>> without = fill(pass, groups, true);
+    List<SelectivePreemption.Waiting<Group>> stuck = fill(pass, without, false);
     eviction.evict(stuck, now);
   }
 
-  private List<Falcon.Waiting<Group>> waiting(long now) {
-    List<Falcon.Waiting<Group>> groups = new ArrayList<>();
-    for (OwnedRange range : ranges.all()) {
+  private List<SelectivePreemption.Waiting<Group>> waiting(long now) {
+    List<SelectivePreemption.Waiting<Group>> groups = new ArrayList<>();
+    for (TaskRange range : ranges.all()) {
       if (range.spec == null || range.waiting() == 0 || !mayStart(range)) {
         continue;
       }
@@ -223,7 +235,7 @@
             && range.mayRetryAll(now)
             && range.retries.keySet().intStream().noneMatch(o -> machines.hasDuplicate(range, o))) {
           groups.add(
-              new Falcon.Waiting<>(
+              new SelectivePreemption.Waiting<>(
                   new Group(range, -1),
                   spec.priority(),
                   falcon.score(spec.estimateS(), (now - range.waitingSince) / 1000.0),
@@ -238,7 +250,7 @@
       if (fresh > 0 && overdue(range, now)) {
         fresh--;
         groups.add(
-            new Falcon.Waiting<>(
+            new SelectivePreemption.Waiting<>(
                 new Group(range, -1, true),
                 Priority.CRITICAL,
                 falcon.score(spec.estimateS(), (now - range.waitingSince) / 1000.0),
@@ -246,7 +258,7 @@
       }
       if (fresh > 0) {
         groups.add(
-            new Falcon.Waiting<>(
+            new SelectivePreemption.Waiting<>(
                 new Group(range, -1),
                 spec.priority(),
                 falcon.score(spec.estimateS(), counted(spec, range, range.waitingSince, now)),
@@ -255,7 +267,7 @@
       for (var retry : range.retries.int2ObjectEntrySet()) {
         if (retry.getValue().notBefore <= now && !machines.hasDuplicate(range, retry.getIntKey())) {
           groups.add(
-              new Falcon.Waiting<>(
+              new SelectivePreemption.Waiting<>(
                   new Group(range, retry.getIntKey()),
                   spec.priority(),
                   falcon.score(
@@ -267,28 +279,28 @@
     return groups;
   }
 
-  private boolean mayStart(OwnedRange range) {
+  private boolean mayStart(TaskRange range) {
     if (ranges.blocked(range)) {
-      policy.refused(CommandPolicy.StartRefusal.MACHINES_UNRESOLVED);
+      policy.refused(StartRefusal.MACHINES_UNRESOLVED);
       return false;
     }
     return policy.mayStart(range);
   }
 
-  private boolean overdue(OwnedRange range, long now) {
+  private boolean overdue(TaskRange range, long now) {
     return range.placed.isEmpty()
         && range.retries.isEmpty()
         && range.finished.isEmpty()
         && range.record.done().isEmpty()
-        && now - range.waitingSince > node.bootS() * 1000 * OVERDUE_BOOTS
-        && node.view().rangesOf(range.key.job()).firstKey() == range.key.index();
+        && now - range.waitingSince > context.shortestBootS() * 1000 * OVERDUE_BOOTS
+        && context.stateCache().rangesOf(range.key.job()).firstKey() == range.key.index();
   }
 
   /**
    * The waiting time that a score counts. For a job that cannot be in time any more it starts anew
    * (our exception): else, on a full fleet, those that are late already make all others late too.
    */
-  private static double counted(JobSpec spec, OwnedRange range, long since, long now) {
+  private static double counted(JobSpec spec, TaskRange range, long since, long now) {
     double waited = (now - since) / 1000.0;
     if (spec.deadlineS() < 0) {
       return waited;
@@ -299,20 +311,20 @@
   }
 
   /** Places what fits and returns what does not. */
-  private List<Falcon.Waiting<Group>> fill(
-      Pass pass, List<Falcon.Waiting<Group>> groups, boolean withImage) {
+  private List<SelectivePreemption.Waiting<Group>> fill(
+      Pass pass, List<SelectivePreemption.Waiting<Group>> groups, boolean withImage) {
     long step = ++steps;
-    List<Falcon.Waiting<Group>> stuck = new ArrayList<>();
-    Falcon.Queue<Group> queue = falcon.new Queue<>(groups);
-    for (Falcon.Slot<Group> slot = queue.next(); slot != null; slot = queue.next()) {
-      Falcon.Waiting<Group> next = slot.group();
-      OwnedRange range = next.what().range();
+    List<SelectivePreemption.Waiting<Group>> stuck = new ArrayList<>();
+    SelectivePreemption.Queue<Group> queue = falcon.new Queue<>(groups);
+    for (SelectivePreemption.Slot<Group> slot = queue.next(); slot != null; slot = queue.next()) {
+      SelectivePreemption.Waiting<Group> next = slot.group();
+      TaskRange range = next.what().range();
       if (range.spec.kind() == JobSpec.Kind.GANG) {
         slot.takeAll();
         placeGang(pass, range);
         continue;
       }
-      Host.Room room = null;
+      FreeResources room = null;
       // Room only shrinks within a step: what one task of a range did not find, none finds.
       if (range.noRoomIn != step
           && shares.allows(range.spec)
@@ -320,8 +332,8 @@
         room = choose(pass, next.what(), next.what().first());
         if (room == null) {
           range.noRoomIn = step;
-        } else if (!room.host.hasImage(range.spec.image())
-            && !room.host.claimedBy(range, pass.now)
+        } else if (!room.worker.hasImage(range.spec.image())
+            && !room.worker.claimedBy(range, pass.now)
             && !next.what().overdue()
             && (withImage ? !pressing(next.what(), pass.now) : patient(pass, range))) {
           room = null;
@@ -330,12 +342,13 @@
       if (room == null) {
         // What found no room evicts by its own priority, though it may have been drawn by a higher.
         Priority priority = withImage ? next.priority() : range.spec.priority();
-        stuck.add(new Falcon.Waiting<>(next.what(), priority, next.score(), slot.takeAll()));
+        stuck.add(
+            new SelectivePreemption.Waiting<>(next.what(), priority, next.score(), slot.takeAll()));
         continue;
       }
       slot.takeOne();
       int offset = next.what().first();
-      decisions.place(range, offset, room.host, decisions.nextAttempt());
+      decisions.place(range, offset, room.worker, decisions.nextAttempt());
       range.placed.get(offset).spared = next.what().overdue();
       pass.take(room, range.spec);
     }
@@ -347,47 +360,47 @@
    * long. Users see free room, whatever it is reserved for, and expect nothing to wait beside it
    * for long; a range whose tasks start or end now and then is not standing still.
    */
-  private boolean reserveYieldsTo(Pass pass, OwnedRange range) {
+  private boolean reserveYieldsTo(Pass pass, TaskRange range) {
     if (!pass.hasRoomFor(range)) {
-      range.withheldSince = OwnedRange.NOT_WITHHELD;
+      range.withheldSince = TaskRange.NOT_WITHHELD;
       return false;
     }
-    if (range.withheldSince == OwnedRange.NOT_WITHHELD) {
+    if (range.withheldSince == TaskRange.NOT_WITHHELD) {
       range.withheldSince = pass.now;
     }
     long patienceMs =
         Math.round(
             Math.min(
-                node.settings().workerLeaseMs() * RESERVE_YIELDS_AFTER_LEASES,
-                node.bootS() * 1000));
+                context.settings().workerLeaseMs() * RESERVE_YIELDS_AFTER_LEASES,
+                context.shortestBootS() * 1000));
     return pass.now - range.withheldSince > patienceMs;
   }
 
   /** Whether a task has waited for so much of its slack that it takes any room there is. */
   private boolean pressing(Group group, long now) {
-    return node.hurried(group.range().spec) || usedUp(group, now) > PRESSING;
+    return context.isLatencySensitive(group.range().spec) || usedUp(group, now) > PRESSING;
   }
 
   /** The share of its slack that a task has waited for. */
   private double usedUp(Group group, long now) {
     JobSpec spec = group.range().spec;
-    double fetchS = node.fetchS(spec);
+    double fetchS = context.fetchS(spec);
     double slack = spec.deadlineS() < 0 ? 4 * fetchS : spec.deadlineS() - spec.estimateS() - fetchS;
-    return group.waitedS(now) / Math.max(node.tuning().floorS(), slack);
+    return group.waitedS(now) / Math.max(context.operatorSettings().floorS(), slack);
   }
 
   /** All tasks of a gang at once, or none. */
-  private void placeGang(Pass pass, OwnedRange range) {
+  private void placeGang(Pass pass, TaskRange range) {
     BitSet all = (BitSet) range.fresh.clone();
     range.retries.keySet().forEach(all::set);
     if (!shares.allows(range.spec, all.cardinality())) {
       return;
     }
-    Map<Integer, Host.Room> chosen = new TreeMap<>();
+    Map<Integer, FreeResources> chosen = new TreeMap<>();
     for (int offset = all.nextSetBit(0); offset >= 0; offset = all.nextSetBit(offset + 1)) {
-      Host.Room room = choose(pass, new Group(range, offset), offset);
+      FreeResources room = choose(pass, new Group(range, offset), offset);
       if (room == null) {
-        chosen.values().forEach(taken -> taken.giveBack(range.spec));
+        chosen.values().forEach(taken -> taken.release(range.spec));
         return;
       }
       room.take(range.spec);
@@ -395,7 +408,7 @@
     }
     // One attempt for all: a gang's tasks know each other by it.
     long attempt = decisions.nextAttempt();
-    chosen.forEach((offset, room) -> decisions.place(range, offset, room.host, attempt));
+    chosen.forEach((offset, room) -> decisions.place(range, offset, room.worker, attempt));
   }
 
   /**
@@ -403,25 +416,25 @@
    * fetched by another: those that have it get through everything that waits for it before a fetch
    * would end. Our exception to the paper, which leaves data locality open.
    */
-  private boolean patient(Pass pass, OwnedRange range) {
+  private boolean patient(Pass pass, TaskRange range) {
     return pass.patient.computeIfAbsent(range, r -> patientFor(pass, r));
   }
 
-  private boolean patientFor(Pass pass, OwnedRange range) {
+  private boolean patientFor(Pass pass, TaskRange range) {
     JobSpec spec = range.spec;
-    if (node.hurried(spec)) {
+    if (context.isLatencySensitive(spec)) {
       return false;
     }
     double fetchS = 0;
     double slots = 0;
-    for (Host host : machines.all()) {
-      if (!host.hasImage(spec.image()) || !machines.mayStart(host) || host.draining) {
+    for (Worker worker : machines.all()) {
+      if (!worker.hasImage(spec.image()) || !machines.mayStart(worker) || worker.draining) {
         continue;
       }
-      MachineType type = node.type(host.type);
+      MachineType type = context.type(worker.machineType);
       if (type != null) {
-        slots += slotsFor(host, type, spec);
-        fetchS = Math.max(fetchS, Fleet.fetchS(type, spec));
+        slots += slotsFor(worker, type, spec);
+        fetchS = Math.max(fetchS, type.imageFetchS(spec));
       }
     }
     double patience = fetchS * PATIENCE;
@@ -435,9 +448,9 @@
   /**
    * Tasks of a job that a machine has room for, counting what tasks of the same image will leave.
    */
-  private static double slotsFor(Host host, MachineType type, JobSpec spec) {
+  private static double slotsFor(Worker worker, MachineType type, JobSpec spec) {
     double others = 0;
-    for (PlacedTask task : host.placed()) {
+    for (TaskAttempt task : worker.attempts()) {
       if (task.live()
           && (task.range == null
               || task.range.spec == null
@@ -445,37 +458,39 @@
         others += task.cpus;
       }
     }
-    int all = Fleet.perMachine(type, spec);
+    int all = type.tasksPerMachine(spec);
     return spec.cpus() > 0 ? Math.min(all, Math.floor((type.cpus() - others) / spec.cpus())) : all;
   }
 
-  static boolean allowed(FailureTracker failures, OwnedRange range, int offset, Host host) {
+  static boolean allowed(FailureTracker failures, TaskRange range, int offset, Worker worker) {
     JobSpec spec = range.spec;
-    return (spec.types().isEmpty() || spec.types().contains(host.type))
-        && (spec.spot() || !host.spot)
-        && range.zoneAllows(host.zone)
-        && host.placed(new TaskId(range.key.job(), range.record.from() + offset)) == null
-        && !failures.avoids(range, host);
+    return (spec.types().isEmpty() || spec.types().contains(worker.machineType))
+        && (spec.spot() || !worker.spot)
+        && range.zoneAllows(worker.zone)
+        && worker.attempt(new TaskId(range.key.job(), range.record.from() + offset)) == null
+        && !failures.avoids(range, worker);
   }
 
   /** The fitting machine with the least room left, of those that have the image if any has it. */
-  private Host.Room choose(Pass pass, Group group, int offset) {
-    OwnedRange range = group.range();
+  private FreeResources choose(Pass pass, Group group, int offset) {
+    TaskRange range = group.range();
     JobSpec spec = range.spec;
     // Two fetches at once share the line: both tasks start when the later would have anyway. One
     // that hurries goes there all the same, unless downloads were seen to be shared: then its small
     // image takes as long as a large one beside it, and who has it will have room before.
     boolean hurried =
-        node.hurried(spec) && (!downloads.shared() || usedUp(group, pass.now) > SHARES_FROM);
-    Host.Room best = null;
+        context.isLatencySensitive(spec)
+            && (!downloads.shared() || usedUp(group, pass.now) > SHARES_FROM);
+    FreeResources best = null;
     boolean bestHas = false;
     double bestLeft = 0;
-    for (Host.Room room : pass.rooms) {
-      if (!room.fits(spec) || room.host.claimedFrom(range, pass.now)) {
+    for (FreeResources room : pass.rooms) {
+      if (!room.fits(spec) || room.worker.claimedFrom(range, pass.now)) {
         continue;
       }
-      boolean has = room.host.hasImage(spec.image());
-      boolean shares = !hurried && room.host.fetching() && !room.host.claimedBy(range, pass.now);
+      boolean has = room.worker.hasImage(spec.image());
+      boolean shares =
+          !hurried && room.worker.fetching() && !room.worker.claimedBy(range, pass.now);
       if (!has && (bestHas || shares)) {
         continue;
       }
@@ -483,7 +498,7 @@
       if ((best == null
               || (has && !bestHas)
               || (has == bestHas && closer(room, left, best, bestLeft, has)))
-          && allowed(failures, range, offset, room.host)) {
+          && allowed(failures, range, offset, room.worker)) {
         best = room;
         bestHas = has;
         bestLeft = left;
@@ -497,13 +512,13 @@
    * that has to fetch the image had better not be fetching others, which share its line.
    */
   private static boolean closer(
-      Host.Room room, double left, Host.Room best, double bestLeft, boolean hasImage) {
-    if (room.host.closing != best.host.closing) {
-      return best.host.closing;
+      FreeResources room, double left, FreeResources best, double bestLeft, boolean hasImage) {
+    if (room.worker.cordoned != best.worker.cordoned) {
+      return best.worker.cordoned;
     }
-    if (!hasImage && room.host.fetching() != best.host.fetching()) {
-      return best.host.fetching();
+    if (!hasImage && room.worker.fetching() != best.worker.fetching()) {
+      return best.worker.fetching();
     }
-    return room.host.spot != best.host.spot ? room.host.spot : left < bestLeft;
+    return room.worker.spot != best.worker.spot ? room.worker.spot : left < bestLeft;
   }
 }
--- a/src/main/java/org/fieldtrestle/coordination/RecentEntries.java
+++ b/src/main/java/org/fieldtrestle/state/BoundedCache.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.state;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
@@ -7,15 +7,15 @@
  * A bounded cache that is set up with its first entry: setting up one takes milliseconds of
  * processor time, which a controller that has just started needs for its workers.
  */
-final class RecentEntries<K, V> {
+public final class BoundedCache<K, V> {
   private final long maximumSize;
   private Cache<K, V> cache;
 
-  RecentEntries(long maximumSize) {
+  public BoundedCache(long maximumSize) {
     this.maximumSize = maximumSize;
   }
 
-  void put(K key, V value) {
+  public void put(K key, V value) {
     if (cache == null) {
       cache = Caffeine.newBuilder().maximumSize(maximumSize).executor(Runnable::run).build();
     }
@@ -23,7 +23,7 @@
   }
 
   /** The value of a key, or null where it is not remembered. */
-  V get(K key) {
+  public V get(K key) {
     return cache == null ? null : cache.getIfPresent(key);
   }
 }
--- a/src/main/java/org/fieldtrestle/bookkeeping/Store.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -1,12 +1,12 @@
-package org.fieldtrestle.bookkeeping;
+package org.fieldtrestle.state;
 
 import java.util.List;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
+import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.StateWire;
-import org.fieldtrestle.protocol.UserWire;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.protocol.UserProtocol;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 
@@ -14,7 +14,7 @@
  * Our side of the state service: keeps to this controller's part of its limits, and says of every
  * request whether it was executed, was not, or may be at any time.
  */
-public final class Store {
+public final class KeyValueClient {
   /** What became of a request. */
   public sealed interface Result {}
 
@@ -31,7 +31,8 @@
   public record Uncertain() implements Result {}
 
   /** A transaction. */
-  public record Txn(List<StateWire.Condition> conditions, List<StateWire.Change> changes) {}
+  public record Transaction(
+      List<KeyValueProtocol.Condition> conditions, List<KeyValueProtocol.Change> changes) {}
 
   /** Share of a user's patience within which a request has to be over, as a question needs two. */
   private static final double TIMEOUT_SHARE = 0.75;
@@ -52,11 +53,11 @@
   private long failingSince = -1;
   private final Histogram latency = new Histogram(60_000, 2);
 
-  public Store(Reactor reactor, Http.Caller caller, Settings settings) {
+  public KeyValueClient(Reactor reactor, Http.Caller caller, Settings settings) {
     this.reactor = reactor;
     this.caller = caller;
     this.address = settings.stateAddress();
-    this.timeoutMs = Math.round(UserWire.POLL_TIMEOUT_MS * TIMEOUT_SHARE);
+    this.timeoutMs = Math.round(UserProtocol.POLL_TIMEOUT_MS * TIMEOUT_SHARE);
     this.queue =
         new RequestQueue(
             reactor,
@@ -65,7 +66,7 @@
   }
 
   /** For how long the state service has answered nothing that we asked; 0 while it does. */
-  public long unansweredMs() {
+  public long unavailableForMs() {
     return failingSince < 0 ? 0 : reactor.now() - failingSince;
   }
 
@@ -83,19 +84,19 @@
   }
 
   /** True when new work should be held back. */
-  public boolean crowded() {
-    return queue.crowded();
+  public boolean isCongested() {
+    return queue.isCongested();
   }
 
   /** Carries out a transaction that changes keys, once the limits allow it. */
-  public void commit(Txn txn, Consumer<Result> done) {
+  public void commit(Transaction txn, Consumer<Result> done) {
     if (!queue.write(txn.changes().size(), () -> send(txn, done))) {
       reactor.execute(() -> done.accept(new Refused(TOO_MANY_REQUESTS)));
     }
   }
 
   /** Like {@link #commit}, before all writes that wait: for changes of membership alone. */
-  public void commitFirst(Txn txn, Consumer<Result> done) {
+  public void commitWithPriority(Transaction txn, Consumer<Result> done) {
     queue.writeFirst(txn.changes().size(), () -> send(txn, done));
   }
 
@@ -103,16 +104,16 @@
    * Compares keys without changing any. It waits for nothing, as answers to users depend on it; how
    * often it is asked for is bounded by the caller.
    */
-  public void compare(List<StateWire.Condition> conditions, Consumer<Result> done) {
+  public void compare(List<KeyValueProtocol.Condition> conditions, Consumer<Result> done) {
     queue.sentDirectly();
-    send(new Txn(conditions, List.of()), done);
+    send(new Transaction(conditions, List.of()), done);
   }
 
-  private void send(Txn txn, Consumer<Result> done) {
+  private void send(Transaction txn, Consumer<Result> done) {
     call(
         "POST",
-        StateWire.COMMIT,
-        StateWire.commit(txn.conditions(), txn.changes()),
+        KeyValueProtocol.COMMIT,
+        KeyValueProtocol.commit(txn.conditions(), txn.changes()),
         timeoutMs,
         outcome -> done.accept(committed(outcome)));
   }
@@ -125,16 +126,17 @@
       try {
         switch (answer.status()) {
           case 200:
-            return new Committed(StateWire.readRevision(answer.body()));
+            return new Committed(KeyValueProtocol.readRevision(answer.body()));
           case 409:
             return new Conflict(
-                StateWire.readFailed(answer.body()), StateWire.readRevision(answer.body()));
+                KeyValueProtocol.readFailed(answer.body()),
+                KeyValueProtocol.readRevision(answer.body()));
           case 400, 404, 413, 429, 503:
             return new Refused(answer.status());
           default:
             return new Uncertain();
         }
-      } catch (Json.Malformed e) {
+      } catch (Json.MalformedJsonException e) {
         return new Uncertain();
       }
     }
@@ -146,7 +148,7 @@
    *
    * @return false if too many wait already, so that it is never run
    */
-  public boolean whenReadAllowed(Runnable send) {
+  public boolean enqueueRead(Runnable send) {
     return queue.read(send);
   }
 
@@ -154,24 +156,25 @@
   public static final int MAX_PAGE = 1000;
 
   /** Reads a page of keys without waiting for the limits. Null: could not be read. */
-  public void listAtOnce(String prefix, String after, Consumer<StateWire.Listing> done) {
+  public void listUnthrottled(
+      String prefix, String after, Consumer<KeyValueProtocol.Listing> done) {
     queue.sentDirectly();
     list(prefix, after, MAX_PAGE, done);
   }
 
   /** Reads a page of keys; to be sent {@link #whenReadAllowed}. Null: could not be read. */
-  public void list(String prefix, String after, int most, Consumer<StateWire.Listing> done) {
+  public void list(String prefix, String after, int most, Consumer<KeyValueProtocol.Listing> done) {
     call(
         "GET",
-        StateWire.listPath(prefix, after, most),
+        KeyValueProtocol.listPath(prefix, after, most),
         Http.Response.EMPTY,
         timeoutMs * 2,
         outcome -> {
-          StateWire.Listing listing = null;
+          KeyValueProtocol.Listing listing = null;
           if (outcome instanceof Http.Answer answer && answer.status() == 200) {
             try {
-              listing = StateWire.readListing(answer.body());
-            } catch (Json.Malformed e) {
+              listing = KeyValueProtocol.readListing(answer.body());
+            } catch (Json.MalformedJsonException e) {
               listing = null;
             }
           }
@@ -183,7 +186,7 @@
   public sealed interface Watched {}
 
   /** All changes since the revision at which it began. */
-  public record Changes(StateWire.Events events) implements Watched {}
+  public record Changes(KeyValueProtocol.Events events) implements Watched {}
 
   /** The changes since that revision are not kept any more. */
   public record TooOld() implements Watched {}
@@ -198,7 +201,7 @@
     queue.sentDirectly();
     call(
         "GET",
-        StateWire.watchPath(prefix, after, waitMs),
+        KeyValueProtocol.watchPath(prefix, after, waitMs),
         Http.Response.EMPTY,
         waitMs * 2 + timeoutMs,
         outcome -> done.accept(watched(outcome)));
@@ -210,11 +213,11 @@
     }
     try {
       return switch (answer.status()) {
-        case 200 -> new Changes(StateWire.readEvents(answer.body()));
+        case 200 -> new Changes(KeyValueProtocol.readEvents(answer.body()));
         case 410 -> new TooOld();
         default -> new NotServed();
       };
-    } catch (Json.Malformed e) {
+    } catch (Json.MalformedJsonException e) {
       return new Failed();
     }
   }
@@ -224,15 +227,15 @@
     queue.sentDirectly();
     call(
         "POST",
-        StateWire.LEASES,
-        StateWire.ttl(ttlMs),
+        KeyValueProtocol.LEASES,
+        KeyValueProtocol.ttl(ttlMs),
         timeoutMs,
         outcome -> {
           long lease = 0;
           if (outcome instanceof Http.Answer answer && answer.status() == 200) {
             try {
-              lease = StateWire.readLease(answer.body());
-            } catch (Json.Malformed e) {
+              lease = KeyValueProtocol.readLease(answer.body());
+            } catch (Json.MalformedJsonException e) {
               lease = 0;
             }
           }
@@ -251,7 +254,7 @@
     queue.sentDirectly();
     call(
         "POST",
-        StateWire.renewPath(lease),
+        KeyValueProtocol.renewPath(lease),
         Http.Response.EMPTY,
         timeoutMs,
         outcome -> {
--- a/src/main/java/org/fieldtrestle/bookkeeping/Records.java
+++ b/src/main/java/org/fieldtrestle/state/Records.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.bookkeeping;
+package org.fieldtrestle.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.UserWire;
+import org.fieldtrestle.protocol.UserProtocol;
 
 /**
  * What we keep at the state service. Every value carries the version of its form; one that is
@@ -29,13 +29,13 @@
 
   private static final String JOB = LIVE + "job/";
   private static final String RANGE = LIVE + "range/";
-  private static final String ROSTER = LIVE + "roster/";
-  private static final String STRAY = LIVE + "stray/";
+  private static final String INVENTORY = LIVE + "roster/";
+  private static final String ORPHAN = LIVE + "stray/";
 
   /** Where a machine had a record of its own, before rosters. */
   private static final String FORMER_MACHINE = LIVE + "machine/";
 
-  private static final String MASTER = LIVE + "master/";
+  private static final String SHARD = LIVE + "master/";
   private static final String MEMBER = LIVE + "member/";
   private static final String QUOTA = LIVE + "quota/";
 
@@ -73,15 +73,15 @@
     }
   }
 
-  /** One part of a master's roster. */
-  public record RosterKey(String master, int part) implements Key {}
+  /** One part of a shard's roster. */
+  public record InventoryKey(String shard, int part) implements Key {}
 
   /** A machine in some roster; no key of its own, but what those who follow are told of. */
   public record MachineKey(String machine) implements Key {}
 
-  public record StrayKey(String machine) implements Key {}
+  public record OrphanKey(String machine) implements Key {}
 
-  public record MasterKey(String master) implements Key {}
+  public record ShardKey(String shard) implements Key {}
 
   public record MemberKey(String label) implements Key {}
 
@@ -97,20 +97,20 @@
     return RANGE + key.job() + "/" + key.index();
   }
 
-  public static String roster(RosterKey key) {
-    return ROSTER + key.master() + "/" + key.part();
+  public static String inventory(InventoryKey key) {
+    return INVENTORY + key.shard() + "/" + key.part();
   }
 
   /**
    * Shows that a machine was adopted by somebody other than its renter, whose own record of it may
    * still be under way: its writer makes the absence of this key a condition.
    */
-  public static String stray(String machine) {
-    return STRAY + machine;
+  public static String orphan(String machine) {
+    return ORPHAN + machine;
   }
 
-  public static String master(String label) {
-    return MASTER + label;
+  public static String shard(String label) {
+    return SHARD + label;
   }
 
   public static String member(String label) {
@@ -135,14 +135,14 @@
     if (key.startsWith(RANGE) && slash > RANGE.length() && index >= 0) {
       return new RangeKey(key.substring(RANGE.length(), slash), index);
     }
-    if (key.startsWith(ROSTER) && slash > ROSTER.length() && index >= 0) {
-      return new RosterKey(key.substring(ROSTER.length(), slash), index);
+    if (key.startsWith(INVENTORY) && slash > INVENTORY.length() && index >= 0) {
+      return new InventoryKey(key.substring(INVENTORY.length(), slash), index);
     }
-    if (key.startsWith(STRAY)) {
-      return new StrayKey(key.substring(STRAY.length()));
+    if (key.startsWith(ORPHAN)) {
+      return new OrphanKey(key.substring(ORPHAN.length()));
     }
-    if (key.startsWith(MASTER)) {
-      return new MasterKey(key.substring(MASTER.length()));
+    if (key.startsWith(SHARD)) {
+      return new ShardKey(key.substring(SHARD.length()));
     }
     if (key.startsWith(MEMBER)) {
       return new MemberKey(key.substring(MEMBER.length()));
@@ -181,10 +181,10 @@
   }
 
   /** A value that we cannot use. */
-  public static final class Unreadable extends Exception {
+  public static final class UnreadableRecordException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public Unreadable(String reason) {
+    public UnreadableRecordException(String reason) {
       super(reason);
     }
   }
@@ -197,7 +197,7 @@
     public Range range(int part) {
       Part one = parts.get(part);
       return new Range(
-          one.master(),
+          one.shard(),
           one.epoch(),
           one.from(),
           one.to(),
@@ -209,19 +209,18 @@
     }
   }
 
-  /** Some of a job's tasks, as they were first given to a master. */
-  public record Part(String master, long epoch, int from, int to, Map<String, Integer> caps) {}
+  /** Some of a job's tasks, as they were first given to a shard. */
+  public record Part(String shard, long epoch, int from, int to, Map<String, Integer> caps) {}
 
   /**
-   * Some of a job's tasks, from {@code from} up to but without {@code to}, in one master's hands,
-   * as of an epoch of it: a later epoch knows that they may have been started before, and an
-   * earlier one, which may not know yet that it is over, leaves them alone. {@code done} counts
-   * from 0. {@code caps} limits how many may be in a zone at a time; none where it is empty. Team
-   * and amounts are here too, since tasks of a job that has been cancelled count until they are
-   * gone.
+   * Some of a job's tasks, from {@code from} up to but without {@code to}, in one shard's hands, as
+   * of an epoch of it: a later epoch knows that they may have been started before, and an earlier
+   * one, which may not know yet that it is over, leaves them alone. {@code done} counts from 0.
+   * {@code caps} limits how many may be in a zone at a time; none where it is empty. Team and
+   * amounts are here too, since tasks of a job that has been cancelled count until they are gone.
    */
   public record Range(
-      String master,
+      String shard,
       long epoch,
       int from,
       int to,
@@ -239,12 +238,12 @@
     }
 
     public Range withDone(BitSet more) {
-      return new Range(master, epoch, from, to, more, caps, team, cpus, gpus);
+      return new Range(shard, epoch, from, to, more, caps, team, cpus, gpus);
     }
 
     /** The part of it from {@code a} up to but without {@code b}, counted in the job's tasks. */
     public Range between(int a, int b) {
-      return new Range(master, epoch, a, b, done.get(a - from, b - from), caps, team, cpus, gpus);
+      return new Range(shard, epoch, a, b, done.get(a - from, b - from), caps, team, cpus, gpus);
     }
 
     public Range ownedBy(String other, long otherEpoch) {
@@ -253,12 +252,12 @@
   }
 
   /**
-   * A machine in a master's hands, and the epoch of it in which it came up. Nothing is started on
-   * it before that is durable, so that a successor need not wait for those that were still booting.
+   * A machine in a shard's hands, and the epoch of it in which it came up. Nothing is started on it
+   * before that is durable, so that a successor need not wait for those that were still booting.
    * {@code sinceWall} tells for how long one has been booting.
    */
   public record Machine(
-      String master, int part, String type, String zone, boolean spot, long sinceWall, long upIn) {
+      String shard, int part, String type, String zone, boolean spot, long sinceWall, long upIn) {
     public boolean up() {
       return upIn > 0;
     }
@@ -271,87 +270,88 @@
           && spot == that.spot
           && sinceWall == that.sinceWall
           && upIn == that.upIn
-          && master.equals(that.master)
+          && shard.equals(that.shard)
           && type.equals(that.type)
           && zone.equals(that.zone);
     }
 
     @Override
     public int hashCode() {
-      return Objects.hash(master, part, type, zone, spot, sinceWall, upIn);
+      return Objects.hash(shard, part, type, zone, spot, sinceWall, upIn);
     }
 
     public Machine upIn(long epoch) {
-      return new Machine(master, part, type, zone, spot, 0, epoch);
+      return new Machine(shard, part, type, zone, spot, 0, epoch);
     }
   }
 
-  /** Which controller acts as this master. */
-  public record Master(String holder) {}
+  /** Which controller acts as this shard. */
+  public record Shard(String holder) {}
 
   /** A controller that is there; kept under its lease. */
   public record Member(String boot) {}
 
-  /** A team's limit, as split over the masters: CPUs and GPUs. */
+  /** A team's limit, as split over the shards: CPUs and GPUs. */
   public record Quota(Map<String, double[]> shares) {}
 
   /** How a job ended. */
-  public record Final(boolean done, int tasks, int finished) {}
+  public record FinishedJob(boolean done, int tasks, int finished) {}
 
   private static ObjectNode form() {
     return Json.object().put("f", FORM);
   }
 
   public static JsonNode write(Job job) {
-    ObjectNode node = Json.object().put("f", JOB_FORM);
-    node.set("job", UserWire.writeJob(job.spec()));
-    node.put("at", job.acceptedWall());
+    ObjectNode context = Json.object().put("f", JOB_FORM);
+    context.set("job", UserProtocol.writeJob(job.spec()));
+    context.put("at", job.acceptedWall());
     if (job.zone() != null) {
-      node.put("zone", job.zone());
+      context.put("zone", job.zone());
     }
-    ArrayNode parts = node.putArray("parts");
+    ArrayNode parts = context.putArray("parts");
     for (Part part : job.parts()) {
       ObjectNode one = parts.addObject();
-      one.put("m", part.master()).put("e", part.epoch()).put("a", part.from()).put("z", part.to());
+      one.put("m", part.shard()).put("e", part.epoch()).put("a", part.from()).put("z", part.to());
       writeCaps(one, part.caps());
     }
-    return node;
+    return context;
   }
 
-  private static void writeCaps(ObjectNode node, Map<String, Integer> caps) {
+  private static void writeCaps(ObjectNode context, Map<String, Integer> caps) {
     if (!caps.isEmpty()) {
-      ObjectNode written = node.putObject("caps");
+      ObjectNode written = context.putObject("caps");
       caps.forEach(written::put);
     }
   }
 
-  private static Map<String, Integer> readCaps(JsonNode node) {
+  private static Map<String, Integer> readCaps(JsonNode context) {
     Map<String, Integer> caps = new TreeMap<>();
-    for (var cap : node.path("caps").properties()) {
+    for (var cap : context.path("caps").properties()) {
       caps.put(cap.getKey(), cap.getValue().asInt());
     }
     return caps;
   }
 
   public static JsonNode write(Range range) {
-    ObjectNode node = form();
-    node.put("m", range.master())
+    ObjectNode context = form();
+    context
+        .put("m", range.shard())
         .put("e", range.epoch())
         .put("a", range.from())
         .put("z", range.to());
-    node.put("done", TaskSet.encode(range.done()));
-    writeCaps(node, range.caps());
-    return node.put("team", range.team()).put("c", range.cpus()).put("g", range.gpus());
+    context.put("done", TaskSet.encode(range.done()));
+    writeCaps(context, range.caps());
+    return context.put("team", range.team()).put("c", range.cpus()).put("g", range.gpus());
   }
 
   /** What machines of one part of a roster have in common. */
   private record Kind(String type, String zone, boolean spot, long sinceWall, long upIn) {}
 
-  /** One part of a master's roster: machines that have all but their names in common together. */
-  public static JsonNode writeRoster(Map<String, Machine> machines) {
+  /** One part of a shard's roster: machines that have all but their names in common together. */
+  public static JsonNode writeInventory(Map<String, Machine> machines) {
     Map<Kind, ArrayNode> kinds = new LinkedHashMap<>();
-    ObjectNode node = form();
-    ArrayNode groups = node.putArray("groups");
+    ObjectNode context = form();
+    ArrayNode groups = context.putArray("groups");
     machines.forEach(
         (id, machine) -> {
           Kind kind =
@@ -375,15 +375,15 @@
                           .putArray("ids"))
               .add(id);
         });
-    return node;
+    return context;
   }
 
-  public static JsonNode writeStray(String master) {
-    return form().put("m", master);
+  public static JsonNode writeOrphan(String shard) {
+    return form().put("m", shard);
   }
 
-  public static JsonNode write(Master master) {
-    return form().put("holder", master.holder());
+  public static JsonNode write(Shard shard) {
+    return form().put("holder", shard.holder());
   }
 
   public static JsonNode write(Member member) {
@@ -391,52 +391,54 @@
   }
 
   public static JsonNode write(Quota quota) {
-    ObjectNode node = form();
-    ObjectNode shares = node.putObject("shares");
+    ObjectNode context = form();
+    ObjectNode shares = context.putObject("shares");
     quota.shares().forEach((m, s) -> shares.putArray(m).add(s[0]).add(s[1]));
-    return node;
+    return context;
   }
 
-  public static JsonNode write(Final end) {
+  public static JsonNode write(FinishedJob end) {
     return form().put("done", end.done()).put("tasks", end.tasks()).put("finished", end.finished());
   }
 
   /** A reader of one form. */
   private interface Reader<T> {
-    T read(JsonNode node) throws Json.Malformed;
+    T read(JsonNode context) throws Json.MalformedJsonException;
   }
 
-  private static <T> T read(JsonNode node, Reader<T> reader) throws Unreadable {
-    return read(node, FORM, reader);
+  private static <T> T read(JsonNode context, Reader<T> reader) throws UnreadableRecordException {
+    return read(context, FORM, reader);
   }
 
-  private static <T> T read(JsonNode node, int newest, Reader<T> reader) throws Unreadable {
-    JsonNode form = node.path("f");
+  private static <T> T read(JsonNode context, int newest, Reader<T> reader)
+      throws UnreadableRecordException {
+    JsonNode form = context.path("f");
     if (!form.isInt()) {
-      throw new Unreadable("not one of our records");
+      throw new UnreadableRecordException("not one of our records");
     }
     if (form.intValue() < FORM || form.intValue() > newest) {
-      throw new Unreadable("written in form " + form.intValue() + ", this version reads " + newest);
+      throw new UnreadableRecordException(
+          "written in form " + form.intValue() + ", this version reads " + newest);
     }
     try {
-      return reader.read(node);
-    } catch (Json.Malformed | IllegalArgumentException e) {
-      throw new Unreadable("damaged: " + e.getMessage());
+      return reader.read(context);
+    } catch (Json.MalformedJsonException | IllegalArgumentException e) {
+      throw new UnreadableRecordException("damaged: " + e.getMessage());
     }
   }
 
-  public static Job readJob(JsonNode value) throws Unreadable {
+  public static Job readJob(JsonNode value) throws UnreadableRecordException {
     return read(
         value,
         JOB_FORM,
-        node -> {
-          JobSpec spec = UserWire.readJob(node.path("job"));
+        context -> {
+          JobSpec spec = UserProtocol.readJob(context.path("job"));
           List<Part> parts = new ArrayList<>();
-          for (JsonNode one : node.path("parts")) {
+          for (JsonNode one : context.path("parts")) {
             long from = Json.count(one, "a");
             long to = Json.count(one, "z");
             if (from >= to || to > spec.tasks()) {
-              throw new Json.Malformed("parts");
+              throw new Json.MalformedJsonException("parts");
             }
             parts.add(
                 new Part(
@@ -448,47 +450,48 @@
           }
           return new Job(
               spec,
-              Json.count(node, "at"),
-              node.has("zone") ? Json.text(node, "zone") : null,
+              Json.count(context, "at"),
+              context.has("zone") ? Json.text(context, "zone") : null,
               List.copyOf(parts));
         });
   }
 
-  public static Range readRange(JsonNode value) throws Unreadable {
+  public static Range readRange(JsonNode value) throws UnreadableRecordException {
     return read(
         value,
-        node -> {
-          long from = Json.count(node, "a");
-          long to = Json.count(node, "z");
-          if (from > to || to > UserWire.MAX_TASKS) {
-            throw new Json.Malformed("z");
+        context -> {
+          long from = Json.count(context, "a");
+          long to = Json.count(context, "z");
+          if (from > to || to > UserProtocol.MAX_TASKS) {
+            throw new Json.MalformedJsonException("z");
           }
           return new Range(
-              Json.text(node, "m"),
-              Json.count(node, "e"),
+              Json.text(context, "m"),
+              Json.count(context, "e"),
               (int) from,
               (int) to,
-              TaskSet.decode(Json.text(node, "done"), (int) (to - from)),
-              readCaps(node),
-              Json.text(node, "team"),
-              node.path("c").asDouble(),
-              node.path("g").asDouble());
+              TaskSet.decode(Json.text(context, "done"), (int) (to - from)),
+              readCaps(context),
+              Json.text(context, "team"),
+              context.path("c").asDouble(),
+              context.path("g").asDouble());
         });
   }
 
   /** The machines of one part of a roster by name. */
-  public static Map<String, Machine> readRoster(RosterKey key, JsonNode value) throws Unreadable {
+  public static Map<String, Machine> readInventory(InventoryKey key, JsonNode value)
+      throws UnreadableRecordException {
     return read(
         value,
-        node -> {
-          if (!node.path("groups").isArray()) {
-            throw new Json.Malformed("groups");
+        context -> {
+          if (!context.path("groups").isArray()) {
+            throw new Json.MalformedJsonException("groups");
           }
           Map<String, Machine> machines = new TreeMap<>();
-          for (JsonNode group : node.path("groups")) {
+          for (JsonNode group : context.path("groups")) {
             Machine machine =
                 new Machine(
-                    key.master(),
+                    key.shard(),
                     key.part(),
                     Json.text(group, "type"),
                     Json.text(group, "zone"),
@@ -503,24 +506,24 @@
         });
   }
 
-  public static Master readMaster(JsonNode value) throws Unreadable {
-    return read(value, node -> new Master(Json.text(node, "holder")));
+  public static Shard readShard(JsonNode value) throws UnreadableRecordException {
+    return read(value, context -> new Shard(Json.text(context, "holder")));
   }
 
-  public static Member readMember(JsonNode value) throws Unreadable {
-    return read(value, node -> new Member(Json.text(node, "boot")));
+  public static Member readMember(JsonNode value) throws UnreadableRecordException {
+    return read(value, context -> new Member(Json.text(context, "boot")));
   }
 
-  public static Quota readQuota(JsonNode value) throws Unreadable {
+  public static Quota readQuota(JsonNode value) throws UnreadableRecordException {
     return read(
         value,
-        node -> {
+        context -> {
           Map<String, double[]> shares = new TreeMap<>();
-          for (var share : node.path("shares").properties()) {
+          for (var share : context.path("shares").properties()) {
             double cpus = share.getValue().path(0).asDouble(-1);
             double gpus = share.getValue().path(1).asDouble(-1);
             if (!(cpus >= 0) || !(gpus >= 0)) {
-              throw new Json.Malformed("shares");
+              throw new Json.MalformedJsonException("shares");
             }
             shares.put(share.getKey(), new double[] {cpus, gpus});
           }
@@ -528,17 +531,17 @@
         });
   }
 
-  public static Final readFinal(JsonNode value) throws Unreadable {
+  public static FinishedJob readFinal(JsonNode value) throws UnreadableRecordException {
     return read(
         value,
-        node -> {
-          if (!node.path("done").isBoolean()) {
-            throw new Json.Malformed("done");
+        context -> {
+          if (!context.path("done").isBoolean()) {
+            throw new Json.MalformedJsonException("done");
           }
-          return new Final(
-              node.path("done").booleanValue(),
-              (int) Json.count(node, "tasks"),
-              (int) Json.count(node, "finished"));
+          return new FinishedJob(
+              context.path("done").booleanValue(),
+              (int) Json.count(context, "tasks"),
+              (int) Json.count(context, "finished"));
         });
   }
 }
--- a/src/main/java/org/fieldtrestle/bookkeeping/RequestQueue.java
+++ b/src/main/java/org/fieldtrestle/state/RequestQueue.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.bookkeeping;
+package org.fieldtrestle.state;
 
 import java.util.ArrayDeque;
 import org.fieldtrestle.transport.Reactor;
@@ -43,7 +43,7 @@
   }
 
   /** Whether so many writes wait that new work should be held back. */
-  boolean crowded() {
+  boolean isCongested() {
     return waitingWrites.size() >= MAX_WRITES / 2;
   }
 
--- a/src/main/java/org/fieldtrestle/bookkeeping/View.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.bookkeeping;
+package org.fieldtrestle.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -13,9 +13,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.fieldtrestle.bookkeeping.Records.RangeKey;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.StateWire;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.state.Records.RangeKey;
 import org.fieldtrestle.transport.Reactor;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -24,25 +24,25 @@
  * What the state service held at the revision that this controller has followed it to, and our own
  * commits on top. Others read it and are told of every key that changes.
  */
-public final class View {
-  private static final Logger LOG = LoggerFactory.getLogger(View.class);
+public final class StateCache {
+  private static final Logger LOG = LoggerFactory.getLogger(StateCache.class);
 
   /** A record and its version. */
-  public record Kept<T>(T record, long version) {}
+  public record Versioned<T>(T record, long version) {}
 
   /**
    * An accepted job that has not ended, with its ranges. A range of version 0 has no record of its
    * own yet: it is as the job's record names it.
    */
-  public static final class LiveJob {
-    private Kept<Records.Job> job;
-    private final TreeMap<Integer, Kept<Records.Range>> ranges = new TreeMap<>();
+  public static final class ActiveJob {
+    private Versioned<Records.Job> job;
+    private final TreeMap<Integer, Versioned<Records.Range>> ranges = new TreeMap<>();
 
-    public Kept<Records.Job> job() {
+    public Versioned<Records.Job> job() {
       return job;
     }
 
-    public TreeMap<Integer, Kept<Records.Range>> ranges() {
+    public TreeMap<Integer, Versioned<Records.Range>> ranges() {
       return ranges;
     }
 
@@ -51,7 +51,7 @@
         return false;
       }
       int tasks = 0;
-      for (Kept<Records.Range> range : ranges.values()) {
+      for (Versioned<Records.Range> range : ranges.values()) {
         if (!range.record().complete()) {
           return false;
         }
@@ -62,7 +62,7 @@
 
     public int done() {
       int done = 0;
-      for (Kept<Records.Range> range : ranges.values()) {
+      for (Versioned<Records.Range> range : ranges.values()) {
         done += range.record().done().cardinality();
       }
       return done;
@@ -88,15 +88,16 @@
   private static final int STALE_WAITS = 2;
 
   private final Reactor reactor;
-  private final Store store;
-  private final long watchGapMs;
+  private final KeyValueClient store;
+  private final long watchIntervalMs;
   private final long watchWaitMs;
-  private final Map<String, LiveJob> jobs = new HashMap<>();
+  private final Map<String, ActiveJob> jobs = new HashMap<>();
   private final Map<String, Records.Machine> machines = new HashMap<>();
-  private final Map<Records.RosterKey, Map<String, Records.Machine>> rosters = new HashMap<>();
-  private final Map<String, Kept<Records.Master>> masters = new HashMap<>();
-  private final Map<String, Kept<Records.Member>> members = new HashMap<>();
-  private final Map<String, Kept<Records.Quota>> quotas = new HashMap<>();
+  private final Map<Records.InventoryKey, Map<String, Records.Machine>> inventories =
+      new HashMap<>();
+  private final Map<String, Versioned<Records.Shard>> shards = new HashMap<>();
+  private final Map<String, Versioned<Records.Member>> members = new HashMap<>();
+  private final Map<String, Versioned<Records.Quota>> quotas = new HashMap<>();
   private final Map<String, Long> versions = new HashMap<>();
   private final Map<String, Long> removed = new HashMap<>();
   private final Set<String> unreadable = new HashSet<>();
@@ -107,16 +108,16 @@
   private boolean watching;
   private long lastWatch;
   private int failedWatches;
-  private long freshAt = Long.MIN_VALUE;
+  private long freshAsOf = Long.MIN_VALUE;
 
   private record Waiting(long revision, long until, Consumer<Boolean> done) {}
 
-  public View(Reactor reactor, Store store, Settings settings) {
+  public StateCache(Reactor reactor, KeyValueClient store, Settings settings) {
     this.reactor = reactor;
     this.store = store;
     // Reopened watches may take a quarter of the requests that are allowed, and a small part of
     // the processor.
-    this.watchGapMs =
+    this.watchIntervalMs =
         Math.round(
             Math.max(
                 4000 / settings.share(settings.state().rps()),
@@ -129,7 +130,7 @@
   }
 
   /** Adds somebody who is told whenever the state has been followed further. */
-  public void listenProgress(Runnable listener) {
+  public void addProgressListener(Runnable listener) {
     progressListeners.add(listener);
   }
 
@@ -142,30 +143,30 @@
     return followed >= 0;
   }
 
-  public long followed() {
+  public long appliedRevision() {
     return followed;
   }
 
-  public LiveJob job(String id) {
-    LiveJob job = jobs.get(id);
+  public ActiveJob job(String id) {
+    ActiveJob job = jobs.get(id);
     return job == null || job.job == null ? null : job;
   }
 
-  public Collection<LiveJob> jobs() {
+  public Collection<ActiveJob> jobs() {
     return jobs.values();
   }
 
   /** The ranges of a job, also of one that is no longer live. */
-  public NavigableMap<Integer, Kept<Records.Range>> rangesOf(String job) {
-    LiveJob live = jobs.get(job);
+  public NavigableMap<Integer, Versioned<Records.Range>> rangesOf(String job) {
+    ActiveJob live = jobs.get(job);
     return live == null ? Collections.emptyNavigableMap() : live.ranges;
   }
 
-  public Kept<Records.Range> range(RangeKey key) {
+  public Versioned<Records.Range> range(RangeKey key) {
     return rangesOf(key.job()).get(key.index());
   }
 
-  public Map<String, LiveJob> all() {
+  public Map<String, ActiveJob> all() {
     return jobs;
   }
 
@@ -174,32 +175,32 @@
   }
 
   /** The parts of all rosters, as far as they could ever be read. */
-  public Map<Records.RosterKey, Map<String, Records.Machine>> rosters() {
-    return rosters;
+  public Map<Records.InventoryKey, Map<String, Records.Machine>> inventories() {
+    return inventories;
   }
 
-  /** Whether a part of a master's roster cannot be read, so that machines of it may be missing. */
-  public boolean rosterDamaged(String master) {
+  /** Whether a part of a shard's roster cannot be read, so that machines of it may be missing. */
+  public boolean isInventoryDamaged(String shard) {
     for (String key : unreadable) {
-      if (Records.key(key) instanceof Records.RosterKey k && k.master().equals(master)) {
+      if (Records.key(key) instanceof Records.InventoryKey k && k.shard().equals(shard)) {
         return true;
       }
     }
     return false;
   }
 
-  public Kept<Records.Master> master(String label) {
-    return masters.get(label);
+  public Versioned<Records.Shard> shard(String label) {
+    return shards.get(label);
   }
 
-  public Map<String, Kept<Records.Master>> masters() {
-    return masters;
+  public Map<String, Versioned<Records.Shard>> shards() {
+    return shards;
   }
 
-  /** The masters that a controller acts as. */
-  public List<String> mastersOf(String holder) {
+  /** The shards that a controller acts as. */
+  public List<String> shardsLedBy(String holder) {
     List<String> all = new ArrayList<>();
-    masters.forEach(
+    shards.forEach(
         (name, kept) -> {
           if (kept.record().holder().equals(holder)) {
             all.add(name);
@@ -208,30 +209,31 @@
     return all;
   }
 
-  /** How many machines a master has. */
-  public int machinesOf(String master) {
+  /** How many machines a shard has. */
+  public int machineCountOf(String shard) {
     int count = 0;
-    for (Map.Entry<Records.RosterKey, Map<String, Records.Machine>> part : rosters.entrySet()) {
-      count += part.getKey().master().equals(master) ? part.getValue().size() : 0;
+    for (Map.Entry<Records.InventoryKey, Map<String, Records.Machine>> part :
+        inventories.entrySet()) {
+      count += part.getKey().shard().equals(shard) ? part.getValue().size() : 0;
     }
     return count;
   }
 
-  public Map<String, Kept<Records.Member>> members() {
+  public Map<String, Versioned<Records.Member>> members() {
     return members;
   }
 
-  public Kept<Records.Quota> quota(String team) {
+  public Versioned<Records.Quota> quota(String team) {
     return quotas.get(team);
   }
 
-  public long watchGapMs() {
-    return watchGapMs;
+  public long watchIntervalMs() {
+    return watchIntervalMs;
   }
 
   /** Everything that happened before this time is known here. */
-  public long freshAt() {
-    return freshAt;
+  public long freshAsOf() {
+    return freshAsOf;
   }
 
   /** The version of a key; 0 where it does not exist. */
@@ -275,22 +277,22 @@
     private final Set<String> seen = new HashSet<>();
     private String lastKey = "";
     private long firstRevision = -1;
-    private long pauseMs = watchGapMs * RETRY_GAPS;
+    private long pauseMs = watchIntervalMs * RETRY_GAPS;
 
     void nextPage() {
-      store.listAtOnce(Records.LIVE, lastKey, this::received);
+      store.listUnthrottled(Records.LIVE, lastKey, this::received);
     }
 
-    private void received(StateWire.Listing page) {
+    private void received(KeyValueProtocol.Listing page) {
       if (page == null) {
         reactor.schedule(pauseMs, this::nextPage);
-        pauseMs = watchGapMs * LONG_RETRY_GAPS;
+        pauseMs = watchIntervalMs * LONG_RETRY_GAPS;
         return;
       }
       if (firstRevision < 0) {
         firstRevision = page.revision();
       }
-      for (StateWire.Entry entry : page.entries()) {
+      for (KeyValueProtocol.Entry entry : page.entries()) {
         seen.add(entry.key());
         apply(entry);
         lastKey = entry.key();
@@ -305,7 +307,7 @@
     private void finish() {
       for (String key : List.copyOf(versions.keySet())) {
         if (!seen.contains(key) && version(key) <= firstRevision) {
-          apply(new StateWire.Entry(key, null, firstRevision));
+          apply(new KeyValueProtocol.Entry(key, null, firstRevision));
         }
       }
       advance(firstRevision, startedAt);
@@ -335,17 +337,17 @@
         watchWaitMs,
         watched -> {
           watching = false;
-          if (watched instanceof Store.Changes changes) {
+          if (watched instanceof KeyValueClient.Changes changes) {
             failedWatches = 0;
             changes.events().events().forEach(this::apply);
             advance(changes.events().revision(), lastWatch);
-            long gap = Math.max(0, lastWatch + watchGapMs - reactor.now());
+            long gap = Math.max(0, lastWatch + watchIntervalMs - reactor.now());
             reactor.schedule(gap, this::watch);
-          } else if (watched instanceof Store.TooOld) {
+          } else if (watched instanceof KeyValueClient.TooOld) {
             LOG.info("watch from {} is too old, reading everything again", followed);
             reload();
-          } else if (watched instanceof Store.NotServed) {
-            reactor.schedule(watchGapMs * RETRY_GAPS, this::watch);
+          } else if (watched instanceof KeyValueClient.NotServed) {
+            reactor.schedule(watchIntervalMs * RETRY_GAPS, this::watch);
           } else {
             watchFailed();
           }
@@ -359,12 +361,12 @@
    */
   private void watchFailed() {
     failedWatches++;
-    boolean longAgo = reactor.now() - freshAt > STALE_WAITS * watchWaitMs;
+    boolean longAgo = reactor.now() - freshAsOf > STALE_WAITS * watchWaitMs;
     if (failedWatches >= MOST_FAILED_WATCHES && longAgo) {
       LOG.warn("watches from {} fail, reading everything again", followed);
-      reactor.schedule(watchGapMs * RETRY_GAPS, this::reload);
+      reactor.schedule(watchIntervalMs * RETRY_GAPS, this::reload);
     } else {
-      reactor.schedule(watchGapMs * RETRY_GAPS, this::watch);
+      reactor.schedule(watchIntervalMs * RETRY_GAPS, this::watch);
     }
   }
 
@@ -374,7 +376,7 @@
    */
   private void advance(long revision, long asOf) {
     logGap(revision, asOf);
-    freshAt = asOf;
+    freshAsOf = asOf;
     followed = Math.max(followed, revision);
     removed.values().removeIf(r -> r <= followed);
     settle(w -> w.revision() <= followed, true);
@@ -383,8 +385,8 @@
 
   /** After a pause in following, as in an outage: what was read then, and how old it had been. */
   private void logGap(long revision, long asOf) {
-    long gapMs = asOf - freshAt;
-    if (freshAt != Long.MIN_VALUE && gapMs > STALE_WAITS * watchWaitMs) {
+    long gapMs = asOf - freshAsOf;
+    if (freshAsOf != Long.MIN_VALUE && gapMs > STALE_WAITS * watchWaitMs) {
       LOG.atInfo()
           .addKeyValue("fromRevision", followed)
           .addKeyValue("toRevision", revision)
@@ -398,19 +400,19 @@
    * comes after its revision was followed tells nothing new: what it wrote may have been changed or
    * removed since, and applying it would bring removed keys back for good.
    */
-  public void committed(List<StateWire.Change> changes, long revision) {
+  public void committed(List<KeyValueProtocol.Change> changes, long revision) {
     if (revision <= followed) {
       return;
     }
-    for (StateWire.Change change : changes) {
+    for (KeyValueProtocol.Change change : changes) {
       if (change.key().startsWith(Records.LIVE)) {
-        JsonNode value = change instanceof StateWire.Put put ? put.value() : null;
-        apply(new StateWire.Entry(change.key(), value, revision));
+        JsonNode value = change instanceof KeyValueProtocol.Put put ? put.value() : null;
+        apply(new KeyValueProtocol.Entry(change.key(), value, revision));
       }
     }
   }
 
-  private void apply(StateWire.Entry entry) {
+  private void apply(KeyValueProtocol.Entry entry) {
     String key = entry.key();
     if (entry.version() <= version(key) || entry.version() <= removed.getOrDefault(key, 0L)) {
       return;
@@ -428,7 +430,7 @@
       try {
         put(parsed, entry.value(), entry.version());
         unreadable.remove(key);
-      } catch (Records.Unreadable e) {
+      } catch (Records.UnreadableRecordException e) {
         // Contained: the key is left as it is and counts as absent, all others go on.
         if (unreadable.add(key)) {
           LOG.error("unreadable value at state key {}: {}", key, e.getMessage());
@@ -447,37 +449,38 @@
     return !unreadable.contains(key);
   }
 
-  private void put(Records.Key key, JsonNode value, long version) throws Records.Unreadable {
+  private void put(Records.Key key, JsonNode value, long version)
+      throws Records.UnreadableRecordException {
     if (key instanceof Records.JobKey k) {
       Records.Job job = Records.readJob(value);
-      LiveJob live = jobs.computeIfAbsent(k.job(), id -> new LiveJob());
+      ActiveJob live = jobs.computeIfAbsent(k.job(), id -> new ActiveJob());
       if (live.job == null) {
         for (int i = 0; i < job.parts().size(); i++) {
-          live.ranges.putIfAbsent(i, new Kept<>(job.range(i), 0));
+          live.ranges.putIfAbsent(i, new Versioned<>(job.range(i), 0));
         }
       }
-      live.job = new Kept<>(job, version);
+      live.job = new Versioned<>(job, version);
     } else if (key instanceof RangeKey k) {
-      jobs.computeIfAbsent(k.job(), id -> new LiveJob())
+      jobs.computeIfAbsent(k.job(), id -> new ActiveJob())
           .ranges
-          .put(k.index(), new Kept<>(Records.readRange(value), version));
-    } else if (key instanceof Records.RosterKey k) {
-      roster(k, Records.readRoster(k, value));
-    } else if (key instanceof Records.MasterKey k) {
-      masters.put(k.master(), new Kept<>(Records.readMaster(value), version));
+          .put(k.index(), new Versioned<>(Records.readRange(value), version));
+    } else if (key instanceof Records.InventoryKey k) {
+      inventory(k, Records.readInventory(k, value));
+    } else if (key instanceof Records.ShardKey k) {
+      shards.put(k.shard(), new Versioned<>(Records.readShard(value), version));
     } else if (key instanceof Records.MemberKey k) {
-      members.put(k.label(), new Kept<>(Records.readMember(value), version));
+      members.put(k.label(), new Versioned<>(Records.readMember(value), version));
     } else if (key instanceof Records.QuotaKey k) {
-      quotas.put(k.team(), new Kept<>(Records.readQuota(value), version));
+      quotas.put(k.team(), new Versioned<>(Records.readQuota(value), version));
     } else if (key instanceof Records.ForeignKey k) {
-      throw new Records.Unreadable(Records.foreign(k.key()));
+      throw new Records.UnreadableRecordException(Records.foreign(k.key()));
     }
   }
 
   /** Takes over a part of a roster, and tells of each machine that is not as it was. */
-  private void roster(Records.RosterKey key, Map<String, Records.Machine> now) {
-    Map<String, Records.Machine> before = rosters.getOrDefault(key, Map.of());
-    rosters.put(key, now);
+  private void inventory(Records.InventoryKey key, Map<String, Records.Machine> now) {
+    Map<String, Records.Machine> before = inventories.getOrDefault(key, Map.of());
+    inventories.put(key, now);
     before.forEach(
         (id, machine) -> {
           if (!now.containsKey(id) && machine.equals(machines.get(id))) {
@@ -502,30 +505,30 @@
       if (jobs.containsKey(k.job())) {
         jobs.get(k.job()).job = null;
       }
-    } else if (!(key instanceof Records.RosterKey)) {
+    } else if (!(key instanceof Records.InventoryKey)) {
       remove(key);
     }
   }
 
   private void remove(Records.Key key) {
     if (key instanceof Records.JobKey k) {
-      LiveJob job = jobs.get(k.job());
+      ActiveJob job = jobs.get(k.job());
       if (job != null) {
         job.job = null;
         job.ranges.values().removeIf(range -> range.version() == 0);
         dropEmpty(k.job(), job);
       }
     } else if (key instanceof RangeKey k) {
-      LiveJob job = jobs.get(k.job());
+      ActiveJob job = jobs.get(k.job());
       if (job != null) {
         job.ranges.remove(k.index());
         dropEmpty(k.job(), job);
       }
-    } else if (key instanceof Records.RosterKey k) {
-      roster(k, Map.of());
-      rosters.remove(k);
-    } else if (key instanceof Records.MasterKey k) {
-      masters.remove(k.master());
+    } else if (key instanceof Records.InventoryKey k) {
+      inventory(k, Map.of());
+      inventories.remove(k);
+    } else if (key instanceof Records.ShardKey k) {
+      shards.remove(k.shard());
     } else if (key instanceof Records.MemberKey k) {
       members.remove(k.label());
     } else if (key instanceof Records.QuotaKey k) {
@@ -533,7 +536,7 @@
     }
   }
 
-  private void dropEmpty(String id, LiveJob job) {
+  private void dropEmpty(String id, ActiveJob job) {
     if (job.job == null && job.ranges.isEmpty()) {
       jobs.remove(id);
     }
--- a/src/main/java/org/fieldtrestle/bookkeeping/TaskSet.java
+++ b/src/main/java/org/fieldtrestle/state/TaskSet.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.bookkeeping;
+package org.fieldtrestle.state;
 
 import java.util.Base64;
 import java.util.BitSet;
--- a/src/main/java/org/fieldtrestle/bookkeeping/TokenBucket.java
+++ b/src/main/java/org/fieldtrestle/state/TokenBucket.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.bookkeeping;
+package org.fieldtrestle.state;
 
 /** A rate limit that allows bursts of one second's worth. */
 final class TokenBucket {
--- a/src/main/java/org/fieldtrestle/transport/WorkMeter.java
+++ b/src/main/java/org/fieldtrestle/transport/EventLoopMeter.java
@@ -8,7 +8,7 @@
  * Counts how often the event loop does each kind of work and how long that takes. Work that is done
  * within other work counts for itself alone, so that the times add up. Lives on one event loop.
  */
-public final class WorkMeter {
+public final class EventLoopMeter {
   /** The kinds of work that are told apart. */
   public enum Work {
     HTTP_SERVER_READ,
@@ -48,7 +48,7 @@
   /**
    * @param nanoTime a steady clock in nanoseconds
    */
-  public WorkMeter(LongSupplier nanoTime) {
+  public EventLoopMeter(LongSupplier nanoTime) {
     this.nanoTime = nanoTime;
   }
 
--- a/src/main/java/org/fieldtrestle/transport/HttpClient.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpClient.java
@@ -43,10 +43,10 @@
   private final EventLoop loop;
   private final Map<String, ArrayDeque<Line>> idle = new HashMap<>();
 
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private final Set<String> needed;
   private final int maxOthers;
-  private final WorkMeter meter;
+  private final EventLoopMeter meter;
 
   /** Connections to others than those we depend on. */
   private int others;
@@ -57,7 +57,11 @@
    * @param meter what writing requests and reading answers costs is counted here
    */
   public HttpClient(
-      EventLoop loop, Sockets sockets, Set<String> needed, int maxOthers, WorkMeter meter) {
+      EventLoop loop,
+      SocketBudget sockets,
+      Set<String> needed,
+      int maxOthers,
+      EventLoopMeter meter) {
     this.meter = meter;
     this.loop = loop;
     this.sockets = sockets;
@@ -74,7 +78,7 @@
       long timeoutMs,
       Consumer<Http.Outcome> done) {
     meter.run(
-        WorkMeter.Work.HTTP_CLIENT_WRITE,
+        EventLoopMeter.Work.HTTP_CLIENT_WRITE,
         () -> call(address, new Pending(method, path, body, done), timeoutMs));
   }
 
@@ -229,7 +233,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse message) {
-      meter.run(WorkMeter.Work.HTTP_CLIENT_READ, () -> read(ctx, message));
+      meter.run(EventLoopMeter.Work.HTTP_CLIENT_READ, () -> read(ctx, message));
     }
 
     private void read(ChannelHandlerContext ctx, FullHttpResponse message) {
--- a/src/main/java/org/fieldtrestle/transport/HttpServer.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpServer.java
@@ -53,11 +53,11 @@
 
   private final EventLoopGroup group;
   private final Http.Handler handler;
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private final Predicate<String> doesWithout;
   private final long idleMs;
   private final long requestMs;
-  private final WorkMeter meter;
+  private final EventLoopMeter meter;
 
   /** Connections that owe us the rest of a request, and since when, the longest first. */
   private final Map<Channel, Long> owing = new LinkedHashMap<>();
@@ -74,11 +74,11 @@
   public HttpServer(
       EventLoopGroup group,
       Http.Handler handler,
-      Sockets sockets,
+      SocketBudget sockets,
       Predicate<String> doesWithout,
       long idleMs,
       long requestMs,
-      WorkMeter meter) {
+      EventLoopMeter meter) {
     this.meter = meter;
     this.group = group;
     this.handler = handler;
@@ -184,7 +184,7 @@
         sockets.busy(ctx.channel());
         owing.put(ctx.channel(), now());
       }
-      int outer = meter.begin(WorkMeter.Work.HTTP_SERVER_READ);
+      int outer = meter.begin(EventLoopMeter.Work.HTTP_SERVER_READ);
       try {
         super.channelRead(ctx, message);
       } finally {
@@ -240,7 +240,7 @@
     }
 
     private void send(ChannelHandlerContext ctx, boolean keep, Http.Response response) {
-      meter.run(WorkMeter.Work.HTTP_SERVER_WRITE, () -> write(ctx, keep, response));
+      meter.run(EventLoopMeter.Work.HTTP_SERVER_WRITE, () -> write(ctx, keep, response));
     }
 
     private void write(ChannelHandlerContext ctx, boolean keep, Http.Response response) {
--- a/src/main/java/org/fieldtrestle/transport/PeerNet.java
+++ b/src/main/java/org/fieldtrestle/transport/PeerTransport.java
@@ -29,15 +29,15 @@
  * Frames between controllers: each sends on connections that it opened itself and reads on those
  * that others opened. What cannot be sent now is dropped, as the next frame replaces it.
  */
-public final class PeerNet implements PeerLink {
-  private static final Logger LOG = LoggerFactory.getLogger(PeerNet.class);
+public final class PeerTransport implements PeerSender {
+  private static final Logger LOG = LoggerFactory.getLogger(PeerTransport.class);
 
   /** Unsent bytes after which a peer that reads nothing gets no more. */
   private static final int MAX_UNSENT = 64 * 1024;
 
   private final EventLoopGroup group;
   private final int maxFrame;
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private final int maxInbound;
   private final long idleMs;
   private final long connectMs;
@@ -48,9 +48,9 @@
    * @param idleMs an incoming connection on which nothing arrives for so long is closed
    * @param connectMs a connection that is not there by then is tried anew
    */
-  public PeerNet(
+  public PeerTransport(
       EventLoopGroup group,
-      Sockets sockets,
+      SocketBudget sockets,
       int maxFrame,
       int maxInbound,
       long idleMs,
--- a/src/main/java/org/fieldtrestle/transport/Sockets.java
+++ b/src/main/java/org/fieldtrestle/transport/SocketBudget.java
@@ -11,7 +11,7 @@
  * whoever needs one gets it while there are any, then in the place of an idle connection. A few are
  * kept for those we depend on. Lives on one event loop.
  */
-public final class Sockets {
+public final class SocketBudget {
   /** Share of the limit that is no socket of ours: files, and those that are still being closed. */
   private static final double BESIDE = 0.04;
 
@@ -33,7 +33,7 @@
   private final Set<Channel> idleIn = new LinkedHashSet<>();
   private int open;
 
-  public Sockets(int limit) {
+  public SocketBudget(int limit) {
     this.kept = (int) Math.ceil(limit * KEPT);
     this.most = Math.max(1, limit - (int) Math.ceil(limit * BESIDE));
   }
--- a/src/main/java/org/fieldtrestle/coordination/FailureTracker.java
+++ b/src/main/java/org/fieldtrestle/worker/FailureTracker.java
@@ -1,9 +1,11 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.worker;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Supplier;
+import org.fieldtrestle.context.ControllerContext;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -12,7 +14,7 @@
  * when jobs fail there that are under no suspicion; a job is suspect when it failed on several
  * machines and never succeeded.
  */
-final class FailureTracker {
+public final class FailureTracker {
   private static final Logger LOG = LoggerFactory.getLogger(FailureTracker.class);
 
   /** Machines that a job without any success must have failed on to be suspect itself. */
@@ -38,19 +40,21 @@
     boolean suspect;
   }
 
-  private final Master master;
+  private final ControllerContext context;
+  private final Supplier<WorkerRegistry> workers;
   private final Map<String, JobRecord> jobs = new HashMap<>();
 
   /** Machines on which some job has failed. */
   private final Set<String> condemning = new HashSet<>();
 
-  FailureTracker(Master master) {
-    this.master = master;
+  public FailureTracker(ControllerContext context, Supplier<WorkerRegistry> workers) {
+    this.context = context;
+    this.workers = workers;
   }
 
-  void succeeded(PlacedTask task, long now) {
-    task.host.errors = 0;
-    task.host.errorJobs.clear();
+  void succeeded(TaskAttempt task, long now) {
+    task.worker.errors = 0;
+    task.worker.errorJobs.clear();
     JobRecord job = jobs.computeIfAbsent(task.task.job(), j -> new JobRecord());
     job.succeeded = true;
     job.suspect = false;
@@ -67,37 +71,37 @@
    * Looks whether a task takes much longer than its job's others did. Estimates say little about a
    * machine, as they are often wrong by half; the job's own tasks elsewhere say more.
    */
-  void crawled(PlacedTask task, long now) {
+  public void crawled(TaskAttempt task, long now) {
     JobRecord job = jobs.get(task.task.job());
-    Host host = task.host;
+    Worker worker = task.worker;
     if (job == null
         || job.runs < USUAL_AFTER
         || task.elapsedS(now) < CRAWLS_AT * job.runSeconds / job.runs
-        || !host.crawled.add(task.task)
-        || host.crawled.size() < CRAWLER_AFTER
-        || host.draining) {
+        || !worker.slowTasks.add(task.task)
+        || worker.slowTasks.size() < CRAWLER_AFTER
+        || worker.draining) {
       return;
     }
-    host.drain("crawls");
+    worker.drain("crawls");
     LOG.warn(
         "machine {} crawls: {} took {} s, usual {} s",
-        host.id,
+        worker.id,
         task.task,
         Math.round(task.elapsedS(now)),
         Math.round(job.runSeconds / job.runs));
   }
 
   /** A task failed; decides where and when it, and its machine's others, go next. */
-  void failed(PlacedTask task, OwnedRange.Retry retry, int failures, long now) {
+  void failed(TaskAttempt task, TaskRange.Retry retry, int failures, long now) {
     String id = task.task.job();
-    Host host = task.host;
+    Worker worker = task.worker;
     JobRecord job = jobs.computeIfAbsent(id, j -> new JobRecord());
-    job.failedOn.add(host.id);
-    condemning.add(host.id);
+    job.failedOn.add(worker.id);
+    condemning.add(worker.id);
     if (!job.suspect && !job.succeeded && job.failedOn.size() >= SUSPECT_AFTER) {
       job.suspect = true;
       LOG.warn("job {} fails on every machine: {}", id, job.failedOn);
-      for (Host other : master.machines().all()) {
+      for (Worker other : workers.get().all()) {
         if (other.errorJobs.remove(id)) {
           other.errors = other.errorJobs.size();
           other.quarantineUntil = 0;
@@ -108,35 +112,35 @@
         }
       }
     }
-    long pause = master.node.reportMs(0.5) << Math.min(failures, 5);
+    long pause = context.heartbeatIntervalsMs(0.5) << Math.min(failures, 5);
     retry.notBefore = now + (job.suspect ? pause : 0);
     if (job.suspect) {
       return;
     }
-    host.errors++;
-    host.errorJobs.add(id);
-    host.quarantineUntil = now + master.node.reportMs(4);
-    if (host.errors >= FAULTY_AFTER && !host.draining) {
-      host.drain("fails its tasks");
-      LOG.warn("machine {} fails its tasks, last of {}", host.id, id);
+    worker.errors++;
+    worker.errorJobs.add(id);
+    worker.quarantineUntil = now + context.heartbeatIntervalsMs(4);
+    if (worker.errors >= FAULTY_AFTER && !worker.draining) {
+      worker.drain("fails its tasks");
+      LOG.warn("machine {} fails its tasks, last of {}", worker.id, id);
     }
   }
 
   /** A task of a job is not tried again where it failed, unless the job fails everywhere. */
-  boolean avoids(OwnedRange range, Host host) {
+  public boolean avoids(TaskRange range, Worker worker) {
     JobRecord job = jobs.get(range.key.job());
-    return job != null && !job.suspect && job.failedOn.contains(host.id);
+    return job != null && !job.suspect && job.failedOn.contains(worker.id);
   }
 
   /** Whether any job avoids a machine: else all of its kind are alike to all that wait. */
-  boolean avoidsAny(Host host) {
-    return condemning.contains(host.id);
+  public boolean avoidsAny(Worker worker) {
+    return condemning.contains(worker.id);
   }
 
-  void forgetEnded() {
-    jobs.keySet().removeIf(id -> master.node.view().job(id) == null);
+  public void forgetEnded() {
+    jobs.keySet().removeIf(id -> context.stateCache().job(id) == null);
     if (!condemning.isEmpty()) {
-      condemning.removeIf(id -> master.machines().get(id) == null);
+      condemning.removeIf(id -> workers.get().get(id) == null);
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/coordination/ImageDownloads.java
+++ b/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.worker;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -9,7 +9,7 @@
  * image takes many times its time beside a large one on a line that is shared, and no longer on
  * another.
  */
-final class ImageDownloads {
+public final class ImageDownloads {
   private static final Logger LOG = LoggerFactory.getLogger(ImageDownloads.class);
 
   /** Weight of the next observation. */
@@ -26,8 +26,8 @@
 
   private double stretch = 1;
 
-  ImageDownloads(double reportS) {
-    this.tellingS = reportS / 2;
+  ImageDownloads(double heartbeatIntervalS) {
+    this.tellingS = heartbeatIntervalS / 2;
   }
 
   /** An image that began beside others has come. */
@@ -42,7 +42,7 @@
     }
   }
 
-  boolean shared() {
+  public boolean shared() {
     return stretch > SHARED_FROM;
   }
 }
--- a/src/main/java/org/fieldtrestle/coordination/PlacedTask.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
@@ -1,12 +1,12 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.worker;
 
 import org.fieldtrestle.protocol.TaskId;
-import org.fieldtrestle.protocol.WorkerWire.Cause;
+import org.fieldtrestle.protocol.WorkerProtocol.Cause;
 
 /** A task that is, or may be, on a machine. */
-final class PlacedTask {
+public final class TaskAttempt {
   /** Where it stands, as far as the machine has told. */
-  enum State {
+  public enum State {
     /** Its start is on the way, or will be. */
     STARTING,
     FETCHING,
@@ -21,19 +21,19 @@
     }
   }
 
-  final TaskId task;
-  final long attempt;
-  final Host host;
+  public final TaskId task;
+  public final long attempt;
+  final Worker worker;
 
   /** What it takes, and of whose limit: counted until it is gone, whatever becomes of its range. */
   final String team;
 
-  final double cpus;
-  final double gpus;
-  final double memoryGb;
+  public final double cpus;
+  public final double gpus;
+  public final double memoryGb;
 
   /** Null once the range is no longer ours to keep. */
-  OwnedRange range;
+  public TaskRange range;
 
   /** The session of the machine in which it was placed or found. */
   final long session;
@@ -52,49 +52,50 @@
   /** The machine's last report before its start should have come; below 0 where that is open. */
   long answeredSeq = -1;
 
-  boolean stop;
+  public boolean stop;
   boolean stopSent;
-  double graceS;
+  public double graceS;
 
   /** Exited, and whatever its end means is durable, so that the machine may forget it. */
   boolean clearable;
 
-  final long placedAt;
-  long runningSince = -1;
+  public final long placedAt;
+  public long runningSince = -1;
 
   /**
    * The first of a job that had waited too long to begin: a burst of a higher priority would else
    * evict it as soon as it was placed, since it has run so little.
    */
-  boolean spared;
+  public boolean spared;
 
   /** How long its image should take by itself, where its line was busy when it was placed; or 0. */
-  double fetchBesideS;
+  public double fetchBesideS;
 
   /** Its beginning was not seen: it was there when this epoch found it. */
   boolean found;
 
-  final double waitedS;
+  public final double waitedS;
 
-  PlacedTask(TaskId task, long attempt, Host host, OwnedRange range, long now, double waitedS) {
+  public TaskAttempt(
+      TaskId task, long attempt, Worker worker, TaskRange range, long now, double waitedS) {
     this.task = task;
     this.attempt = attempt;
-    this.host = host;
+    this.worker = worker;
     this.range = range;
     this.team = range.record.team();
     this.cpus = range.record.cpus();
     this.gpus = range.record.gpus();
     this.memoryGb = range.spec == null ? 0 : range.spec.memoryGb();
-    this.session = host.session;
+    this.session = worker.incarnation;
     this.placedAt = now;
     this.waitedS = waitedS;
   }
 
-  State state() {
+  public State state() {
     return state;
   }
 
-  /** For its host, see {@link Host#moved}. */
+  /** For its host, see {@link Worker#moved}. */
   void enter(State next) {
     state = next;
   }
@@ -109,7 +110,7 @@
     return placedAt - Math.round(waitedS * 1000);
   }
 
-  boolean live() {
+  public boolean live() {
     return state != State.EXITED;
   }
 
@@ -117,12 +118,12 @@
     return runningSince < 0 ? 0 : (now - runningSince) / 1000.0;
   }
 
-  double remainingS(long now, double estimateS) {
+  public double remainingS(long now, double estimateS) {
     return Math.max(0, estimateS - elapsedS(now));
   }
 
   @Override
   public String toString() {
-    return task + "." + attempt + "@" + host.id;
+    return task + "." + attempt + "@" + worker.id;
   }
 }
--- a/src/main/java/org/fieldtrestle/coordination/OwnedRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.worker;
 
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 import it.unimi.dsi.fastutil.ints.Int2ObjectMap;
@@ -6,26 +6,26 @@
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.Set;
-import org.fieldtrestle.bookkeeping.Records;
 import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.state.Records;
 
-/** A range in this master's hands: which of its tasks wait, are on machines, or have finished. */
-final class OwnedRange {
+/** A range in this shard's hands: which of its tasks wait, are on machines, or have finished. */
+public final class TaskRange {
   /** A task that waits again after having been on a machine. */
-  static final class Retry {
-    long waitingSince;
-    long notBefore;
+  public static final class Retry {
+    public long waitingSince;
+    public long notBefore;
   }
 
-  final Records.RangeKey key;
-  Records.Range record;
-  long version;
+  public final Records.RangeKey key;
+  public Records.Range record;
+  public long version;
 
   /** Null where the job has ended (or its record is not to be read). */
-  JobSpec spec;
+  public JobSpec spec;
 
   /** The only zone, where the job or its record names one. */
-  String zone;
+  public String zone;
 
   /** True once the job is known to have ended while this range still has to be wound up. */
   boolean ended;
@@ -40,42 +40,42 @@
   boolean unstoppedLogged;
 
   /** Was there before this epoch began, so that its tasks may be on machines not heard of yet. */
-  final boolean inherited;
+  public final boolean inherited;
 
-  final long waitingSince;
+  public final long waitingSince;
 
   /**
    * Tasks that finished but whose done is not durable yet. Numbers count from the range's first.
    */
-  final BitSet finished = new BitSet();
+  public final BitSet finished = new BitSet();
 
-  final Int2ObjectMap<PlacedTask> placed = new Int2ObjectOpenHashMap<>();
+  public final Int2ObjectMap<TaskAttempt> placed = new Int2ObjectOpenHashMap<>();
 
   /** Tasks that have exited as done and wait on their machines until that is durable. */
-  final Set<PlacedTask> exited = new HashSet<>();
+  final Set<TaskAttempt> exited = new HashSet<>();
 
-  static final long NOT_WITHHELD = -1;
+  public static final long NOT_WITHHELD = -1;
 
   /** Since when there is room for its tasks that is reserved for others, and none has moved. */
-  long withheldSince = NOT_WITHHELD;
+  public long withheldSince = NOT_WITHHELD;
 
   /** The placement step in which no machine had room for its tasks. */
-  long noRoomIn = -1;
+  public long noRoomIn = -1;
 
-  final Int2ObjectMap<Retry> retries = new Int2ObjectOpenHashMap<>();
+  public final Int2ObjectMap<Retry> retries = new Int2ObjectOpenHashMap<>();
 
   /** How often tasks have failed; outlives their being placed again. */
   final Int2IntOpenHashMap failures = new Int2IntOpenHashMap();
 
   /** Tasks that wait and have not been on a machine in this epoch. */
-  final BitSet fresh = new BitSet();
+  public final BitSet fresh = new BitSet();
 
-  boolean writing;
+  public boolean writing;
 
   /** When what has finished is to be written though more is to come; below 0 where nothing has. */
   long writeAt = -1;
 
-  OwnedRange(
+  TaskRange(
       Records.RangeKey key, Records.Range record, long version, boolean inherited, long since) {
     this.key = key;
     this.record = record;
@@ -94,7 +94,7 @@
     return record.done().get(offset);
   }
 
-  void place(int offset, PlacedTask task) {
+  public void place(int offset, TaskAttempt task) {
     fresh.clear(offset);
     retries.remove(offset);
     placed.put(offset, task);
@@ -123,7 +123,7 @@
     }
   }
 
-  boolean mayRetryAll(long now) {
+  public boolean mayRetryAll(long now) {
     for (Retry retry : retries.values()) {
       if (retry.notBefore > now) {
         return false;
@@ -133,34 +133,34 @@
   }
 
   /** Whether a task waits and cannot be anywhere; not so one that has failed here. */
-  boolean isNowhere(int offset) {
+  public boolean isNowhere(int offset) {
     return fresh.get(offset) || retries.containsKey(offset) && !failures.containsKey(offset);
   }
 
   /** The offset of some task that waits; below 0 where none does. */
-  int firstWaiting() {
+  public int firstWaiting() {
     if (!fresh.isEmpty()) {
       return fresh.nextSetBit(0);
     }
     return retries.isEmpty() ? -1 : retries.keySet().iterator().nextInt();
   }
 
-  int waiting() {
+  public int waiting() {
     return fresh.cardinality() + retries.size();
   }
 
   /** How many of its tasks are on machines of a zone. */
   int inZone(String name) {
     int count = 0;
-    for (PlacedTask task : placed.values()) {
-      if (task.host.zone.equals(name)) {
+    for (TaskAttempt task : placed.values()) {
+      if (task.worker.zone.equals(name)) {
         count++;
       }
     }
     return count;
   }
 
-  boolean zoneAllows(String name) {
+  public boolean zoneAllows(String name) {
     if (zone != null && !zone.equals(name)) {
       return false;
     }
--- a/src/main/java/org/fieldtrestle/coordination/Ranges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.worker;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,19 +7,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.fieldtrestle.bookkeeping.Records;
-import org.fieldtrestle.bookkeeping.View;
-import org.fieldtrestle.protocol.StateWire;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.protocol.TaskId;
-import org.fieldtrestle.protocol.WorkerWire;
+import org.fieldtrestle.protocol.WorkerProtocol;
+import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.StateCache;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * A master's ranges and what becomes of their tasks; everything durable about them is done here.
- */
-final class Ranges {
-  private static final Logger LOG = LoggerFactory.getLogger(Ranges.class);
+/** A shard's ranges and what becomes of their tasks; everything durable about them is done here. */
+public final class TaskRanges {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskRanges.class);
 
   /** Reports that go by before a task that should have been stopped is worth a line in the log. */
   private static final double UNSTOPPED_AFTER_REPORTS = 3;
@@ -27,37 +26,42 @@
   /** Half of what a transaction may hold. */
   private static final int MOST_BYTES = 32 * 1024;
 
-  private final Master master;
-  private final Node node;
+  private final LeadershipTerm term;
+  private final ShardEvents events;
+  private final FailureTracker failures;
+  private final ControllerContext context;
   private final CommandPolicy policy;
-  private final TreeMap<Records.RangeKey, OwnedRange> ranges = new TreeMap<>();
-  private final Map<String, List<OwnedRange>> byJob = new HashMap<>();
-
-  Ranges(Master master) {
-    this.master = master;
-    this.node = master.node;
-    this.policy = master.policy();
+  private final TreeMap<Records.RangeKey, TaskRange> ranges = new TreeMap<>();
+  private final Map<String, List<TaskRange>> byJob = new HashMap<>();
+
+  public TaskRanges(
+      ControllerContext context, LeadershipTerm term, FailureTracker failures, ShardEvents events) {
+    this.context = context;
+    this.term = term;
+    this.failures = failures;
+    this.events = events;
+    this.policy = term.policy();
   }
 
-  Iterable<OwnedRange> all() {
+  public Iterable<TaskRange> all() {
     return ranges.values();
   }
 
-  int count() {
+  public int count() {
     return ranges.size();
   }
 
-  List<OwnedRange> ofJob(String job) {
+  public List<TaskRange> ofJob(String job) {
     return byJob.getOrDefault(job, List.of());
   }
 
-  private boolean has(OwnedRange range) {
+  private boolean has(TaskRange range) {
     return ranges.get(range.key) == range;
   }
 
   /** The range that a task is in; null where it is none of ours. */
-  OwnedRange of(TaskId task) {
-    for (OwnedRange range : ofJob(task.job())) {
+  TaskRange of(TaskId task) {
+    for (TaskRange range : ofJob(task.job())) {
       if (range.has(task.index())) {
         return range;
       }
@@ -65,9 +69,9 @@
     return null;
   }
 
-  double waitingCpus() {
+  public double waitingCpus() {
     double waiting = 0;
-    for (OwnedRange range : ranges.values()) {
+    for (TaskRange range : ranges.values()) {
       if (!policy.mustStop(range)) {
         waiting += range.waiting() * range.record.cpus();
       }
@@ -78,10 +82,10 @@
   // ---- records
 
   /** Follows the record of a range; true where it is or was ours. */
-  boolean sync(Records.RangeKey key) {
-    View.Kept<Records.Range> kept = node.view().range(key);
-    OwnedRange range = ranges.get(key);
-    // One given to a later epoch of this master is not ours, though we may not know yet that we
+  public boolean sync(Records.RangeKey key) {
+    StateCache.Versioned<Records.Range> kept = context.stateCache().range(key);
+    TaskRange range = ranges.get(key);
+    // One given to a later epoch of this shard is not ours, though we may not know yet that we
     // are over: both would start its tasks.
     if (!policy.isOurs(kept)) {
       if (range != null) {
@@ -90,21 +94,23 @@
       return range != null;
     }
     if (range == null) {
-      View.LiveJob job = node.view().job(key.job());
+      StateCache.ActiveJob job = context.stateCache().job(key.job());
       long age =
-          job == null ? 0 : Math.max(0, node.reactor().wall() - job.job().record().acceptedWall());
+          job == null
+              ? 0
+              : Math.max(0, context.reactor().wall() - job.job().record().acceptedWall());
       range =
-          new OwnedRange(
+          new TaskRange(
               key,
               kept.record(),
               kept.version(),
-              kept.record().epoch() < master.epoch,
-              node.now() - age);
-      range.cancelled = node.cancellations().wasHeard(key.job());
+              kept.record().epoch() < term.epoch(),
+              context.now() - age);
+      range.cancelled = context.cancellations().wasHeard(key.job());
       ranges.put(key, range);
       byJob.computeIfAbsent(key.job(), j -> new ArrayList<>()).add(range);
       refreshJob(range);
-      master.arrived(range);
+      events.rangeAdded(range);
       return true;
     }
     range.record = kept.record();
@@ -112,7 +118,7 @@
     range.fresh.clear(range.record.size(), Math.max(range.record.size(), range.fresh.length()));
     range.finished.andNot(range.record.done());
     range.fresh.andNot(range.record.done());
-    for (PlacedTask task : List.copyOf(range.exited)) {
+    for (TaskAttempt task : List.copyOf(range.exited)) {
       if (range.isDone(task.offset())) {
         task.clearable = true;
         range.exited.remove(task);
@@ -123,36 +129,36 @@
   }
 
   /** Follows the record of a job, which may name ranges without records of their own. */
-  boolean syncJob(String job) {
+  public boolean syncJob(String job) {
     boolean ours = false;
-    for (int index : List.copyOf(node.view().rangesOf(job).keySet())) {
+    for (int index : List.copyOf(context.stateCache().rangesOf(job).keySet())) {
       ours |= sync(new Records.RangeKey(job, index));
     }
-    for (OwnedRange range : List.copyOf(ofJob(job))) {
+    for (TaskRange range : List.copyOf(ofJob(job))) {
       ours |= sync(range.key);
     }
     return ours;
   }
 
-  private void drop(OwnedRange range) {
+  private void drop(TaskRange range) {
     ranges.remove(range.key);
-    List<OwnedRange> same = byJob.get(range.key.job());
+    List<TaskRange> same = byJob.get(range.key.job());
     same.remove(range);
     if (same.isEmpty()) {
       byJob.remove(range.key.job());
     }
-    for (PlacedTask task : range.placed.values()) {
+    for (TaskAttempt task : range.placed.values()) {
       task.range = null;
-      master.stop(task, 0);
+      events.stop(task, 0);
     }
-    for (PlacedTask task : range.exited) {
+    for (TaskAttempt task : range.exited) {
       task.range = null;
       task.clearable = true;
     }
   }
 
-  void refreshJob(OwnedRange range) {
-    View.LiveJob job = node.view().job(range.key.job());
+  void refreshJob(TaskRange range) {
+    StateCache.ActiveJob job = context.stateCache().job(range.key.job());
     if (job != null) {
       range.spec = job.job().record().spec();
       range.zone = job.job().record().zone();
@@ -164,11 +170,11 @@
         LOG.info("job {} has ended, winding up range {}", range.key.job(), range.key);
       }
       stopAll(range);
-      for (PlacedTask task : range.exited) {
+      for (TaskAttempt task : range.exited) {
         task.clearable = true;
       }
       range.exited.clear();
-      master.sendDirect();
+      events.sendCommands();
       windUp(range);
     }
   }
@@ -177,84 +183,84 @@
    * Another controller has told a user that a job is cancelled. That is final, so that what runs is
    * stopped, though the state service may not have shown it yet.
    */
-  void cancelled(String job) {
-    for (OwnedRange range : ofJob(job)) {
+  public void cancelled(String job) {
+    for (TaskRange range : ofJob(job)) {
       range.cancelled = true;
       stopAll(range);
     }
-    master.sendDirect();
+    events.sendCommands();
   }
 
-  private void stopAll(OwnedRange range) {
+  private void stopAll(TaskRange range) {
     if (range.stoppingSince < 0) {
-      range.stoppingSince = node.now();
+      range.stoppingSince = context.now();
     }
-    for (PlacedTask task : List.copyOf(range.placed.values())) {
-      master.stop(task, 0);
+    for (TaskAttempt task : List.copyOf(range.placed.values())) {
+      events.stop(task, 0);
     }
   }
 
   /** Logs once for each range why tasks that should have been stopped are still there. */
-  void logUnstopped(long now) {
-    for (OwnedRange range : ranges.values()) {
+  public void logUnstopped(long now) {
+    for (TaskRange range : ranges.values()) {
       if (range.stoppingSince < 0
           || range.unstoppedLogged
           || range.placed.isEmpty()
-          || now - range.stoppingSince < node.reportMs(UNSTOPPED_AFTER_REPORTS)) {
+          || now - range.stoppingSince < context.heartbeatIntervalsMs(UNSTOPPED_AFTER_REPORTS)) {
         continue;
       }
       range.unstoppedLogged = true;
-      PlacedTask task = range.placed.values().iterator().next();
+      TaskAttempt task = range.placed.values().iterator().next();
       LOG.atWarn()
           .addKeyValue("range", range.key)
           .addKeyValue("tasks", range.placed.size())
           .addKeyValue("sinceMs", now - range.stoppingSince)
           .addKeyValue("example", task)
-          .addKeyValue("because", master.machines().commands().stopPendingBecause(task))
+          .addKeyValue("because", events.stopPendingReason(task))
           .log("cancelled tasks are not stopped yet");
     }
   }
 
-  void refreshAll() {
-    for (OwnedRange range : List.copyOf(ranges.values())) {
+  public void refreshAll() {
+    for (TaskRange range : List.copyOf(ranges.values())) {
       refreshJob(range);
     }
   }
 
   /** Removes the range of an ended job once nothing of it can be anywhere. */
-  private void windUp(OwnedRange range) {
+  private void windUp(TaskRange range) {
     if (!range.ended || !range.placed.isEmpty() || range.writing || blocked(range)) {
       return;
     }
     range.writing = true;
-    master.write(
-        List.of(new StateWire.Condition(Records.range(range.key), range.version)),
-        List.of(new StateWire.Delete(Records.range(range.key))),
+    term.write(
+        List.of(new KeyValueProtocol.Condition(Records.range(range.key), range.version)),
+        List.of(new KeyValueProtocol.Delete(Records.range(range.key))),
         committed -> {
           range.writing = false;
         });
   }
 
   /** A machine that may hold tasks of it has not been heard of in this epoch. */
-  boolean blocked(OwnedRange range) {
-    return range.inherited && master.anyUnresolved();
+  public boolean blocked(TaskRange range) {
+    return range.inherited && events.hasUnreconciledWorkers();
   }
 
   // ---- tasks
 
   /** A task has ended by itself, or by a stop. */
-  void exited(PlacedTask task) {
-    OwnedRange range = task.range;
-    long now = node.now();
+  void exited(TaskAttempt task) {
+    TaskRange range = task.range;
+    long now = context.now();
     LOG.debug("task {} exited: {}", task, task.cause);
     if (range == null) {
       task.clearable = true;
       return;
     }
     int offset = task.offset();
-    if (task.cause == WorkerWire.Cause.DONE) {
+    if (task.cause == WorkerProtocol.Cause.DONE) {
       range.finish(offset);
-      master.failures().succeeded(task, now);
+      failures.succeeded(task, now);
       if (range.ended || range.isDone(offset)) {
         task.clearable = true;
       } else {
@@ -267,16 +273,16 @@
     if (range.placed.get(offset) != task) {
       return;
     }
-    OwnedRange.Retry retry = range.again(offset, task.waitingSince());
+    TaskRange.Retry retry = range.again(offset, task.waitingSince());
     switch (task.cause) {
       case ERROR -> {
         // Waiting starts anew: a task that fails everywhere must not age into evicting others.
         retry.waitingSince = now;
-        master.failures().failed(task, retry, range.failures.addTo(offset, 1) + 1, now);
+        failures.failed(task, retry, range.failures.addTo(offset, 1) + 1, now);
       }
       case NO_ROOM, BUSY, UNKNOWN -> {
-        retry.notBefore = now + node.reportMs(0.5);
-        task.host.quarantineUntil = now + node.reportMs(0.5);
+        retry.notBefore = now + context.heartbeatIntervalsMs(0.5);
+        task.worker.quarantineUntil = now + context.heartbeatIntervalsMs(0.5);
       }
       default -> {}
     }
@@ -284,9 +290,9 @@
   }
 
   /** The machine does not have this task any more, nor can it get it by anything we sent. */
-  void gone(PlacedTask task) {
-    task.host.remove(task);
-    OwnedRange range = task.range;
+  void gone(TaskAttempt task) {
+    task.worker.remove(task);
+    TaskRange range = task.range;
     if (range == null) {
       return;
     }
@@ -301,12 +307,12 @@
   // ---- writes
 
   /** That a range is still as we know it; one without a record of its own is as its job's is. */
-  List<StateWire.Condition> unchanged(OwnedRange range) {
-    List<StateWire.Condition> conditions = new ArrayList<>();
-    conditions.add(new StateWire.Condition(Records.range(range.key), range.version));
+  List<KeyValueProtocol.Condition> unchanged(TaskRange range) {
+    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
+    conditions.add(new KeyValueProtocol.Condition(Records.range(range.key), range.version));
     if (range.version == 0) {
       String job = Records.job(range.key.job());
-      conditions.add(new StateWire.Condition(job, node.view().version(job)));
+      conditions.add(new KeyValueProtocol.Condition(job, context.stateCache().version(job)));
     }
     return conditions;
   }
@@ -315,13 +321,13 @@
    * After handing tasks on has failed or its fate is unknown: they may still be taken by the late
    * transaction, until a write of our own has moved the range's version past it.
    */
-  void settle(OwnedRange range, BitSet held) {
-    if (master.isOver() || !has(range)) {
+  public void settle(TaskRange range, BitSet held) {
+    if (term.isOver() || !has(range)) {
       return;
     }
-    master.write(
+    term.write(
         unchanged(range),
-        List.of(new StateWire.Put(Records.range(range.key), Records.write(range.record), 0)),
+        List.of(new KeyValueProtocol.Put(Records.range(range.key), Records.write(range.record), 0)),
         committed -> {
           if (!committed) {
             settle(range, held);
@@ -331,19 +337,19 @@
           held.andNot(range.record.done());
           range.fresh.or(held);
           written(range);
-          master.passSoon();
+          events.requestPlacementPass();
         });
   }
 
   /** A write of the range is over; what has finished meanwhile goes into the next. */
-  void written(OwnedRange range) {
+  public void written(TaskRange range) {
     range.writing = false;
     if (!range.finished.isEmpty() && has(range)) {
       writeSoon(range);
     }
   }
 
-  private void writeSoon(OwnedRange range) {
+  private void writeSoon(TaskRange range) {
     if (range.writing) {
       return;
     }
@@ -351,69 +357,69 @@
       // Until all are done, what is done is safe on its machines; it is written now and then only
       // so that reports stay short and little is done again where a machine is lost.
       if (range.writeAt < 0) {
-        range.writeAt = node.now() + node.settings().workerLeaseMs();
+        range.writeAt = context.now() + context.settings().workerLeaseMs();
       }
       return;
     }
     range.writing = true;
     // A short wait lets tasks that end together share a write.
-    node.reactor().schedule(node.view().watchGapMs() / 3, () -> writeDone(range));
+    context.reactor().schedule(context.stateCache().watchIntervalMs() / 3, () -> writeDone(range));
   }
 
-  private static Records.Range withFinished(OwnedRange range) {
+  private static Records.Range withFinished(TaskRange range) {
     BitSet done = (BitSet) range.record.done().clone();
     done.or(range.finished);
     return range.record.withDone(done);
   }
 
-  private void writeDone(OwnedRange range) {
-    if (master.isOver() || range.finished.isEmpty() || !has(range)) {
+  private void writeDone(TaskRange range) {
+    if (term.isOver() || range.finished.isEmpty() || !has(range)) {
       range.writing = false;
       return;
     }
     Records.Range next = withFinished(range);
-    List<StateWire.Condition> conditions = unchanged(range);
-    List<StateWire.Change> changes = new ArrayList<>();
-    if (!JobCompletion.add(node, range.key, next, conditions, changes)) {
-      changes.add(new StateWire.Put(Records.range(range.key), Records.write(next), 0));
+    List<KeyValueProtocol.Condition> conditions = unchanged(range);
+    List<KeyValueProtocol.Change> changes = new ArrayList<>();
+    if (!JobCompletion.add(context, range.key, next, conditions, changes)) {
+      changes.add(new KeyValueProtocol.Put(Records.range(range.key), Records.write(next), 0));
     }
     range.writeAt = -1;
-    master.write(
+    term.write(
         conditions,
         changes,
         committed -> {
           written(range);
-          master.sendDirect();
+          events.sendCommands();
         });
   }
 
   /** Writes what is done of ranges that are not through, many at once. */
-  void writePartial(long now) {
-    if (node.store().crowded()) {
+  public void writePartial(long now) {
+    if (context.store().isCongested()) {
       return;
     }
-    List<OwnedRange> batch = new ArrayList<>();
-    List<StateWire.Condition> conditions = new ArrayList<>();
-    List<StateWire.Change> changes = new ArrayList<>();
+    List<TaskRange> batch = new ArrayList<>();
+    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
+    List<KeyValueProtocol.Change> changes = new ArrayList<>();
     int bytes = 0;
-    for (OwnedRange range : ranges.values()) {
+    for (TaskRange range : ranges.values()) {
       if (range.writeAt < 0 || range.writing || range.writeAt > now || range.ended) {
         continue;
       }
       Records.Range next = withFinished(range);
       JsonNode value = Records.write(next);
       bytes += value.toString().length() + 200;
-      if (batch.size() >= node.settings().state().txnOps() / 2 || bytes > MOST_BYTES) {
+      if (batch.size() >= context.settings().state().txnOps() / 2 || bytes > MOST_BYTES) {
         break;
       }
       conditions.addAll(unchanged(range));
-      changes.add(new StateWire.Put(Records.range(range.key), value, 0));
+      changes.add(new KeyValueProtocol.Put(Records.range(range.key), value, 0));
       range.writing = true;
       range.writeAt = -1;
       batch.add(range);
     }
     if (!batch.isEmpty()) {
-      master.write(conditions, changes, committed -> batch.forEach(this::written));
+      term.write(conditions, changes, committed -> batch.forEach(this::written));
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/coordination/Usage.java
+++ b/src/main/java/org/fieldtrestle/worker/TeamUsage.java
@@ -1,12 +1,12 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.worker;
 
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 
 /**
- * What each team's tasks take of one master's machines, kept up as tasks come and go: it is asked
+ * What each team's tasks take of one shard's machines, kept up as tasks come and go: it is asked
  * for every task that is to be placed.
  */
-final class Usage {
+public final class TeamUsage {
   private static final class Sum {
     int tasks;
     double cpus;
@@ -15,14 +15,14 @@
 
   private final Object2ObjectOpenHashMap<String, Sum> teams = new Object2ObjectOpenHashMap<>();
 
-  void add(PlacedTask task) {
+  void add(TaskAttempt task) {
     Sum sum = teams.computeIfAbsent(task.team, t -> new Sum());
     sum.tasks++;
     sum.cpus += task.cpus;
     sum.gpus += task.gpus;
   }
 
-  void remove(PlacedTask task) {
+  void remove(TaskAttempt task) {
     Sum sum = teams.get(task.team);
     sum.cpus -= task.cpus;
     sum.gpus -= task.gpus;
@@ -31,12 +31,12 @@
     }
   }
 
-  double cpus(String team) {
+  public double cpus(String team) {
     Sum sum = teams.get(team);
     return sum == null ? 0 : sum.cpus;
   }
 
-  double gpus(String team) {
+  public double gpus(String team) {
     Sum sum = teams.get(team);
     return sum == null ? 0 : sum.gpus;
   }
--- a/src/test/java/org/fieldtrestle/WarmUpServicesTest.java
+++ b/src/test/java/org/fieldtrestle/WarmUpServicesTest.java
@@ -4,11 +4,11 @@
 
 import java.io.IOException;
 import java.util.SplittableRandom;
-import org.fieldtrestle.coordination.Controller;
-import org.fieldtrestle.coordination.Tuning;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.rehearsal.SimulatedNetwork;
-import org.fieldtrestle.transport.WorkMeter;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.controller.Controller;
+import org.fieldtrestle.simulation.SimulatedNetwork;
+import org.fieldtrestle.transport.EventLoopMeter;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -23,7 +23,7 @@
   private static final long LONGEST_RUN_MS = 10_000;
 
   @Test
-  void theWarmUpRunIsServedToItsEnd() throws IOException, Settings.Invalid {
+  void theWarmUpRunIsServedToItsEnd() throws IOException, Settings.InvalidSettingException {
     boolean[] served = {false};
     SimulatedNetwork network = new SimulatedNetwork();
     WarmUpServices services =
@@ -31,12 +31,12 @@
     Controller controller =
         new Controller(
             WarmUp.settings(PORT),
-            Tuning.DEFAULT,
+            OperatorSettings.DEFAULT,
             network.reactor(),
             new SplittableRandom(1),
             network.caller(),
             (address, frame) -> {},
-            new WorkMeter(() -> 0));
+            new EventLoopMeter(() -> 0));
     network.serve(SERVICES, services);
     controller.start(() -> network.serve(CONTROLLER, controller));
     services.start(SERVICES, CONTROLLER);
--- a/src/test/java/org/fieldtrestle/coordination/OperatorFileTest.java
+++ b/src/test/java/org/fieldtrestle/config/OperatorSettingsParserTest.java
@@ -1,26 +1,27 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import org.fieldtrestle.protocol.Settings;
 import org.junit.jupiter.api.Test;
 
-class OperatorFileTest {
+class OperatorSettingsParserTest {
   @Test
-  void whatIsNotSaidHasItsDefault() throws Settings.Invalid {
-    assertEquals(Tuning.DEFAULT, OperatorFile.parse(""));
-    Tuning read =
-        OperatorFile.parse(
+  void whatIsNotSaidHasItsDefault() throws Settings.InvalidSettingException {
+    assertEquals(OperatorSettings.DEFAULT, OperatorSettingsParser.parse(""));
+    OperatorSettings read =
+        OperatorSettingsParser.parse(
             "falcon {\n  delta = 0.5\n}\neviction {\n  wait_s = 4\n}\nreserve = 2\n");
     assertEquals(0.5, read.delta());
     assertEquals(4, read.evictWaitS());
     assertEquals(2, read.reserve());
-    assertEquals(Tuning.DEFAULT.margin(), read.margin());
+    assertEquals(OperatorSettings.DEFAULT.margin(), read.margin());
   }
 
   private static void refused(String text, String field) {
-    Settings.Invalid error = assertThrows(Settings.Invalid.class, () -> OperatorFile.parse(text));
+    Settings.InvalidSettingException error =
+        assertThrows(
+            Settings.InvalidSettingException.class, () -> OperatorSettingsParser.parse(text));
     assertEquals(field, error.getMessage().split(":")[0]);
   }
 
--- a/src/test/java/org/fieldtrestle/protocol/SettingsFileTest.java
+++ b/src/test/java/org/fieldtrestle/config/SettingsParserTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.protocol;
+package org.fieldtrestle.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class SettingsFileTest {
+class SettingsParserTest {
   private static final String GOOD =
       """
       label = "n-0"
@@ -55,8 +55,8 @@
       """;
 
   @Test
-  void aGoodFileIsRead() throws Settings.Invalid {
-    Settings settings = SettingsFile.parse(GOOD);
+  void aGoodFileIsRead() throws Settings.InvalidSettingException {
+    Settings settings = SettingsParser.parse(GOOD);
     assertEquals("n-1", settings.peers().get(0).label());
     assertEquals(10, settings.team("t").cpusMax());
     // A controller's own lease, the workers' and a margin stay within a cancellation's time.
@@ -66,8 +66,10 @@
 
   private static void refused(String from, String to, String field) {
     assertTrue(GOOD.contains(from), from);
-    Settings.Invalid error =
-        assertThrows(Settings.Invalid.class, () -> SettingsFile.parse(GOOD.replace(from, to)));
+    Settings.InvalidSettingException error =
+        assertThrows(
+            Settings.InvalidSettingException.class,
+            () -> SettingsParser.parse(GOOD.replace(from, to)));
     assertEquals(field, error.getMessage().split(": ")[0]);
     assertEquals(1, error.getMessage().lines().count());
   }
@@ -87,16 +89,17 @@
     refused("label = \"n-0\"", "label = ", "file");
   }
 
-  private static void warned(String from, String to, String field) throws Settings.Invalid {
+  private static void warned(String from, String to, String field)
+      throws Settings.InvalidSettingException {
     assertTrue(GOOD.contains(from), from);
-    List<String> warnings = SettingsFile.parse(GOOD.replace(from, to)).warnings(80);
+    List<String> warnings = SettingsParser.parse(GOOD.replace(from, to)).warnings(80);
     assertEquals(1, warnings.size(), warnings.toString());
     assertTrue(warnings.get(0).startsWith(field + ": "), warnings.get(0));
   }
 
   @Test
-  void figuresThatAreTooSmallAreServedWithAWarning() throws Settings.Invalid {
-    assertEquals(List.of(), SettingsFile.parse(GOOD).warnings(80));
+  void figuresThatAreTooSmallAreServedWithAWarning() throws Settings.InvalidSettingException {
+    assertEquals(List.of(), SettingsParser.parse(GOOD).warnings(80));
     warned("write_rps = 40.0", "write_rps = 4.0", "cluster.state.write_rps");
     warned("\nrps = 200.0", "\nrps = 12.0", "cluster.state.rps");
     warned("mem_mb = 263.0", "mem_mb = 100.0", "cluster.machine_limits.mem_mb");
--- a/src/test/java/org/fieldtrestle/coordination/CancellationsTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/CancellationNoticesTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,24 +6,26 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import org.fieldtrestle.controller.StatsPage;
 import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.shard.ShardLeaderFixture;
 import org.junit.jupiter.api.Test;
 
 /** What is counted of cancellations, and where those on call see it. */
-class CancellationsTest {
-  private final Cancellations cancellations = new Cancellations();
+class CancellationNoticesTest {
+  private final CancellationNotices cancellations = new CancellationNotices();
 
   @Test
   void aConfirmedCancellationCountsAsNotFollowedUntilItsRevisionIs() {
-    cancellations.followed(10);
+    cancellations.appliedRevision(10);
     cancellations.confirmed(12);
     cancellations.confirmed(11);
     cancellations.confirmed(9);
     assertEquals(3, cancellations.confirmedCount());
     assertEquals(2, cancellations.notFollowedCount());
-    cancellations.followed(11);
+    cancellations.appliedRevision(11);
     assertEquals(1, cancellations.notFollowedCount());
-    cancellations.followed(12);
+    cancellations.appliedRevision(12);
     assertEquals(0, cancellations.notFollowedCount());
   }
 
@@ -45,12 +47,12 @@
 
   @Test
   void theStatsPageShowsAgesRefusalsAndCancellations() {
-    MasterFixture fixture = new MasterFixture();
+    ShardLeaderFixture fixture = new ShardLeaderFixture();
     fixture.showToken();
-    fixture.node.cancellations().confirmed(MasterFixture.LATER_REVISION);
+    fixture.context.cancellations().confirmed(ShardLeaderFixture.LATER_REVISION);
     fixture.commitCancellation();
     fixture.report();
-    JsonNode page = Json.parseOrEmpty(StatsPage.render(fixture.node, List.of(fixture.master)));
+    JsonNode page = Json.parseOrEmpty(StatsPage.render(fixture.context, List.of(fixture.shard)));
     assertEquals(1, page.path("cancellations").path("notFollowedYet").asInt());
     assertTrue(page.path("startsRefused").path("job_ended").asInt() > 0, page.toString());
     assertEquals(0, page.path("startsRefused").path("fence_closed").asInt(-1));
--- a/src/test/java/org/fieldtrestle/coordination/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -1,16 +1,16 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.fieldtrestle.bookkeeping.Records;
-import org.fieldtrestle.bookkeeping.Store;
-import org.fieldtrestle.bookkeeping.View;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.StateWire;
-import org.fieldtrestle.rehearsal.SimulatedNetwork;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.simulation.SimulatedNetwork;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.StateCache;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 import org.junit.jupiter.api.Test;
@@ -29,7 +29,7 @@
   private Http.Caller lateCommits() {
     Http.Caller prompt = network.caller();
     return (address, method, path, body, timeoutMs, done) -> {
-      long late = path.equals(StateWire.COMMIT) ? LATE_MS : 0;
+      long late = path.equals(KeyValueProtocol.COMMIT) ? LATE_MS : 0;
       prompt.call(
           address,
           method,
@@ -42,35 +42,36 @@
 
   private final class Begun implements Membership.Listener {
     @Override
-    public void began(String master, long epoch, boolean othersMayAct) {
+    public void began(String shard, long epoch, boolean formerLeaderMayAct) {
       begun.add(epoch);
     }
 
     @Override
-    public void ended(String master) {}
+    public void ended(String shard) {}
   }
 
   /**
-   * The own master was taken by another before the answer to our taking it came, and that was
+   * The own shard was taken by another before the answer to our taking it came, and that was
    * followed: nobody would ever tell us again that we are not its leader.
    */
   @Test
   void aMasterThatAnotherHasTakenBeforeTheAnswerCameIsNotBegun() {
     network.serveState();
     Settings settings = network.settings(LABEL);
-    Store store = new Store(reactor, lateCommits(), settings);
-    View view = new View(reactor, store, settings);
-    Membership membership = new Membership(reactor, store, view, settings, "boot");
-    view.start();
+    KeyValueClient store = new KeyValueClient(reactor, lateCommits(), settings);
+    StateCache stateCache = new StateCache(reactor, store, settings);
+    Membership membership = new Membership(reactor, store, stateCache, settings, "boot");
+    stateCache.start();
     network.runFor(500);
     membership.start(new Begun());
     network.runFor(LATE_MS / 2);
-    network.writeState(Records.master(LABEL), Records.write(new Records.Master("trestle-1")));
+    network.writeState(Records.shard(LABEL), Records.write(new Records.Shard("trestle-1")));
     network.runFor(LATE_MS / 4);
-    long taken = view.version(Records.master(LABEL));
+    long taken = stateCache.version(Records.shard(LABEL));
     network.runFor(LATE_MS);
     assertTrue(begun.stream().noneMatch(epoch -> epoch < taken), begun + " before " + taken);
     network.runFor(settings.stateLeaseMs());
-    assertEquals(view.version(Records.master(LABEL)), begun.get(begun.size() - 1), "taken back");
+    assertEquals(
+        stateCache.version(Records.shard(LABEL)), begun.get(begun.size() - 1), "taken back");
   }
 }
--- a/src/test/java/org/fieldtrestle/protocol/JsonTreeTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/JsonTreeTest.java
@@ -32,7 +32,7 @@
 
   @Property(tries = 500, seed = "1")
   void treesAreReadAndWrittenAsTheMapperDoes(@ForAll("objects") ObjectNode tree)
-      throws JsonProcessingException, Json.Malformed {
+      throws JsonProcessingException, Json.MalformedJsonException {
     byte[] expected = MAPPER.writeValueAsBytes(tree);
     assertEquals(text(expected), text(Json.bytes(tree)));
     assertEquals(tree, Json.parse(expected));
@@ -90,11 +90,12 @@
         "{\"a\":01}"
       })
   void whatIsNotOneObjectIsRefused(String body) {
-    assertThrows(Json.Malformed.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
+    assertThrows(
+        Json.MalformedJsonException.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  void theLastOfTwoFieldsOfTheSameNameCounts() throws Json.Malformed {
+  void theLastOfTwoFieldsOfTheSameNameCounts() throws Json.MalformedJsonException {
     assertEquals(
         2, Json.parse("{\"a\":1,\"a\":2}".getBytes(StandardCharsets.UTF_8)).path("a").asInt());
   }
@@ -114,7 +115,8 @@
   @Test
   void deeperNestingThanJacksonAllowsIsRefused() {
     String body = "{\"a\":" + "[".repeat(2 * DEEP) + "]".repeat(2 * DEEP) + "}";
-    assertThrows(Json.Malformed.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
+    assertThrows(
+        Json.MalformedJsonException.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
   }
 
   private static String text(byte[] bytes) {
--- a/src/test/java/org/fieldtrestle/protocol/WiresTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/ProtocolsTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-class WiresTest {
+class ProtocolsTest {
   private static ObjectNode job() {
     return Json.object()
         .put("uid", "job-000412")
@@ -46,36 +46,38 @@
   }
 
   @Test
-  void everyRequiredFieldIsRequiredAndNamed() throws Json.Malformed {
-    assertEquals(16, UserWire.readJob(Json.bytes(job())).tasks());
+  void everyRequiredFieldIsRequiredAndNamed() throws Json.MalformedJsonException {
+    assertEquals(16, UserProtocol.readJob(Json.bytes(job())).tasks());
     job()
         .fieldNames()
         .forEachRemaining(
             field -> {
               ObjectNode without = job();
               without.remove(field);
-              Json.Malformed error =
+              Json.MalformedJsonException error =
                   assertThrows(
-                      Json.Malformed.class, () -> UserWire.readJob(Json.bytes(without)), field);
+                      Json.MalformedJsonException.class,
+                      () -> UserProtocol.readJob(Json.bytes(without)),
+                      field);
               assertEquals(field, error.getMessage());
               for (Object bad : new Object[] {"", -1, List.of()}) {
                 ObjectNode wrong = job();
                 wrong.putPOJO(field, bad);
                 assertThrows(
-                    Json.Malformed.class,
-                    () -> UserWire.readJob(Json.bytes(wrong)),
+                    Json.MalformedJsonException.class,
+                    () -> UserProtocol.readJob(Json.bytes(wrong)),
                     field + " " + bad);
               }
             });
   }
 
   @Test
-  void nullMeansAbsentAndUnknownFieldsAreIgnored() throws Json.Malformed {
+  void nullMeansAbsentAndUnknownFieldsAreIgnored() throws Json.MalformedJsonException {
     ObjectNode node = job().putNull("rigs").putNull("yard").putNull("dueS").put("extra", 5);
-    JobSpec spec = UserWire.readJob(Json.bytes(node));
+    JobSpec spec = UserProtocol.readJob(Json.bytes(node));
     assertEquals(List.of(), spec.types());
     assertEquals(-1, spec.deadlineS());
-    assertEquals(spec, UserWire.readJob(Json.bytes(UserWire.writeJob(spec))));
+    assertEquals(spec, UserProtocol.readJob(Json.bytes(UserProtocol.writeJob(spec))));
   }
 
   @Test
@@ -84,32 +86,33 @@
       String text =
           new String(Json.bytes(job()), StandardCharsets.UTF_8)
               .replace("\"boards\":16", "\"boards\":" + boards);
-      assertThrows(Json.Malformed.class, () -> UserWire.readJob(utf8(text)), boards);
+      assertThrows(
+          Json.MalformedJsonException.class, () -> UserProtocol.readJob(utf8(text)), boards);
     }
     String endless =
         new String(Json.bytes(job()), StandardCharsets.UTF_8)
             .replace("\"cpus\":8.0", "\"cpus\":1e400");
-    assertThrows(Json.Malformed.class, () -> UserWire.readJob(utf8(endless)));
+    assertThrows(Json.MalformedJsonException.class, () -> UserProtocol.readJob(utf8(endless)));
     for (String body : new String[] {"", "[]", "7", "{", "{}x", "null", "\"a\"", "{\"uid\":"}) {
-      assertThrows(Json.Malformed.class, () -> UserWire.readJob(utf8(body)), body);
+      assertThrows(Json.MalformedJsonException.class, () -> UserProtocol.readJob(utf8(body)), body);
     }
   }
 
   @Property(tries = 500, seed = "41")
   void noBytesMakeAReaderFailOtherwiseThanByName(@ForAll byte[] noise) {
     try {
-      UserWire.readJob(noise);
-    } catch (Json.Malformed e) {
+      UserProtocol.readJob(noise);
+    } catch (Json.MalformedJsonException e) {
       assertTrue(e.getMessage() != null);
     }
     try {
-      WorkerWire.readReport(noise);
-    } catch (Json.Malformed e) {
+      WorkerProtocol.readHeartbeat(noise);
+    } catch (Json.MalformedJsonException e) {
       assertTrue(e.getMessage() != null);
     }
     try {
-      PeerWire.decode(ByteBuffer.wrap(noise));
-    } catch (PeerWire.BadFrame e) {
+      PeerProtocol.decode(ByteBuffer.wrap(noise));
+    } catch (PeerProtocol.MalformedFrameException e) {
       assertTrue(e.getMessage() != null);
     }
   }
@@ -120,39 +123,42 @@
       @ForAll @LongRange(min = 0) long epoch,
       @ForAll @DoubleRange(min = 0, max = 1e9) double amount,
       @ForAll @IntRange(max = 10) int rooms)
-      throws PeerWire.BadFrame {
-    List<PeerWire.Room> all = new ArrayList<>();
+      throws PeerProtocol.MalformedFrameException {
+    List<PeerProtocol.FreeCapacity> all = new ArrayList<>();
     for (int i = 0; i < rooms; i++) {
-      all.add(new PeerWire.Room("zone-" + i, amount, i, amount / 2));
+      all.add(new PeerProtocol.FreeCapacity("zone-" + i, amount, i, amount / 2));
     }
-    PeerWire.Load load = new PeerWire.Load(sender, "m", epoch, amount, amount * 2, all);
-    ByteBuffer frame = PeerWire.encode(epoch / 3, load);
+    PeerProtocol.ShardLoad load =
+        new PeerProtocol.ShardLoad(sender, "m", epoch, amount, amount * 2, all);
+    ByteBuffer frame = PeerProtocol.encode(epoch / 3, load);
     assertEquals(frame.remaining() - 4, frame.getInt());
     byte[] body = new byte[frame.remaining()];
     frame.get(body);
-    assertEquals(new PeerWire.Frame(epoch / 3, load), PeerWire.decode(ByteBuffer.wrap(body)));
+    assertEquals(
+        new PeerProtocol.Frame(epoch / 3, load), PeerProtocol.decode(ByteBuffer.wrap(body)));
     for (int cut = 0; cut < body.length; cut++) {
       ByteBuffer shorter = ByteBuffer.wrap(body, 0, cut);
-      assertThrows(PeerWire.BadFrame.class, () -> PeerWire.decode(shorter));
+      assertThrows(PeerProtocol.MalformedFrameException.class, () -> PeerProtocol.decode(shorter));
     }
   }
 
   @Test
-  void smallFramesAreReadAsTheyWereSent() throws PeerWire.BadFrame {
-    for (PeerWire.Message message :
+  void smallFramesAreReadAsTheyWereSent() throws PeerProtocol.MalformedFrameException {
+    for (PeerProtocol.Message message :
         List.of(
-            new PeerWire.Pulse("trestle-2", true),
-            new PeerWire.Pulse("trestle-2", false),
-            new PeerWire.Cancelled("trestle-2", "job-000412"),
-            new PeerWire.SentOn("trestle-2", "trestle-0", 0),
-            new PeerWire.SentOn("trestle-2", "trestle-0", 2078))) {
-      ByteBuffer frame = PeerWire.encode(17, message);
+            new PeerProtocol.Liveness("trestle-2", true),
+            new PeerProtocol.Liveness("trestle-2", false),
+            new PeerProtocol.JobCancelled("trestle-2", "job-000412"),
+            new PeerProtocol.RedirectCount("trestle-2", "trestle-0", 0),
+            new PeerProtocol.RedirectCount("trestle-2", "trestle-0", 2078))) {
+      ByteBuffer frame = PeerProtocol.encode(17, message);
       assertEquals(frame.remaining() - 4, frame.getInt());
-      assertEquals(new PeerWire.Frame(17, message), PeerWire.decode(frame));
+      assertEquals(new PeerProtocol.Frame(17, message), PeerProtocol.decode(frame));
     }
-    ByteBuffer wrong = PeerWire.encode(17, new PeerWire.SentOn("trestle-2", "trestle-0", -1));
+    ByteBuffer wrong =
+        PeerProtocol.encode(17, new PeerProtocol.RedirectCount("trestle-2", "trestle-0", -1));
     wrong.getInt();
-    assertThrows(PeerWire.BadFrame.class, () -> PeerWire.decode(wrong));
+    assertThrows(PeerProtocol.MalformedFrameException.class, () -> PeerProtocol.decode(wrong));
   }
 
   private static final String REPORT =
@@ -162,11 +168,14 @@
       "board":"job-1/2","try":3,"stage":"exited","cause":"done"}]}""";
 
   @Test
-  void aReportThatIsCutOffOrDamagedIsRefusedByName() throws Json.Malformed {
-    assertEquals(1, WorkerWire.readReport(utf8(REPORT)).tasks().size());
+  void aReportThatIsCutOffOrDamagedIsRefusedByName() throws Json.MalformedJsonException {
+    assertEquals(1, WorkerProtocol.readHeartbeat(utf8(REPORT)).tasks().size());
     for (int cut = 0; cut < REPORT.length(); cut++) {
       byte[] shorter = utf8(REPORT.substring(0, cut));
-      assertThrows(Json.Malformed.class, () -> WorkerWire.readReport(shorter), "cut at " + cut);
+      assertThrows(
+          Json.MalformedJsonException.class,
+          () -> WorkerProtocol.readHeartbeat(shorter),
+          "cut at " + cut);
     }
     String[][] damages = {
       {"\"host-1\"", "7", "bench"},
@@ -185,21 +194,26 @@
     };
     for (String[] damage : damages) {
       String text = REPORT.replace(damage[0], damage[1]);
-      Json.Malformed refused =
-          assertThrows(Json.Malformed.class, () -> WorkerWire.readReport(utf8(text)), text);
+      Json.MalformedJsonException refused =
+          assertThrows(
+              Json.MalformedJsonException.class,
+              () -> WorkerProtocol.readHeartbeat(utf8(text)),
+              text);
       assertEquals(damage[2], refused.getMessage(), text);
     }
-    assertThrows(Json.Malformed.class, () -> WorkerWire.readReport(utf8(REPORT + "x")));
-    WorkerWire.Report odd =
-        WorkerWire.readReport(utf8(REPORT.replace("\"cause\":\"done\"", "\"cause\":{\"a\":[1]}")));
-    assertEquals(WorkerWire.Cause.NONE, odd.tasks().get(0).cause());
+    assertThrows(
+        Json.MalformedJsonException.class, () -> WorkerProtocol.readHeartbeat(utf8(REPORT + "x")));
+    WorkerProtocol.Heartbeat odd =
+        WorkerProtocol.readHeartbeat(
+            utf8(REPORT.replace("\"cause\":\"done\"", "\"cause\":{\"a\":[1]}")));
+    assertEquals(WorkerProtocol.Cause.NONE, odd.tasks().get(0).cause());
   }
 
   @Property(tries = 200, seed = "43")
   void reportsAreReadWithAllTheirTasks(
       @ForAll @LongRange(min = 0, max = 1L << 60) long token,
       @ForAll @Size(max = 20) List<@IntRange(max = 99_999) Integer> indexes)
-      throws Json.Malformed {
+      throws Json.MalformedJsonException {
     ObjectNode report =
         Json.object()
             .put("bench", "host-000231")
@@ -219,9 +233,9 @@
           .put("stage", "exited")
           .put("cause", "done");
     }
-    WorkerWire.Report read = WorkerWire.readReport(Json.bytes(report));
+    WorkerProtocol.Heartbeat read = WorkerProtocol.readHeartbeat(Json.bytes(report));
     assertEquals(token, read.token());
     assertEquals(indexes, read.tasks().stream().map(t -> t.task().index()).toList());
-    assertTrue(read.tasks().stream().allMatch(t -> t.cause() == WorkerWire.Cause.DONE));
+    assertTrue(read.tasks().stream().allMatch(t -> t.cause() == WorkerProtocol.Cause.DONE));
   }
 }
--- a/src/test/java/org/fieldtrestle/coordination/JobSplitTest.java
+++ b/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Priority;
 
-class JobSplitTest {
+class JobSplitterTest {
   private static JobSpec job(int tasks, boolean spread) {
     return new JobSpec(
         "job-1",
@@ -43,16 +43,16 @@
       @ForAll boolean spread,
       @ForAll @Size(min = 1, max = 5) List<@IntRange(max = 400) Integer> rooms,
       @ForAll @IntRange(min = 5_000, max = 25_000) int maxPart) {
-    List<JobSplit.Candidate> candidates = new ArrayList<>();
+    List<JobSplitter.Candidate> candidates = new ArrayList<>();
     for (int i = 0; i < rooms.size(); i++) {
-      candidates.add(new JobSplit.Candidate("m" + i, rooms.get(i), 10.0 * i, 100));
+      candidates.add(new JobSplitter.Candidate("m" + i, rooms.get(i), 10.0 * i, 100));
     }
     JobSpec job = job(tasks, spread);
-    List<JobSplit.Part> parts = JobSplit.split(job, candidates, maxPart, List.of("a", "b"));
+    List<JobSplitter.Part> parts = JobSplitter.split(job, candidates, maxPart, List.of("a", "b"));
     int next = 0;
     int capA = 0;
     int capB = 0;
-    for (JobSplit.Part part : parts) {
+    for (JobSplitter.Part part : parts) {
       assertEquals(next, part.from());
       assertTrue(part.to() > part.from() && part.to() - part.from() <= maxPart);
       next = part.to();
--- a/src/test/java/org/fieldtrestle/coordination/FalconTest.java
+++ b/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,17 +15,21 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
+import org.fieldtrestle.config.OperatorSettings;
 import org.fieldtrestle.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-class FalconTest {
+class SelectivePreemptionTest {
   /** The paper's figures, whatever our defaults are. */
-  private static final Tuning PAPER = new Tuning(0.5, 0.5, 1, 0.35, 0.5, 10, 0.3, 1);
+  private static final OperatorSettings PAPER =
+      new OperatorSettings(0.5, 0.5, 1, 0.35, 0.5, 10, 0.3, 1);
 
-  private final Falcon falcon = new Falcon(PAPER, new SplittableRandom(7));
+  private final SelectivePreemption falcon =
+      new SelectivePreemption(PAPER, new SplittableRandom(7));
 
-  private static Falcon.Waiting<String> waiting(String name, Priority priority, double score) {
-    return new Falcon.Waiting<>(name, priority, score, 1);
+  private static SelectivePreemption.Waiting<String> waiting(
+      String name, Priority priority, double score) {
+    return new SelectivePreemption.Waiting<>(name, priority, score, 1);
   }
 
   @Test
@@ -36,7 +40,7 @@
 
   @Test
   void thePapersExampleOfTenTasks() {
-    List<Falcon.Waiting<String>> queue = new ArrayList<>();
+    List<SelectivePreemption.Waiting<String>> queue = new ArrayList<>();
     for (int i = 1; i <= 10; i++) {
       queue.add(waiting("t" + i, Priority.NORMAL, i));
     }
@@ -52,7 +56,7 @@
 
   @Test
   void theDrawWeighsByReverseRank() {
-    List<Falcon.Waiting<String>> queue = new ArrayList<>();
+    List<SelectivePreemption.Waiting<String>> queue = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       queue.add(waiting("t" + i, Priority.NORMAL, 100 - i));
     }
@@ -71,11 +75,11 @@
   void aHigherPriorityIsAlwaysDrawnFirst(
       @ForAll @Size(min = 1, max = 30) List<@DoubleRange(min = 0, max = 1000) Double> scores,
       @ForAll @Size(min = 1, max = 30) List<Priority> priorities) {
-    List<Falcon.Waiting<String>> queue = new ArrayList<>();
+    List<SelectivePreemption.Waiting<String>> queue = new ArrayList<>();
     Priority highest = Priority.LOW;
     for (int i = 0; i < scores.size(); i++) {
       Priority priority = priorities.get(i % priorities.size());
-      queue.add(new Falcon.Waiting<>("t" + i, priority, scores.get(i), 1 + i % 4));
+      queue.add(new SelectivePreemption.Waiting<>("t" + i, priority, scores.get(i), 1 + i % 4));
       highest = priority.above(highest) ? priority : highest;
     }
     assertEquals(highest, falcon.next(queue).priority());
@@ -88,18 +92,18 @@
       @ForAll @Size(min = 1, max = 25) List<Priority> priorities,
       @ForAll @IntRange(min = 1, max = 9) int most,
       @ForAll long seed) {
-    List<Falcon.Waiting<Integer>> plain = new ArrayList<>();
+    List<SelectivePreemption.Waiting<Integer>> plain = new ArrayList<>();
     for (int i = 0; i < scores.size(); i++) {
       Priority priority = priorities.get(i % priorities.size());
-      plain.add(new Falcon.Waiting<>(i, priority, scores.get(i), 1 + (i * 7) % most));
+      plain.add(new SelectivePreemption.Waiting<>(i, priority, scores.get(i), 1 + (i * 7) % most));
     }
-    Falcon ranked = new Falcon(PAPER, new SplittableRandom(seed));
-    Falcon.Queue<Integer> queue =
-        new Falcon(PAPER, new SplittableRandom(seed)).new Queue<>(List.copyOf(plain));
+    SelectivePreemption ranked = new SelectivePreemption(PAPER, new SplittableRandom(seed));
+    SelectivePreemption.Queue<Integer> queue =
+        new SelectivePreemption(PAPER, new SplittableRandom(seed)).new Queue<>(List.copyOf(plain));
     SplittableRandom outcome = new SplittableRandom(seed);
     while (!plain.isEmpty()) {
-      Falcon.Waiting<Integer> expected = ranked.next(plain);
-      Falcon.Slot<Integer> slot = queue.next();
+      SelectivePreemption.Waiting<Integer> expected = ranked.next(plain);
+      SelectivePreemption.Slot<Integer> slot = queue.next();
       assertEquals(expected.what(), slot.group().what());
       int at = plain.indexOf(expected);
       if (outcome.nextInt(4) == 0 || expected.count() == 1) { // found no room, or was the last
@@ -109,7 +113,7 @@
         slot.takeOne();
         plain.set(
             at,
-            new Falcon.Waiting<>(
+            new SelectivePreemption.Waiting<>(
                 expected.what(), expected.priority(), expected.score(), expected.count() - 1));
       }
     }
@@ -120,10 +124,10 @@
   void conditionThreeForAllAtOnceIsConditionThreeForEach(
       @ForAll @Size(max = 40) List<@IntRange(max = 15) Integer> scores,
       @ForAll @Size(min = 1, max = 40) List<Priority> priorities) {
-    List<Falcon.Waiting<Integer>> queue = new ArrayList<>();
+    List<SelectivePreemption.Waiting<Integer>> queue = new ArrayList<>();
     for (int i = 0; i < scores.size(); i++) {
       Priority priority = priorities.get(i % priorities.size());
-      queue.add(new Falcon.Waiting<>(i, priority, scores.get(i), 1 + i % 5));
+      queue.add(new SelectivePreemption.Waiting<>(i, priority, scores.get(i), 1 + i % 5));
     }
     Set<Integer> each = new TreeSet<>();
     queue.stream().filter(w -> falcon.outscoresEnough(w, queue)).forEach(w -> each.add(w.what()));
@@ -134,10 +138,12 @@
 
   @Test
   void anAgedSwarmEvictsNobodyOfItsOwnPriority() {
-    Falcon.Waiting<String> aged = waiting("aged", Priority.NORMAL, 5000);
-    Falcon.Running<String> fresh = new Falcon.Running<>("fresh", Priority.NORMAL, 1, 0, 50, false);
+    SelectivePreemption.Waiting<String> aged = waiting("aged", Priority.NORMAL, 5000);
+    SelectivePreemption.Running<String> fresh =
+        new SelectivePreemption.Running<>("fresh", Priority.NORMAL, 1, 0, 50, false);
     assertTrue(falcon.victims(aged, List.of(fresh)).isEmpty());
-    Falcon.Running<String> owed = new Falcon.Running<>("owed", Priority.NORMAL, 1, 0, 50, true);
+    SelectivePreemption.Running<String> owed =
+        new SelectivePreemption.Running<>("owed", Priority.NORMAL, 1, 0, 50, true);
     assertEquals(List.of(owed), falcon.victims(aged, List.of(fresh, owed)));
   }
 
@@ -146,12 +152,13 @@
       @ForAll @Size(max = 20) List<@DoubleRange(min = 0, max = 20) Double> scores,
       @ForAll @DoubleRange(min = 0, max = 20) double score,
       @ForAll @DoubleRange(min = 0, max = 60) double elapsedS) {
-    List<Falcon.Running<Integer>> running = new ArrayList<>();
+    List<SelectivePreemption.Running<Integer>> running = new ArrayList<>();
     for (int i = 0; i < scores.size(); i++) {
-      running.add(new Falcon.Running<>(i, Priority.LOW, scores.get(i), elapsedS, 60, false));
+      running.add(
+          new SelectivePreemption.Running<>(i, Priority.LOW, scores.get(i), elapsedS, 60, false));
     }
     double last = Double.NEGATIVE_INFINITY;
-    for (Falcon.Running<Integer> victim :
+    for (SelectivePreemption.Running<Integer> victim :
         falcon.victims(waiting("w", Priority.URGENT, score), running)) {
       assertTrue(victim.score() + PAPER.margin() < score);
       assertTrue(victim.elapsedS() <= PAPER.victimShare() * 60);
--- a/src/test/java/org/fieldtrestle/coordination/MasterFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.shard;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
@@ -7,37 +7,46 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import org.fieldtrestle.bookkeeping.Records;
-import org.fieldtrestle.bookkeeping.Store;
-import org.fieldtrestle.bookkeeping.View;
+import org.fieldtrestle.cloud.CloudClient;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.leadership.CancellationNotices;
+import org.fieldtrestle.leadership.Membership;
+import org.fieldtrestle.metrics.ControllerMetrics;
 import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.protocol.Priority;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.StateWire;
 import org.fieldtrestle.protocol.TaskId;
-import org.fieldtrestle.protocol.WorkerWire;
-import org.fieldtrestle.rehearsal.SimulatedNetwork;
+import org.fieldtrestle.protocol.WorkerProtocol;
+import org.fieldtrestle.routing.ShardLoads;
+import org.fieldtrestle.simulation.SimulatedNetwork;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.transport.EventLoopMeter;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
-import org.fieldtrestle.transport.WorkMeter;
+import org.fieldtrestle.worker.CommandPolicy;
+import org.fieldtrestle.worker.TaskRange;
 
 /**
- * A master with one machine and one job, on simulated time.
+ * A shard with one machine and one job, on simulated time.
  *
- * <p>The master gets no messages about changes of the state: as in the moment between a change and
+ * <p>The shard gets no messages about changes of the state: as in the moment between a change and
  * the message about it, it only has what it can ask.
  */
-final class MasterFixture {
-  static final String JOB = "job-000001";
+public final class ShardLeaderFixture {
+  public static final String JOB = "job-000001";
   static final int TASKS = 2;
-  static final Records.RangeKey RANGE = new Records.RangeKey(JOB, 0);
+  public static final Records.RangeKey RANGE = new Records.RangeKey(JOB, 0);
   private static final String LABEL = "trestle-0";
   private static final String MACHINE = "host-000001";
   private static final String WORKER_ADDRESS = "10.1.0.1:9000";
   private static final long STEP_MS = 500;
 
   /** Far above what the state service has counted up to here. */
-  static final long LATER_REVISION = 1000;
+  public static final long LATER_REVISION = 1000;
 
   private static final String MACHINE_TYPES =
       """
@@ -45,54 +54,54 @@
         "hourly":1.0,"lowPrice":0.3,"readyS":10,"yards":["a"]}]}
       """;
 
-  final SimulatedNetwork network = new SimulatedNetwork();
-  final Node node;
-  Master master;
+  public final SimulatedNetwork network = new SimulatedNetwork();
+  public final ControllerContext context;
+  public ShardLeader shard;
   private long epoch;
   private long reports;
   private long shownToken;
 
-  MasterFixture() {
+  public ShardLeaderFixture() {
     network.serveState();
-    network.serve(SimulatedNetwork.CLOUD_ADDRESS, MasterFixture::cloud);
+    network.serve(SimulatedNetwork.CLOUD_ADDRESS, ShardLeaderFixture::cloud);
     Settings settings = network.settings(LABEL);
     Reactor reactor = network.reactor();
     Http.Caller caller = network.caller();
-    Store store = new Store(reactor, caller, settings);
-    View view = new View(reactor, store, settings);
-    node =
-        new Node(
+    KeyValueClient store = new KeyValueClient(reactor, caller, settings);
+    StateCache stateCache = new StateCache(reactor, store, settings);
+    context =
+        new ControllerContext(
             settings,
-            Tuning.DEFAULT,
+            OperatorSettings.DEFAULT,
             reactor,
             new SplittableRandom(1),
             caller,
             store,
-            view,
-            new Cloud(reactor, caller, settings),
-            new Membership(reactor, store, view, settings, "boot"),
-            new Loads(reactor, LABEL, STEP_MS),
-            new Cancellations(),
-            new Stats(new WorkMeter(reactor::nanoTime)));
-    view.start();
-    node.cloud().start();
+            stateCache,
+            new CloudClient(reactor, caller, settings),
+            new Membership(reactor, store, stateCache, settings, "boot"),
+            new ShardLoads(reactor, LABEL, STEP_MS),
+            new CancellationNotices(),
+            new ControllerMetrics(new EventLoopMeter(reactor::nanoTime)));
+    stateCache.start();
+    context.cloud().start();
     network.runFor(STEP_MS);
-    node.membership().start(new Begun());
+    context.membership().start(new Begun());
     network.runFor(STEP_MS);
     write(Records.job(JOB), Records.write(job()));
     write(
-        Records.roster(new Records.RosterKey(LABEL, 0)),
-        Records.writeRoster(
+        Records.inventory(new Records.InventoryKey(LABEL, 0)),
+        Records.writeInventory(
             Map.of(MACHINE, new Records.Machine(LABEL, 0, "big", "a", true, 0, epoch))));
-    master.tell(new Master.Tick());
+    shard.tell(new ShardLeader.Tick());
     network.runFor(STEP_MS);
   }
 
   private final class Begun implements Membership.Listener {
     @Override
-    public void began(String name, long begunEpoch, boolean othersMayAct) {
+    public void began(String name, long begunEpoch, boolean formerLeaderMayAct) {
       epoch = begunEpoch;
-      master = new Master(node, name, epoch, othersMayAct, () -> {});
+      shard = new ShardLeader(context, name, epoch, formerLeaderMayAct, () -> {});
     }
 
     @Override
@@ -132,7 +141,7 @@
             -1);
     return new Records.Job(
         spec,
-        node.reactor().wall(),
+        context.reactor().wall(),
         null,
         List.of(new Records.Part(LABEL, epoch, 0, TASKS, Map.of())));
   }
@@ -143,43 +152,44 @@
     network.runFor(STEP_MS);
   }
 
-  CommandPolicy policy() {
-    return master.policy();
+  public CommandPolicy policy() {
+    return shard.term().policy();
   }
 
-  OwnedRange range() {
-    return master.ranges().ofJob(JOB).get(0);
+  public TaskRange range() {
+    return shard.ranges().ofJob(JOB).get(0);
   }
 
   /** As the answer to a transaction of this controller's own that cancels the job. */
-  void commitCancellation() {
-    Records.Range range = node.view().range(RANGE).record();
-    node.view()
+  public void commitCancellation() {
+    Records.Range range = context.stateCache().range(RANGE).record();
+    context
+        .stateCache()
         .committed(
             List.of(
-                new StateWire.Delete(Records.job(JOB)),
-                new StateWire.Put(Records.range(RANGE), Records.write(range), 0)),
+                new KeyValueProtocol.Delete(Records.job(JOB)),
+                new KeyValueProtocol.Put(Records.range(RANGE), Records.write(range), 0)),
             LATER_REVISION);
   }
 
-  /** As the answer to a transaction by which a later epoch of the master begins. */
-  void commitLaterEpoch() {
-    commit(Records.master(LABEL), Records.write(new Records.Master("trestle-1")));
+  /** As the answer to a transaction by which a later epoch of the shard begins. */
+  public void commitLaterEpoch() {
+    commit(Records.shard(LABEL), Records.write(new Records.Shard("trestle-1")));
   }
 
-  void commit(String key, JsonNode value) {
-    node.view().committed(List.of(new StateWire.Put(key, value, 0)), LATER_REVISION);
+  public void commit(String key, JsonNode value) {
+    context
+        .stateCache()
+        .committed(List.of(new KeyValueProtocol.Put(key, value, 0)), LATER_REVISION);
   }
 
-  /**
-   * The machine is known to the master and has shown its token, and nothing is placed on it yet.
-   */
-  void showToken() {
+  /** The machine is known to the shard and has shown its token, and nothing is placed on it yet. */
+  public void showToken() {
     report();
   }
 
   /** The worker reports without any task; returns the answer. */
-  Http.Response report() {
+  public Http.Response report() {
     return report(List.of());
   }
 
@@ -189,22 +199,22 @@
         range().placed.values().stream()
             .map(
                 task ->
-                    new WorkerWire.ReportedTask(
+                    new WorkerProtocol.ReportedTask(
                         task.task,
                         task.attempt,
-                        WorkerWire.TaskState.RUNNING,
-                        WorkerWire.Cause.NONE))
+                        WorkerProtocol.TaskState.RUNNING,
+                        WorkerProtocol.Cause.NONE))
             .toList());
   }
 
-  private Http.Response report(List<WorkerWire.ReportedTask> tasks) {
+  private Http.Response report(List<WorkerProtocol.ReportedTask> tasks) {
     List<Http.Response> answers = new ArrayList<>();
-    WorkerWire.Report report =
-        new WorkerWire.Report(
+    WorkerProtocol.Heartbeat report =
+        new WorkerProtocol.Heartbeat(
             MACHINE, WORKER_ADDRESS, "big", "a", true, 1, ++reports, shownToken, -1, tasks);
-    master.tell(new Master.Reported(report, answers::add));
+    shard.tell(new ShardLeader.Reported(report, answers::add));
     network.runFor(STEP_MS);
-    shownToken = master.firstToken();
+    shownToken = shard.term().firstToken();
     return answers.get(0);
   }
 
--- a/src/test/java/org/fieldtrestle/rehearsal/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -100,7 +100,7 @@
   }
 
   private static List<SimulatedCluster.Job> submitJobs(SimulatedCluster cluster) {
-    int tasks = MACHINES * CloudStandIn.CPUS / CPUS_PER_TASK / JOBS;
+    int tasks = MACHINES * SimulatedCloud.CPUS / CPUS_PER_TASK / JOBS;
     List<SimulatedCluster.Job> jobs = new ArrayList<>();
     for (int i = 1; i <= JOBS; i++) {
       jobs.add(
--- a/src/test/java/org/fieldtrestle/rehearsal/ConcurrentFailuresTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailuresTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -85,7 +85,7 @@
     return cluster.labels().get((cluster.labels().indexOf(label) + 1) % 3);
   }
 
-  private static List<WorkerStandIn> machines(SimulatedCluster cluster) {
+  private static List<SimulatedWorker> machines(SimulatedCluster cluster) {
     return List.copyOf(cluster.cloud.machines.values());
   }
 
@@ -178,7 +178,7 @@
             run(cluster, 30_000);
           }
           cluster.net.lateCommands = 0;
-          for (WorkerStandIn machine : machines(cluster)) {
+          for (SimulatedWorker machine : machines(cluster)) {
             late[0] += machine.carriedOutLate + machine.refusedLate;
           }
         });
@@ -220,8 +220,8 @@
           long ms = cluster.leaseMs + 10_000;
           cluster.trouble(ms);
           // Most of them, so that it looks like a cut; the others have room for what is lost.
-          List<WorkerStandIn> all = machines(cluster);
-          List<WorkerStandIn> mute = all.subList(0, all.size() * 2 / 3);
+          List<SimulatedWorker> all = machines(cluster);
+          List<SimulatedWorker> mute = all.subList(0, all.size() * 2 / 3);
           mute.forEach(machine -> machine.mute(ms));
           jobs.addAll(submit(cluster, 3, 4, 10_000));
           run(cluster, 1500);
@@ -286,7 +286,7 @@
         });
   }
 
-  /** As above, but some of its machines reach only the others, who take its master for that. */
+  /** As above, but some of its machines reach only the others, who take its shard for that. */
   @Test
   void aLeaderThatIsCutOffConcludesNothingFromTheSilenceOfMachinesThatOthersLead() {
     int[] taken = {0};
@@ -304,7 +304,7 @@
           cluster.trouble(75_000);
           // Without the cloud it cannot return the silent ones, which would end their tasks.
           cluster.lose(leader, 70_000, "state", "peers", "cloud");
-          List<WorkerStandIn> its =
+          List<SimulatedWorker> its =
               machines(cluster).stream().filter(m -> m.reportsTo().equals(leader)).toList();
           its.subList(0, its.size() / 2).forEach(machine -> machine.lose(leader, 70_000));
           run(cluster, cluster.leaseMs + 8000);
@@ -388,7 +388,7 @@
             int starts = cluster.rules.starts;
             machines(cluster).stream()
                 .filter(machine -> machine.zone.equals(zone))
-                .forEach(WorkerStandIn::die);
+                .forEach(SimulatedWorker::die);
             if (i == 1) {
               cluster.kill("trestle-1", 30_000);
             }
@@ -491,7 +491,7 @@
           run(cluster, 35_000);
           String leader = cluster.leaderOf(jobs.get(0));
           List<Long> before = cluster.state.masterVersions();
-          List<WorkerStandIn> machines = machines(cluster);
+          List<SimulatedWorker> machines = machines(cluster);
           cluster.trouble(90_000);
           int half = machines.size() / 2;
           assertTrue(half > 1);
--- a/src/test/java/org/fieldtrestle/rehearsal/ConfirmedCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -64,7 +64,7 @@
             "job-1",
             one -> {
               one.tasks = TASKS;
-              one.cpus = CloudStandIn.CPUS;
+              one.cpus = SimulatedCloud.CPUS;
               one.runMs = LONG_RUN_MS;
               one.spread = true;
             });
@@ -178,13 +178,13 @@
     forEachDeployment(
         cluster -> {
           SimulatedCluster.Job job = runningJob(cluster);
-          WorkerStandIn first =
+          SimulatedWorker first =
               cluster.cloud.machines.values().stream()
                   .filter(machine -> machine.holds(job.id + "/0"))
                   .findFirst()
                   .orElseThrow();
           cancelUnwatched(cluster, job, () -> cluster.cloud.remove(first.id));
-          run(cluster, cluster.reportMs * 2);
+          run(cluster, cluster.heartbeatIntervalsMs * 2);
           assertEquals(0, cluster.rules.on(job.id), "stopped with the next command");
           watchAgain(cluster);
           run(cluster, 30_000);
--- a/src/test/java/org/fieldtrestle/rehearsal/ControllerStartTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerStartTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/org/fieldtrestle/rehearsal/Deployment.java
+++ b/src/test/java/org/fieldtrestle/simulation/Deployment.java
@@ -1,7 +1,7 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import java.util.List;
-import org.fieldtrestle.protocol.Settings;
+import org.fieldtrestle.config.Settings;
 
 /**
  * The figures of a deployment, as the settings of its controllers name them.
@@ -10,7 +10,7 @@
  * @param limited whether the state service refuses what goes beyond its limits
  */
 record Deployment(
-    long reportMs,
+    long heartbeatIntervalsMs,
     long leaseMs,
     long cancelMs,
     Settings.State state,
@@ -20,9 +20,9 @@
     boolean limited) {
 
   /** A few machines; pages are small, so that every reading takes several. */
-  static Deployment small(long reportMs, long leaseMs, long cancelMs) {
+  static Deployment small(long heartbeatIntervalsMs, long leaseMs, long cancelMs) {
     return new Deployment(
-        reportMs,
+        heartbeatIntervalsMs,
         leaseMs,
         cancelMs,
         new Settings.State(200, 40, 8, 32),
@@ -73,14 +73,25 @@
   }
 
   private static Deployment large(
-      long reportMs, long leaseMs, long cancelMs, Settings.State state, Settings.Limits limits) {
+      long heartbeatIntervalsMs,
+      long leaseMs,
+      long cancelMs,
+      Settings.State state,
+      Settings.Limits limits) {
     return new Deployment(
-        reportMs, leaseMs, cancelMs, state, new Settings.Cloud(4, 6), limits, 1000, true);
+        heartbeatIntervalsMs,
+        leaseMs,
+        cancelMs,
+        state,
+        new Settings.Cloud(4, 6),
+        limits,
+        1000,
+        true);
   }
 
   Deployment withStateRequests(double perSecond) {
     return new Deployment(
-        reportMs,
+        heartbeatIntervalsMs,
         leaseMs,
         cancelMs,
         new Settings.State(perSecond, state.writeRps(), state.valueKb(), state.txnOps()),
--- a/src/test/java/org/fieldtrestle/rehearsal/ContainmentTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FaultContainmentTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** One bad thing at a time, and everything else goes on. */
-class ContainmentTest {
+class FaultContainmentTest {
   private final SimulatedCluster cluster = new SimulatedCluster(new SplittableRandom(11), 12);
 
   private void assertQuiet() {
--- a/src/test/java/org/fieldtrestle/rehearsal/FaultInjectionTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FaultInjectionTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -98,7 +98,7 @@
     Map<String, Integer> ghosts = new HashMap<>();
     for (long at = 76_000; at < 130_000; at += 1000) {
       cluster.time.runUntil(at);
-      Set<String> counted = new HashSet<>(cluster.state.rosters());
+      Set<String> counted = new HashSet<>(cluster.state.inventories());
       counted.removeAll(cluster.cloud.machines.keySet());
       ghosts.keySet().retainAll(counted);
       for (String gone : counted) { // a return may be known a moment before it is written
@@ -352,7 +352,7 @@
         new SimulatedCluster(new SplittableRandom(37), 12, 4000, 22_000, 52_000);
     submit(cluster, "job-1", 48, 300_000);
     cluster.time.runUntil(60_000);
-    // Machines are just being sent on to who has them, as after a master has changed hands.
+    // Machines are just being sent on to who has them, as after a shard has changed hands.
     cluster.trouble(60_000);
     cluster.kill("trestle-1", 35_000);
     cluster.time.runUntil(98_000);
@@ -441,11 +441,11 @@
     }
     cluster.time.runUntil(60_000);
     String label = cluster.leaderOf(cluster.jobs.get("job-0"));
-    List<WorkerStandIn> lost =
+    List<SimulatedWorker> lost =
         cluster.cloud.machines.values().stream().filter(m -> m.reportsTo().equals(label)).toList();
-    // All machines of one master end, and the cloud has no more to give.
+    // All machines of one shard end, and the cloud has no more to give.
     cluster.cloud.capacity = cluster.cloud.machines.size() - lost.size();
-    lost.forEach(WorkerStandIn::die);
+    lost.forEach(SimulatedWorker::die);
     cluster.time.runUntil(65_000);
     int left = longOnes(cluster);
     assertTrue(left > 0 && left < 18, "some of the long ones are lost: " + left);
@@ -463,8 +463,8 @@
   }
 
   /** Some machine that is up and of which a condition holds; null where there is none. */
-  private static WorkerStandIn machine(
-      SimulatedCluster cluster, Predicate<WorkerStandIn> condition) {
+  private static SimulatedWorker machine(
+      SimulatedCluster cluster, Predicate<SimulatedWorker> condition) {
     return cluster.cloud.machines.values().stream()
         .filter(machine -> machine.up && condition.test(machine))
         .findFirst()
@@ -472,7 +472,7 @@
   }
 
   /**
-   * A holder of a master that does not know of its end may start a lost task again, of which the
+   * A holder of a shard that does not know of its end may start a lost task again, of which the
    * next holder hears only after it has found the task where it was before.
    */
   @Test
@@ -482,8 +482,8 @@
         new SimulatedCluster(new SplittableRandom(23), 12, 6000, 34_000, 64_000);
     submit(cluster, "job-1", 34, 100_000); // not all machines are full
     cluster.time.runUntil(40_000);
-    WorkerStandIn before = null;
-    WorkerStandIn next = null;
+    SimulatedWorker before = null;
+    SimulatedWorker next = null;
     String task = null;
     for (int i = 0; i < 34 && next == null; i++) {
       String candidate = "job-1/" + i;
--- a/src/test/java/org/fieldtrestle/rehearsal/InvariantChecker.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -89,7 +89,7 @@
     return begun.contains(job);
   }
 
-  void started(String task, WorkerStandIn machine) {
+  void started(String task, SimulatedWorker machine) {
     starts++;
     begun.add(jobOf(task));
     begunAfter.putIfAbsent(jobOf(task), calmSinceSubmission(cluster.jobs.get(jobOf(task))));
@@ -220,7 +220,7 @@
     if (!waits || used(job.team) + job.cpus > cluster.limit(job.team) + 1e-6) {
       return false;
     }
-    for (WorkerStandIn machine : cluster.cloud.machines.values()) {
+    for (SimulatedWorker machine : cluster.cloud.machines.values()) {
       if (machine.hasRoom(job.cpus)
           && (job.type == null || job.type.equals(machine.type))
           && (job.zone == null || job.zone.equals(machine.zone))
--- a/src/test/java/org/fieldtrestle/rehearsal/InvariantCheckerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -31,9 +31,9 @@
         });
   }
 
-  private WorkerStandIn machine(String id, String type, String zone, boolean spot) {
-    WorkerStandIn machine =
-        new WorkerStandIn(cluster.time, cluster, id, "10.1.0.9:1", type, zone, spot);
+  private SimulatedWorker machine(String id, String type, String zone, boolean spot) {
+    SimulatedWorker machine =
+        new SimulatedWorker(cluster.time, cluster, id, "10.1.0.9:1", type, zone, spot);
     cluster.cloud.machines.put(id, machine);
     return machine;
   }
@@ -142,7 +142,7 @@
   void aCancelledTaskThatGoesOnAfterAHang() {
     SimulatedCluster.Job job = known("job-1", j -> {});
     cluster.cancelledByUser.add(job.id);
-    WorkerStandIn machine = machine("host-1", "big", "a", false);
+    SimulatedWorker machine = machine("host-1", "big", "a", false);
     machine.hang(cluster.cancelMs + 5000);
     cluster.rules.started("job-1/0", machine);
     cluster.rules.told("job-1", 200, "cancelled", 0);
--- a/src/test/java/org/fieldtrestle/rehearsal/QuestionsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Questions and repeated submissions about jobs whose state here is not as elsewhere. */
-class QuestionsTest {
+class JobQueriesTest {
   private static final int JOBS = 400;
 
   private static List<Integer> askAll(
@@ -220,7 +220,7 @@
   /** What a job's record holds beside its description where it is one range, and the brackets. */
   private static final int ONE_RANGE_BYTES = 130;
 
-  /** How a job is split depends on how many masters are known, and with that its record's size. */
+  /** How a job is split depends on how many shards are known, and with that its record's size. */
   @Test
   void aRepeatThatWouldBeTooLargeTodayIsStillKnown() {
     SimulatedCluster cluster =
@@ -234,7 +234,7 @@
     }
     types.add("x".repeat(Math.max(1, room - Json.bytes(body).length - 3)));
     job.body = Json.bytes(body);
-    acceptAsSoonAsReady(cluster, job, "trestle-0"); // while it knows of no other master
+    acceptAsSoonAsReady(cluster, job, "trestle-0"); // while it knows of no other shard
     cluster.time.runUntil(300_000);
     for (String label : cluster.labels()) {
       Answered repeated = ask(cluster, label, "POST", "/v2/runs", job.body);
--- a/src/test/java/org/fieldtrestle/rehearsal/LoadDriver.java
+++ b/src/test/java/org/fieldtrestle/simulation/LoadGenerator.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -17,11 +17,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import org.fieldtrestle.transport.EventLoopMeter;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.HttpClient;
 import org.fieldtrestle.transport.HttpServer;
-import org.fieldtrestle.transport.Sockets;
-import org.fieldtrestle.transport.WorkMeter;
+import org.fieldtrestle.transport.SocketBudget;
 
 /**
  * Measures what real controller processes cost under a generated load, in real time on loopback.
@@ -29,13 +29,13 @@
  *
  * <pre>
  * java -cp target/test-classes:target/fieldtrestle.jar \
- *     org.fieldtrestle.rehearsal.LoadDriver MACHINES SECONDS java ... -jar ... --config
+ *     org.fieldtrestle.simulation.LoadDriver MACHINES SECONDS java ... -jar ... --config
  * </pre>
  *
  * <p>The rest of the command line starts a controller; the path of its settings is appended. For
  * each phase it prints the processor time by thread and the work that {@code /stats} counts.
  */
-final class LoadDriver {
+final class LoadGenerator {
   private static final int STATE_PORT = 23_790;
   private static final int CLOUD_PORT = 23_791;
   private static final int FRONT_PORT = 23_800;
@@ -50,11 +50,11 @@
   private static final long MS_PER_TICK = 10;
 
   /** Only the controllers are measured, by what they tell themselves. */
-  private static final WorkMeter METER = new WorkMeter(() -> 0);
+  private static final EventLoopMeter METER = new EventLoopMeter(() -> 0);
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
-  private final Sockets sockets = new Sockets(100_000);
+  private final SocketBudget sockets = new SocketBudget(100_000);
   private final HttpClient users = client();
   private final Map<String, HttpClient> workerClients = new HashMap<>();
   private final SimulatedCluster cluster;
@@ -65,7 +65,7 @@
   private final long startedAt = System.nanoTime();
   private int jobs;
 
-  private LoadDriver(int machines, List<String> command) throws IOException {
+  private LoadGenerator(int machines, List<String> command) throws IOException {
     this.machines = machines;
     this.command = command;
     this.directory = Files.createTempDirectory("fieldtrestle-load");
@@ -74,7 +74,7 @@
             new SplittableRandom(1),
             machines,
             Deployment.small(REPORT_MS, LEASE_MS, CANCEL_MS),
-            LoadDriver::workerAddress);
+            LoadGenerator::workerAddress);
   }
 
   private HttpClient client() {
@@ -108,7 +108,7 @@
       serve(
           HttpClient.socket(address),
           (request, reply) -> {
-            WorkerStandIn worker = cluster.cloud.machines.get(id);
+            SimulatedWorker worker = cluster.cloud.machines.get(id);
             if (worker != null && worker.up) {
               worker.handle(request, reply);
             }
@@ -318,8 +318,8 @@
   }
 
   public static void main(String[] args) throws Exception {
-    LoadDriver driver =
-        new LoadDriver(Integer.parseInt(args[0]), List.of(args).subList(2, args.length));
+    LoadGenerator driver =
+        new LoadGenerator(Integer.parseInt(args[0]), List.of(args).subList(2, args.length));
     System.out.println("logs and settings: " + driver.directory);
     int status = 1;
     try {
--- a/src/test/java/org/fieldtrestle/rehearsal/ProductionSizeTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -58,7 +58,7 @@
     SimulatedCluster cluster =
         new SimulatedCluster(new SplittableRandom(seed), MACHINES, deployment);
     cluster.net.largestAnswer = HttpClient.MAX_RESPONSE;
-    AnswerLog answers = new AnswerLog(cluster);
+    UserAnswerLog answers = new UserAnswerLog(cluster);
     submitAll(cluster, answers);
     List<Integer> kinds = new ArrayList<>();
     for (int i = 0; i < TROUBLES; i++) {
@@ -86,12 +86,12 @@
         cluster.rules.broken.stream().limit(5).toList());
     assertEquals(List.of(), cluster.rules.broken, "seed " + seed + ", troubles " + kinds);
     assertTrue(
-        answers.longest().ms() < AnswerLog.FORGOTTEN_MS,
+        answers.longest().ms() < UserAnswerLog.FORGOTTEN_MS,
         "seed " + seed + ", troubles " + kinds + ": " + answers.longest());
   }
 
   /** Arrays that fill most of the fleet, and single tasks four a second, some called off. */
-  private static void submitAll(SimulatedCluster cluster, AnswerLog answers) {
+  private static void submitAll(SimulatedCluster cluster, UserAnswerLog answers) {
     SimulatedTime time = cluster.time;
     int number = 0;
     for (long at = 2000; at < 380_000; at += 250) {
@@ -106,7 +106,7 @@
             }
           });
     }
-    int slots = MACHINES * CloudStandIn.CPUS / 8;
+    int slots = MACHINES * SimulatedCloud.CPUS / 8;
     for (long at = 2000; at < 360_000; at += 4000) {
       int id = ++number;
       time.after(
@@ -124,7 +124,7 @@
     }
   }
 
-  private static void trouble(SimulatedCluster cluster, AnswerLog answers, int kind) {
+  private static void trouble(SimulatedCluster cluster, UserAnswerLog answers, int kind) {
     SimulatedTime time = cluster.time;
     String label = cluster.labels().get((int) time.between(0, 2));
     switch (kind) {
@@ -156,7 +156,7 @@
       }
       case 6 -> {
         cluster.trouble(5000);
-        for (WorkerStandIn machine : List.copyOf(cluster.cloud.machines.values())) {
+        for (SimulatedWorker machine : List.copyOf(cluster.cloud.machines.values())) {
           if (time.chance(0.5)) {
             cluster.cloud.remove(machine.id);
           }
--- a/src/test/java/org/fieldtrestle/rehearsal/RandomHistoriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomHistoriesTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -113,7 +113,7 @@
     noRuleIsBrokenWhereTwoTroublesMeet(-33_671);
   }
 
-  /** One whose master had been taken took renewed leases for ended ones, and started anew. */
+  /** One whose shard had been taken took renewed leases for ended ones, and started anew. */
   @Test
   void whoseMasterWasTakenConcludesNothingFromSilence() {
     noRuleIsBrokenByAnyMixOfTroubles(267);
@@ -152,7 +152,7 @@
       case 2 -> {
         long ms = time.between(5000, 50_000);
         cluster.trouble(ms);
-        for (WorkerStandIn machine : cluster.cloud.machines.values()) {
+        for (SimulatedWorker machine : cluster.cloud.machines.values()) {
           if (time.chance(0.4)) {
             machine.mute(ms);
           }
@@ -210,8 +210,8 @@
 
   private static void trouble(SimulatedCluster cluster, List<SimulatedCluster.Job> jobs) {
     SimulatedTime time = cluster.time;
-    List<WorkerStandIn> machines = List.copyOf(cluster.cloud.machines.values());
-    WorkerStandIn machine =
+    List<SimulatedWorker> machines = List.copyOf(cluster.cloud.machines.values());
+    SimulatedWorker machine =
         machines.isEmpty() ? null : machines.get((int) time.between(0, machines.size() - 1));
     String label = cluster.labels().get((int) time.between(0, 2));
     int kind = (int) time.between(0, 20);
@@ -261,7 +261,7 @@
         cluster.isolate(label, ms);
       }
       case 10 -> { // a wave of takings, with no notice
-        for (WorkerStandIn taken : machines) {
+        for (SimulatedWorker taken : machines) {
           if (taken.spot && time.chance(0.6)) {
             cluster.cloud.remove(taken.id);
           }
--- a/src/test/java/org/fieldtrestle/rehearsal/RateLimit.java
+++ b/src/test/java/org/fieldtrestle/simulation/RateLimit.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 /** A limit on what may be done each second, which allows bursts of one second's worth. */
 final class RateLimit {
--- a/src/test/java/org/fieldtrestle/rehearsal/CloudStandIn.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,20 +12,20 @@
 import org.fieldtrestle.transport.Http;
 
 /** A stand-in for the cloud, by its protocol; every list it gives is some seconds old. */
-final class CloudStandIn implements Http.Handler {
+final class SimulatedCloud implements Http.Handler {
   private record Old(long at, JsonNode list) {}
 
   static final int CPUS = 16;
   private final SimulatedTime time;
   private final SimulatedCluster cluster;
-  final TreeMap<String, WorkerStandIn> machines = new TreeMap<>();
+  final TreeMap<String, SimulatedWorker> machines = new TreeMap<>();
   private final Map<String, JsonNode> answered = new HashMap<>();
   private final ArrayDeque<Old> lists = new ArrayDeque<>();
   int capacity;
   private int count;
   double neverBoots;
 
-  CloudStandIn(SimulatedTime time, SimulatedCluster cluster, int capacity) {
+  SimulatedCloud(SimulatedTime time, SimulatedCluster cluster, int capacity) {
     this.time = time;
     this.cluster = cluster;
     this.capacity = capacity;
@@ -39,7 +39,7 @@
 
   private void snapshot() {
     ArrayNode list = Json.array();
-    for (WorkerStandIn one : machines.values()) {
+    for (SimulatedWorker one : machines.values()) {
       list.addObject()
           .put("uid", one.id)
           .put("address", one.address)
@@ -109,8 +109,8 @@
       ObjectNode node = Json.object();
       ArrayNode names = node.putArray("benches");
       for (int i = 0; i < want; i++) {
-        WorkerStandIn worker =
-            new WorkerStandIn(
+        SimulatedWorker worker =
+            new SimulatedWorker(
                 time,
                 cluster,
                 String.format("host-%06d", ++count),
@@ -131,7 +131,7 @@
   }
 
   void remove(String id) {
-    WorkerStandIn worker = machines.remove(id);
+    SimulatedWorker worker = machines.remove(id);
     if (worker != null) {
       worker.vanish();
     }
--- a/src/test/java/org/fieldtrestle/rehearsal/SimulatedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.ByteBuffer;
@@ -11,13 +11,13 @@
 import java.util.function.Consumer;
 import java.util.function.IntFunction;
 import java.util.random.RandomGenerator;
-import org.fieldtrestle.coordination.Controller;
-import org.fieldtrestle.coordination.Tuning;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.controller.Controller;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.Settings;
+import org.fieldtrestle.transport.EventLoopMeter;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
-import org.fieldtrestle.transport.WorkMeter;
 
 /** Three controllers of the real code amid stand-ins for all else, with users and troubles. */
 final class SimulatedCluster {
@@ -85,13 +85,13 @@
 
   final SimulatedTime time;
   final FaultyNetwork net;
-  final StateStandIn state;
-  final CloudStandIn cloud;
+  final SimulatedKeyValueStore state;
+  final SimulatedCloud cloud;
   final InvariantChecker rules;
   final Map<String, Job> jobs = new HashMap<>();
   final Set<String> cancelledByUser = new HashSet<>();
   final Set<String> results = new HashSet<>();
-  final long reportMs;
+  final long heartbeatIntervalsMs;
   final long leaseMs;
   final long cancelMs;
   private final Map<String, Process> processes = new HashMap<>();
@@ -154,8 +154,12 @@
   }
 
   SimulatedCluster(
-      RandomGenerator random, int capacity, long reportMs, long leaseMs, long cancelMs) {
-    this(random, capacity, Deployment.small(reportMs, leaseMs, cancelMs));
+      RandomGenerator random,
+      int capacity,
+      long heartbeatIntervalsMs,
+      long leaseMs,
+      long cancelMs) {
+    this(random, capacity, Deployment.small(heartbeatIntervalsMs, leaseMs, cancelMs));
   }
 
   SimulatedCluster(RandomGenerator random, int capacity, Deployment deployment) {
@@ -175,14 +179,14 @@
       IntFunction<String> workerAddress) {
     this.workerAddress = workerAddress;
     this.deployment = deployment;
-    this.reportMs = deployment.reportMs();
+    this.heartbeatIntervalsMs = deployment.heartbeatIntervalsMs();
     this.leaseMs = deployment.leaseMs();
     this.cancelMs = deployment.cancelMs();
     time = new SimulatedTime(random);
     net = new FaultyNetwork(time);
-    state = new StateStandIn(time, deployment);
+    state = new SimulatedKeyValueStore(time, deployment);
     rules = new InvariantChecker(time, this);
-    cloud = new CloudStandIn(time, this, capacity);
+    cloud = new SimulatedCloud(time, this, capacity);
     net.controllers = labels().stream().map(this::address).toList();
     net.serve(STATE, "regional", state);
     net.serve(CLOUD, "regional", cloud);
@@ -211,7 +215,7 @@
   }
 
   String zoneOf(String machine) {
-    WorkerStandIn worker = cloud.machines.get(machine);
+    SimulatedWorker worker = cloud.machines.get(machine);
     return worker == null ? zoneOf.getOrDefault(machine, "?") : worker.zone;
   }
 
@@ -238,7 +242,7 @@
         100,
         List.of(new Settings.Team("limited", 16, 40, 0, 0), new Settings.Team("open", 16, 0, 0, 0)),
         List.of(new Settings.Objective("wait", "rush", 0.9, 1, 5)),
-        new Settings.Workers(reportMs / 1000.0, leaseMs / 1000.0, cancelMs / 1000.0),
+        new Settings.Workers(heartbeatIntervalsMs / 1000.0, leaseMs / 1000.0, cancelMs / 1000.0),
         deployment.state(),
         deployment.cloud(),
         deployment.limits());
@@ -309,7 +313,7 @@
     process.controller =
         new Controller(
             settings(label),
-            Tuning.DEFAULT,
+            OperatorSettings.DEFAULT,
             reactor,
             time.random,
             caller,
@@ -318,7 +322,7 @@
                 peerFrame(address, frame);
               }
             },
-            new WorkMeter(reactor::nanoTime));
+            new EventLoopMeter(reactor::nanoTime));
     reactor.execute(() -> process.controller.start(() -> listen(label, process)));
   }
 
@@ -426,7 +430,7 @@
   /** The controller that most machines with tasks of a job report to. */
   String leaderOf(Job job) {
     Map<String, Integer> counts = new HashMap<>();
-    for (WorkerStandIn machine : cloud.machines.values()) {
+    for (SimulatedWorker machine : cloud.machines.values()) {
       for (int i = 0; i < job.tasks; i++) {
         if (machine.holds(job.id + "/" + i)) {
           counts.merge(machine.reportsTo(), 1, Integer::sum);
--- a/src/test/java/org/fieldtrestle/rehearsal/StateStandIn.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -14,8 +14,8 @@
 import org.fieldtrestle.transport.Http;
 
 /** A stand-in for the state service, by its protocol. */
-final class StateStandIn implements Http.Handler {
-  private record Kept(JsonNode value, long version, long lease) {}
+final class SimulatedKeyValueStore implements Http.Handler {
+  private record Versioned(JsonNode value, long version, long lease) {}
 
   private record Event(String key, JsonNode value, long revision) {}
 
@@ -30,7 +30,7 @@
   private final Deployment deployment;
   private final RateLimit requests;
   private final RateLimit writes;
-  private final TreeMap<String, Kept> keys = new TreeMap<>();
+  private final TreeMap<String, Versioned> keys = new TreeMap<>();
   private final List<Event> log = new ArrayList<>();
   private final Map<Long, Long> leases = new HashMap<>();
   private final Map<Long, Long> ttls = new HashMap<>();
@@ -47,7 +47,7 @@
   private int lateRefused;
   private int refusedForLimits;
 
-  StateStandIn(SimulatedTime time, Deployment deployment) {
+  SimulatedKeyValueStore(SimulatedTime time, Deployment deployment) {
     this.time = time;
     this.deployment = deployment;
     this.requests = new RateLimit(deployment.state().rps());
@@ -88,7 +88,7 @@
 
   /** How a job ended, by its durable record; empty where it has not. */
   String finalOf(String job) {
-    Kept kept = keys.get("ft/final/" + job);
+    Versioned kept = keys.get("ft/final/" + job);
     return kept == null ? "" : kept.value().toString();
   }
 
@@ -97,7 +97,7 @@
     return keys.keySet().stream().filter(key -> key.startsWith("ft/live/range/" + job)).count();
   }
 
-  /** When each master last changed hands, as revisions. */
+  /** When each shard last changed hands, as revisions. */
   List<Long> masterVersions() {
     return keys.entrySet().stream()
         .filter(one -> one.getKey().startsWith("ft/live/master/"))
@@ -105,8 +105,8 @@
         .toList();
   }
 
-  /** The machines that any master counts as its own. */
-  List<String> rosters() {
+  /** The machines that any shard counts as its own. */
+  List<String> inventories() {
     List<String> machines = new ArrayList<>();
     keys.forEach(
         (key, kept) -> {
@@ -140,7 +140,7 @@
 
   private void end(long lease) {
     leases.remove(lease);
-    for (Map.Entry<String, Kept> key : List.copyOf(keys.entrySet())) {
+    for (Map.Entry<String, Versioned> key : List.copyOf(keys.entrySet())) {
       if (key.getValue().lease() == lease) {
         write(key.getKey(), null, 0, ++revision);
       }
@@ -154,7 +154,7 @@
         return;
       }
     } else {
-      keys.put(key, new Kept(value, at, lease));
+      keys.put(key, new Versioned(value, at, lease));
     }
     log.add(new Event(key, value, at));
     if (log.size() > 2 * KEPT_CHANGES) {
@@ -217,7 +217,7 @@
       reply.accept(list(request.query()));
     } else if (path.startsWith("/kv/")) {
       String key = path.substring(4);
-      Kept kept = keys.get(key);
+      Versioned kept = keys.get(key);
       ObjectNode node = Json.object();
       if (kept == null) {
         reply.accept(answer(404, node.put("ledger", revision)));
@@ -261,7 +261,7 @@
     }
     ArrayNode failed = Json.array();
     for (JsonNode condition : body.path("when")) {
-      Kept kept = keys.get(condition.path("key").asText());
+      Versioned kept = keys.get(condition.path("key").asText());
       if ((kept == null ? 0 : kept.version()) != condition.path("entry").asLong()) {
         failed.add(condition.path("key").asText());
       }
@@ -290,7 +290,7 @@
     ArrayNode items = node.putArray("items");
     boolean more = false;
     int most = Math.min(deployment.listPage(), Integer.parseInt(query.get("most")));
-    for (Map.Entry<String, Kept> one : keys.tailMap(query.get("prefix")).entrySet()) {
+    for (Map.Entry<String, Versioned> one : keys.tailMap(query.get("prefix")).entrySet()) {
       if (!one.getKey().startsWith(query.get("prefix"))
           || query.containsKey("from") && one.getKey().compareTo(query.get("from")) <= 0) {
         continue;
--- a/src/test/java/org/fieldtrestle/rehearsal/SimulatedNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
@@ -1,10 +1,10 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Collections;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.fieldtrestle.protocol.Settings;
+import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 
@@ -17,7 +17,7 @@
 
   private final SimulatedTime time = new SimulatedTime(new SplittableRandom(1));
   private final FaultyNetwork net = new FaultyNetwork(time);
-  private StateStandIn state;
+  private SimulatedKeyValueStore state;
 
   /** The reactor of a process whose clocks are exact. */
   public Reactor reactor() {
@@ -37,7 +37,7 @@
 
   /** Starts a state service, with nothing in it. */
   public void serveState() {
-    state = new StateStandIn(time, Deployment.timberFleet());
+    state = new SimulatedKeyValueStore(time, Deployment.timberFleet());
     serve(STATE_ADDRESS, state);
   }
 
--- a/src/test/java/org/fieldtrestle/rehearsal/SimulatedTime.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
