--- a/src/test/java/org/fieldtrestle/rehearsal/WorkerStandIn.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,7 +12,7 @@
 import org.fieldtrestle.transport.Http;
 
 /** A stand-in for a machine and its worker, by the protocol of reports, tokens and leases. */
-final class WorkerStandIn implements Http.Handler {
+final class SimulatedWorker implements Http.Handler {
   private static final long LEASE_STEP_MS = 50;
 
   private static final class Task {
@@ -62,7 +62,7 @@
 
   int directWhileMute;
 
-  WorkerStandIn(
+  SimulatedWorker(
       SimulatedTime time,
       SimulatedCluster cluster,
       String id,
@@ -168,7 +168,7 @@
 
   /** Whether it goes on and has room for a task of so many CPUs. */
   boolean hasRoom(double cpus) {
-    return alive() && !hung() && !deaf() && !muted() && used() + cpus <= CloudStandIn.CPUS + 1e-6;
+    return alive() && !hung() && !deaf() && !muted() && used() + cpus <= SimulatedCloud.CPUS + 1e-6;
   }
 
   private double used() {
@@ -231,7 +231,7 @@
 
   private void beat() {
     time.after(
-        time.between(cluster.reportMs * 3 / 4, cluster.reportMs * 5 / 4),
+        time.between(cluster.heartbeatIntervalsMs * 3 / 4, cluster.heartbeatIntervalsMs * 5 / 4),
         this::alive,
         () -> {
           due = true;
@@ -438,7 +438,7 @@
     changed();
   }
 
-  /** Takes a start from a holder of its master that does not know of its end. */
+  /** Takes a start from a holder of its shard that does not know of its end. */
   void startForFormerHolder(String name, long attempt) {
     start(name, attempt);
     changed();
@@ -455,7 +455,7 @@
       exit(name, task, "unknown");
       return;
     }
-    if (used() > CloudStandIn.CPUS) {
+    if (used() > SimulatedCloud.CPUS) {
       exit(name, task, "full");
       return;
     }
--- a/src/test/java/org/fieldtrestle/rehearsal/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Function;
-import org.fieldtrestle.bookkeeping.Records;
-import org.fieldtrestle.bookkeeping.Store;
-import org.fieldtrestle.bookkeeping.View;
+import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.Settings;
-import org.fieldtrestle.protocol.StateWire;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.StateCache;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 import org.junit.jupiter.api.Test;
@@ -31,8 +31,8 @@
 
   private final Settings settings = new SimulatedNetwork().settings("trestle-0");
 
-  private final Store store =
-      new Store(
+  private final KeyValueClient store =
+      new KeyValueClient(
           reactor,
           (address, method, path, body, timeoutMs, done) -> {
             sent.add(path);
@@ -49,12 +49,12 @@
 
   /** As many writes as can wait, each as large as a transaction may be. */
   private void fillWithWrites() {
-    List<StateWire.Change> changes = new ArrayList<>();
+    List<KeyValueProtocol.Change> changes = new ArrayList<>();
     for (int i = 0; i < settings.state().txnOps(); i++) {
-      changes.add(new StateWire.Delete("ft/live/range/job-1/" + i));
+      changes.add(new KeyValueProtocol.Delete("ft/live/range/job-1/" + i));
     }
     for (int i = 0; i < 200; i++) {
-      store.commit(new Store.Txn(List.of(), changes), result -> {});
+      store.commit(new KeyValueClient.Transaction(List.of(), changes), result -> {});
     }
   }
 
@@ -62,10 +62,10 @@
   void aComparisonIsAnsweredWhileWritesWait() {
     fillWithWrites();
     time.runUntil(1000);
-    List<Store.Result> results = new ArrayList<>();
-    store.compare(List.of(new StateWire.Condition("ft/live/barrier", 0)), results::add);
+    List<KeyValueClient.Result> results = new ArrayList<>();
+    store.compare(List.of(new KeyValueProtocol.Condition("ft/live/barrier", 0)), results::add);
     time.runUntil(1100);
-    assertEquals(List.of(new Store.Committed(1)), results);
+    assertEquals(List.of(new KeyValueClient.Committed(1)), results);
   }
 
   @Test
@@ -73,10 +73,10 @@
     service = path -> answer(200, "{\"items\":[],\"more\":false,\"ledger\":1}");
     fillWithWrites();
     time.runUntil(1000);
-    assertTrue(store.crowded(), "the queue of writes is full");
-    List<StateWire.Listing> pages = new ArrayList<>();
+    assertTrue(store.isCongested(), "the queue of writes is full");
+    List<KeyValueProtocol.Listing> pages = new ArrayList<>();
     assertTrue(
-        store.whenReadAllowed(() -> store.list(Records.FINAL, "", 1, pages::add)), "not refused");
+        store.enqueueRead(() -> store.list(Records.FINAL, "", 1, pages::add)), "not refused");
     time.runUntil(1500);
     assertEquals(1, pages.size());
   }
@@ -85,13 +85,17 @@
   void readsThatNeverEndLeaveWritesTheirTurns() {
     for (int i = 0; i < 1000; i++) {
       time.after(
-          i * 10L, () -> store.whenReadAllowed(() -> store.list(Records.FINAL, "", 1, page -> {})));
+          i * 10L, () -> store.enqueueRead(() -> store.list(Records.FINAL, "", 1, page -> {})));
     }
     int[] committed = {0};
     for (int i = 0; i < 40; i++) {
-      List<StateWire.Change> one = List.of(new StateWire.Delete("ft/live/stray/" + i));
+      List<KeyValueProtocol.Change> one =
+          List.of(new KeyValueProtocol.Delete("ft/live/stray/" + i));
       time.after(
-          i * 250L, () -> store.commit(new Store.Txn(List.of(), one), result -> committed[0]++));
+          i * 250L,
+          () ->
+              store.commit(
+                  new KeyValueClient.Transaction(List.of(), one), result -> committed[0]++));
     }
     time.runUntil(10_500);
     assertEquals(40, committed[0]);
@@ -102,8 +106,10 @@
     fillWithWrites();
     time.runUntil(1000);
     boolean[] done = {false};
-    List<StateWire.Change> change = List.of(new StateWire.Delete("ft/live/member/trestle-0"));
-    store.commitFirst(new Store.Txn(List.of(), change), result -> done[0] = true);
+    List<KeyValueProtocol.Change> change =
+        List.of(new KeyValueProtocol.Delete("ft/live/member/trestle-0"));
+    store.commitWithPriority(
+        new KeyValueClient.Transaction(List.of(), change), result -> done[0] = true);
     time.runUntil(1000 + 1000 * settings.state().txnOps() / 9);
     assertTrue(done[0], "once the write before it has been paid for");
   }
@@ -113,11 +119,11 @@
     service = path -> new Http.Unknown("timeout");
     store.compare(List.of(), result -> {});
     time.runUntil(1000);
-    assertTrue(store.unansweredMs() > 0);
+    assertTrue(store.unavailableForMs() > 0);
     service = path -> answer(429, "{}");
     store.compare(List.of(), result -> {});
     time.runUntil(5000);
-    assertEquals(0, store.unansweredMs(), "a 429 comes from a service that is there");
+    assertEquals(0, store.unavailableForMs(), "a 429 comes from a service that is there");
   }
 
   private static String page(long revision, boolean more, String... keys) {
@@ -130,11 +136,11 @@
   }
 
   /** A view of a state in which nothing happens after revision 10. */
-  private View followed() {
-    View view = new View(reactor, store, settings);
+  private StateCache appliedRevision() {
+    StateCache view = new StateCache(reactor, store, settings);
     service =
         path ->
-            path.startsWith(StateWire.WATCH)
+            path.startsWith(KeyValueProtocol.WATCH)
                 ? answer(200, "{\"ledger\":10,\"log\":[]}")
                 : answer(200, page(10, false));
     view.start();
@@ -144,12 +150,12 @@
 
   @Test
   void aWatchWhoseAnswerIsTooLargeIsGivenUpForReadingByPages() {
-    View view = followed();
-    assertEquals(10, view.followed());
+    StateCache view = appliedRevision();
+    assertEquals(10, view.appliedRevision());
     // As long as it is asked for what came after 10, the answer never gets here whole.
     service =
         path -> {
-          if (!path.startsWith(StateWire.WATCH)) {
+          if (!path.startsWith(KeyValueProtocol.WATCH)) {
             return answer(200, page(5000, false));
           }
           return path.contains("from=10&")
@@ -157,29 +163,30 @@
               : answer(200, "{\"ledger\":5001,\"log\":[]}");
         };
     time.runUntil(60_000);
-    assertEquals(5001, view.followed());
-    assertTrue(time.now() - view.freshAt() < 10_000, "and goes on being followed");
+    assertEquals(5001, view.appliedRevision());
+    assertTrue(time.now() - view.freshAsOf() < 10_000, "and goes on being followed");
   }
 
   @Test
   void anOutageOfTheStateServiceMakesNobodyReadEverythingAnew() {
-    View view = followed();
+    StateCache view = appliedRevision();
     sent.clear();
     service = path -> sent.size() == 1 ? new Http.Unknown("timeout") : answer(503, "{}");
     time.runUntil(60_000);
     service = path -> answer(200, "{\"ledger\":10,\"log\":[]}");
     time.runUntil(65_000);
-    assertTrue(sent.stream().allMatch(path -> path.startsWith(StateWire.WATCH)), sent.toString());
-    assertTrue(view.freshAt() > 60_000, "it is followed again");
+    assertTrue(
+        sent.stream().allMatch(path -> path.startsWith(KeyValueProtocol.WATCH)), sent.toString());
+    assertTrue(view.freshAsOf() > 60_000, "it is followed again");
   }
 
   @Test
   void readingGoesOnAfterThePageThatFailed() {
-    View view = new View(reactor, store, settings);
+    StateCache view = new StateCache(reactor, store, settings);
     int[] failures = {0};
     service =
         path -> {
-          if (path.startsWith(StateWire.WATCH)) {
+          if (path.startsWith(KeyValueProtocol.WATCH)) {
             return null;
           }
           if (!path.contains("&from=")) {
@@ -192,7 +199,7 @@
     view.start();
     time.runUntil(20_000);
     assertTrue(view.ready());
-    assertEquals(10, view.followed(), "the watch begins where the first page was read");
+    assertEquals(10, view.appliedRevision(), "the watch begins where the first page was read");
     long firstPages = sent.stream().filter(path -> !path.contains("from=")).count();
     assertEquals(1, firstPages, "pages that were read are kept: " + sent);
   }
@@ -204,17 +211,17 @@
   /** Whoever is told of a change must not take the state for fresh before all of it is there. */
   @Test
   void theStateIsFreshOnlyOnceAllThatProvesItWasTakenIn() {
-    View view = followed();
+    StateCache view = appliedRevision();
     List<Long> freshWhenTold = new ArrayList<>();
-    view.listen(key -> freshWhenTold.add(view.freshAt()));
-    long before = view.freshAt();
+    view.listen(key -> freshWhenTold.add(view.freshAsOf()));
+    long before = view.freshAsOf();
     String member = "{\"write\":\"ft/live/member/a\",\"v\":{\"f\":1,\"boot\":\"b\"},\"entry\":11}";
     service = path -> path.contains("from=10&") ? answer(200, watched(11, member)) : null;
     time.runUntil(time.now() + 20_000);
-    assertEquals(11, view.followed());
-    assertTrue(view.freshAt() > before, "it is fresh afterwards");
+    assertEquals(11, view.appliedRevision());
+    assertTrue(view.freshAsOf() > before, "it is fresh afterwards");
     assertEquals(1, freshWhenTold.size());
-    assertTrue(freshWhenTold.get(0) < view.freshAt(), "but not while the change is taken in");
+    assertTrue(freshWhenTold.get(0) < view.freshAsOf(), "but not while the change is taken in");
   }
 
   /**
@@ -224,7 +231,7 @@
    */
   @Test
   void anAnswerThatComesAfterItsRevisionWasFollowedBringsNothingBack() {
-    View view = followed();
+    StateCache view = appliedRevision();
     String member = "ft/live/member/a";
     String log =
         "{\"write\":\""
@@ -234,9 +241,9 @@
             + "\",\"entry\":12}";
     service = path -> path.contains("from=10&") ? answer(200, watched(12, log)) : null;
     time.runUntil(time.now() + 20_000);
-    assertEquals(12, view.followed());
+    assertEquals(12, view.appliedRevision());
     view.committed(
-        List.of(new StateWire.Put(member, Records.write(new Records.Member("b")), 0)), 11);
+        List.of(new KeyValueProtocol.Put(member, Records.write(new Records.Member("b")), 0)), 11);
     assertEquals(0, view.version(member));
     assertTrue(view.members().isEmpty());
   }
--- a/src/test/java/org/fieldtrestle/rehearsal/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -270,17 +270,17 @@
 
   public void hangMachinesOf(String job, long ms) {
     cluster.trouble(ms);
-    machinesOf(job).forEach(machine -> machine.hang(ms));
+    machineCountOf(job).forEach(machine -> machine.hang(ms));
   }
 
   public void loseMachinesOf(String job) {
-    machinesOf(job).forEach(machine -> cluster.cloud.remove(machine.id));
+    machineCountOf(job).forEach(machine -> cluster.cloud.remove(machine.id));
   }
 
-  private List<WorkerStandIn> machinesOf(String id) {
+  private List<SimulatedWorker> machineCountOf(String id) {
     SimulatedCluster.Job job = cluster.jobs.get(id);
-    List<WorkerStandIn> machines = new ArrayList<>();
-    for (WorkerStandIn machine : cluster.cloud.machines.values()) {
+    List<SimulatedWorker> machines = new ArrayList<>();
+    for (SimulatedWorker machine : cluster.cloud.machines.values()) {
       for (int i = 0; job != null && i < job.tasks; i++) {
         if (machine.holds(id + "/" + i) && !machines.contains(machine)) {
           machines.add(machine);
--- a/src/test/java/org/fieldtrestle/rehearsal/AnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal;
+package org.fieldtrestle.simulation;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -17,7 +17,7 @@
  * calls itself ready, as the load balancer moves no open connection. Questions at every controller
  * come on top, and repeated submissions at random ones.
  */
-final class AnswerLog {
+final class UserAnswerLog {
   /**
    * A job that cannot be asked about for so long counts as forgotten, once all troubles are over.
    */
@@ -42,7 +42,7 @@
   private final Map<Integer, Integer> statuses = new HashMap<>();
   private Spell longest = new Spell("", 0, 0);
 
-  AnswerLog(SimulatedCluster cluster) {
+  UserAnswerLog(SimulatedCluster cluster) {
     this.cluster = cluster;
     this.time = cluster.time;
   }
--- a/src/test/java/org/fieldtrestle/rehearsal/search/BadInput.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/BadInput.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal.search;
+package org.fieldtrestle.simulation.search;
 
 /** Something that was asked for cannot be; the message names it in one line. */
 final class BadInput extends Exception {
--- a/src/test/java/org/fieldtrestle/rehearsal/search/Fault.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Fault.java
@@ -1,9 +1,9 @@
-package org.fieldtrestle.rehearsal.search;
+package org.fieldtrestle.simulation.search;
 
-import org.fieldtrestle.rehearsal.SteppedCluster;
-import org.fieldtrestle.rehearsal.SteppedCluster.Effect;
-import org.fieldtrestle.rehearsal.SteppedCluster.Step;
-import org.fieldtrestle.rehearsal.SteppedCluster.StepKind;
+import org.fieldtrestle.simulation.SteppedCluster;
+import org.fieldtrestle.simulation.SteppedCluster.Effect;
+import org.fieldtrestle.simulation.SteppedCluster.Step;
+import org.fieldtrestle.simulation.SteppedCluster.StepKind;
 
 /** What can be done to the cluster before a step. */
 enum Fault {
--- a/src/test/java/org/fieldtrestle/rehearsal/search/Scenario.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Scenario.java
@@ -1,8 +1,8 @@
-package org.fieldtrestle.rehearsal.search;
+package org.fieldtrestle.simulation.search;
 
 import java.util.Arrays;
 import java.util.Locale;
-import org.fieldtrestle.rehearsal.SteppedCluster;
+import org.fieldtrestle.simulation.SteppedCluster;
 
 /** What users do in a run; faults are placed within a part of it. */
 enum Scenario {
@@ -49,9 +49,7 @@
     }
   },
 
-  /**
-   * A controller ends while jobs run and are cancelled; another takes its master, it comes back.
-   */
+  /** A controller ends while jobs run and are cancelled; another takes its shard, it comes back. */
   TAKE_OVER(66_000, 90_000) {
     @Override
     void plan(SteppedCluster cluster) {
--- a/src/test/java/org/fieldtrestle/rehearsal/search/Run.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
@@ -1,18 +1,18 @@
-package org.fieldtrestle.rehearsal.search;
+package org.fieldtrestle.simulation.search;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.fieldtrestle.rehearsal.SteppedCluster;
-import org.fieldtrestle.rehearsal.SteppedCluster.Effect;
-import org.fieldtrestle.rehearsal.SteppedCluster.Step;
+import org.fieldtrestle.simulation.SteppedCluster;
+import org.fieldtrestle.simulation.SteppedCluster.Effect;
+import org.fieldtrestle.simulation.SteppedCluster.Step;
 
 /**
  * One scenario with faults at some of its steps, played once. The same run gives the same steps.
  */
-final class Run {
+final class ScenarioRun {
   private static final int MACHINES = 40;
 
   /** After the faults jobs have so long to end. */
@@ -22,12 +22,12 @@
 
   private final Scenario scenario;
   private final long seed;
-  private final Map<Integer, Placement> placements = new HashMap<>();
-  private final Map<Placement, Step> begun = new LinkedHashMap<>();
+  private final Map<Integer, FaultPlacement> placements = new HashMap<>();
+  private final Map<FaultPlacement, Step> begun = new LinkedHashMap<>();
   private final List<Step> steps = new ArrayList<>();
   private SteppedCluster cluster;
 
-  Run(Scenario scenario, long seed, List<Placement> faults) {
+  ScenarioRun(Scenario scenario, long seed, List<FaultPlacement> faults) {
     this.scenario = scenario;
     this.seed = seed;
     faults.forEach(placement -> placements.put(placement.step(), placement));
@@ -88,12 +88,12 @@
       steps.add(step);
     }
     Effect effect = Effect.NONE;
-    for (Map.Entry<Placement, Step> one : begun.entrySet()) {
-      Placement earlier = one.getKey();
+    for (Map.Entry<FaultPlacement, Step> one : begun.entrySet()) {
+      FaultPlacement earlier = one.getKey();
       Effect lasting = earlier.fault().effectOn(one.getValue(), step, earlier.lengthMs());
       effect = lasting == Effect.NONE ? effect : lasting;
     }
-    Placement placement = placements.get(step.number());
+    FaultPlacement placement = placements.get(step.number());
     if (placement == null) {
       return effect;
     }
--- a/src/test/java/org/fieldtrestle/rehearsal/search/Search.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Search.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal.search;
+package org.fieldtrestle.simulation.search;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -13,8 +13,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntConsumer;
-import org.fieldtrestle.rehearsal.SteppedCluster;
-import org.fieldtrestle.rehearsal.SteppedCluster.Step;
+import org.fieldtrestle.simulation.SteppedCluster;
+import org.fieldtrestle.simulation.SteppedCluster.Step;
 
 /**
  * Plays a scenario once for every fault before every step, or a part of these, and again with two
@@ -40,7 +40,7 @@
    * @param possible how many single placements there are
    * @param findings made as short as they could be made
    */
-  record Report(int possible, int runs, long steps, List<Finding> findings) {}
+  record Report(int possible, int runs, long steps, List<Violation> findings) {}
 
   private final Plan plan;
   private final IntConsumer progress;
@@ -59,13 +59,14 @@
   }
 
   Report search() throws InterruptedException {
-    Run.Result undisturbed = new Run(plan.scenario(), plan.seed(), List.of()).play();
+    ScenarioRun.Result undisturbed =
+        new ScenarioRun(plan.scenario(), plan.seed(), List.of()).play();
     if (undisturbed.failed()) {
-      Finding finding = Finding.of(plan.scenario(), plan.seed(), List.of());
+      Violation finding = Violation.of(plan.scenario(), plan.seed(), List.of());
       return new Report(0, 1, undisturbed.stepCount(), List.of(finding));
     }
-    List<Placement> all = placements(undisturbed.steps());
-    List<List<Placement>> runs = new ArrayList<>();
+    List<FaultPlacement> all = placements(undisturbed.steps());
+    List<List<FaultPlacement>> runs = new ArrayList<>();
     all.stream().limit(plan.singles()).forEach(one -> runs.add(List.of(one)));
     runs.addAll(pairs(all));
     return play(all.size(), runs);
@@ -75,10 +76,10 @@
    * All single placements: first those before steps of which there was none alike before, so that a
    * small budget sees every kind of step; alike ones in an order that the seed decides.
    */
-  private List<Placement> placements(List<Step> steps) {
+  private List<FaultPlacement> placements(List<Step> steps) {
     Map<String, Integer> seen = new HashMap<>();
-    Map<Placement, Integer> rounds = new HashMap<>();
-    List<Placement> all = new ArrayList<>();
+    Map<FaultPlacement, Integer> rounds = new HashMap<>();
+    List<FaultPlacement> all = new ArrayList<>();
     for (Step step : steps) {
       String alike = step.controller() + step.kind() + step.detail();
       int round = seen.merge(alike, 1, Integer::sum);
@@ -87,7 +88,7 @@
           continue;
         }
         for (long length : fault.lasting() ? lengths : List.of(0L)) {
-          Placement placement = new Placement(step.number(), fault, length);
+          FaultPlacement placement = new FaultPlacement(step.number(), fault, length);
           rounds.put(placement, round);
           all.add(placement);
         }
@@ -106,12 +107,12 @@
         figures.cancelMs() + BEYOND_MS);
   }
 
-  private List<List<Placement>> pairs(List<Placement> all) {
+  private List<List<FaultPlacement>> pairs(List<FaultPlacement> all) {
     Random random = new Random(plan.seed() + 1);
-    List<List<Placement>> pairs = new ArrayList<>();
+    List<List<FaultPlacement>> pairs = new ArrayList<>();
     while (pairs.size() < plan.pairs() && all.size() > 1) {
-      Placement one = all.get(random.nextInt(all.size()));
-      Placement other = all.get(random.nextInt(all.size()));
+      FaultPlacement one = all.get(random.nextInt(all.size()));
+      FaultPlacement other = all.get(random.nextInt(all.size()));
       if (one.step() != other.step()) {
         pairs.add(one.step() < other.step() ? List.of(one, other) : List.of(other, one));
       }
@@ -119,21 +120,21 @@
     return pairs;
   }
 
-  private Report play(int possible, List<List<Placement>> runs) throws InterruptedException {
+  private Report play(int possible, List<List<FaultPlacement>> runs) throws InterruptedException {
     ExecutorService threads = Executors.newFixedThreadPool(plan.threads());
     try {
-      List<Future<Run.Result>> results = new ArrayList<>();
-      for (List<Placement> placements : runs) {
+      List<Future<ScenarioRun.Result>> results = new ArrayList<>();
+      for (List<FaultPlacement> placements : runs) {
         results.add(threads.submit(() -> playOne(placements)));
       }
       long steps = 0;
-      List<Finding> findings = new ArrayList<>();
+      List<Violation> findings = new ArrayList<>();
       for (int i = 0; i < runs.size(); i++) {
-        Run.Result result = get(results.get(i));
+        ScenarioRun.Result result = get(results.get(i));
         steps += result.stepCount();
         if (result.failed()) {
-          List<Placement> shorter = shorten(runs.get(i));
-          findings.add(Finding.of(plan.scenario(), plan.seed(), shorter));
+          List<FaultPlacement> shorter = shorten(runs.get(i));
+          findings.add(Violation.of(plan.scenario(), plan.seed(), shorter));
         }
       }
       return new Report(possible, runs.size() + 1, steps, findings);
@@ -142,13 +143,14 @@
     }
   }
 
-  private Run.Result playOne(List<Placement> placements) {
-    Run.Result result = new Run(plan.scenario(), plan.seed(), placements).play();
+  private ScenarioRun.Result playOne(List<FaultPlacement> placements) {
+    ScenarioRun.Result result = new ScenarioRun(plan.scenario(), plan.seed(), placements).play();
     progress.accept(played.incrementAndGet());
     return result;
   }
 
-  private static Run.Result get(Future<Run.Result> future) throws InterruptedException {
+  private static ScenarioRun.Result get(Future<ScenarioRun.Result> future)
+      throws InterruptedException {
     try {
       return future.get();
     } catch (ExecutionException e) {
@@ -157,18 +159,18 @@
   }
 
   /** Leaves out faults, and makes them shorter, for as long as a rule is still broken. */
-  private List<Placement> shorten(List<Placement> failing) {
-    for (Placement one : failing) {
+  private List<FaultPlacement> shorten(List<FaultPlacement> failing) {
+    for (FaultPlacement one : failing) {
       if (failing.size() > 1 && fails(List.of(one))) {
         return shorten(List.of(one));
       }
     }
-    List<Placement> shortest = new ArrayList<>(failing);
+    List<FaultPlacement> shortest = new ArrayList<>(failing);
     for (int i = 0; i < shortest.size(); i++) {
-      Placement one = shortest.get(i);
+      FaultPlacement one = shortest.get(i);
       for (long length : one.fault().lasting() ? lengths : List.<Long>of()) {
-        List<Placement> shorter = new ArrayList<>(shortest);
-        shorter.set(i, new Placement(one.step(), one.fault(), length));
+        List<FaultPlacement> shorter = new ArrayList<>(shortest);
+        shorter.set(i, new FaultPlacement(one.step(), one.fault(), length));
         if (length < one.lengthMs() && fails(shorter)) {
           shortest = shorter;
           break;
@@ -178,7 +180,7 @@
     return List.copyOf(shortest);
   }
 
-  private boolean fails(List<Placement> placements) {
-    return new Run(plan.scenario(), plan.seed(), placements).play().failed();
+  private boolean fails(List<FaultPlacement> placements) {
+    return new ScenarioRun(plan.scenario(), plan.seed(), placements).play().failed();
   }
 }
--- a/src/test/java/org/fieldtrestle/rehearsal/search/SearchMain.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/SearchMain.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal.search;
+package org.fieldtrestle.simulation.search;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
@@ -32,7 +32,7 @@
       int runs,
       long steps,
       double seconds,
-      List<Finding> findings) {}
+      List<Violation> findings) {}
 
   @Option(names = "--scenario", description = "by name; all of them by default")
   private List<String> scenarios = List.of();
@@ -90,7 +90,7 @@
   @Override
   public Integer call() throws BadInput, IOException, InterruptedException {
     if (replay != null) {
-      Run.Result result = Finding.read(replay).replay();
+      ScenarioRun.Result result = Violation.read(replay).replay();
       out.println(result.failed() ? "broken: " + result.broken() : "no rule broken");
       return result.failed() ? RULE_BROKEN : NOTHING_FOUND;
     }
@@ -164,7 +164,7 @@
         found.findings());
   }
 
-  private void print(Scenario scenario, Finding finding, int number) throws IOException {
+  private void print(Scenario scenario, Violation finding, int number) throws IOException {
     out.println("  " + finding.placements());
     finding.faultSteps().forEach(step -> out.println("    before " + step));
     finding.broken().stream().limit(3).forEach(one -> out.println("    broken: " + one));
--- a/src/test/java/org/fieldtrestle/rehearsal/search/SearchTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/SearchTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal.search;
+package org.fieldtrestle.simulation.search;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,8 +11,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.fieldtrestle.rehearsal.SteppedCluster.Step;
-import org.fieldtrestle.rehearsal.SteppedCluster.StepKind;
+import org.fieldtrestle.simulation.SteppedCluster.Step;
+import org.fieldtrestle.simulation.SteppedCluster.StepKind;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -60,8 +60,8 @@
     int[] runs = {0};
     for (Step step : steps(Scenario.CANCEL)) {
       if (step.kind() == StepKind.STATE_REQUEST && step.detail().equals("/watch")) {
-        Placement outage = new Placement(step.number(), Fault.STATE_OUTAGE, 67_000);
-        Run.Result result = new Run(Scenario.CANCEL, SEED, List.of(outage)).play();
+        FaultPlacement outage = new FaultPlacement(step.number(), Fault.STATE_OUTAGE, 67_000);
+        ScenarioRun.Result result = new ScenarioRun(Scenario.CANCEL, SEED, List.of(outage)).play();
         assertEquals(List.of(), result.broken(), step.toString());
         runs[0]++;
       }
@@ -70,15 +70,16 @@
   }
 
   private static List<Step> steps(Scenario scenario) {
-    return new Run(scenario, SEED, List.of()).play().steps();
+    return new ScenarioRun(scenario, SEED, List.of()).play().steps();
   }
 
   @Test
   void theSameRunHasTheSameSteps() {
     assertEquals(steps(Scenario.CANCEL), steps(Scenario.CANCEL));
-    Placement fault = new Placement(steps(Scenario.CANCEL).get(5).number(), Fault.STATE_SLOW, 9000);
-    Run.Result one = new Run(Scenario.CANCEL, SEED, List.of(fault)).play();
-    Run.Result other = new Run(Scenario.CANCEL, SEED, List.of(fault)).play();
+    FaultPlacement fault =
+        new FaultPlacement(steps(Scenario.CANCEL).get(5).number(), Fault.STATE_SLOW, 9000);
+    ScenarioRun.Result one = new ScenarioRun(Scenario.CANCEL, SEED, List.of(fault)).play();
+    ScenarioRun.Result other = new ScenarioRun(Scenario.CANCEL, SEED, List.of(fault)).play();
     assertEquals(one, other);
   }
 
@@ -93,12 +94,13 @@
 
   @Test
   void aFindingIsReadAsItWasWrittenAndPlayedAgain(@TempDir Path directory) throws Exception {
-    Placement fault = new Placement(steps(Scenario.END).get(0).number(), Fault.MESSAGE_LOST, 0);
-    Finding finding = Finding.of(Scenario.END, SEED, List.of(fault));
+    FaultPlacement fault =
+        new FaultPlacement(steps(Scenario.END).get(0).number(), Fault.MESSAGE_LOST, 0);
+    Violation finding = Violation.of(Scenario.END, SEED, List.of(fault));
     Path file = directory.resolve("finding.json");
     finding.write(file);
-    assertEquals(finding, Finding.read(file));
-    assertFalse(Finding.read(file).replay().failed());
+    assertEquals(finding, Violation.read(file));
+    assertFalse(Violation.read(file).replay().failed());
     assertEquals(SearchMain.NOTHING_FOUND, search("--replay", file.toString()));
     assertTrue(printed.toString(StandardCharsets.UTF_8).contains("no rule broken"));
   }
@@ -119,7 +121,7 @@
     assertRefused("--nonsense", "--nonsense");
     assertRefused("cannot read", "--replay", directory.resolve("none").toString());
     Path file = directory.resolve("finding.json");
-    Finding.of(Scenario.END, SEED, List.of()).write(file);
+    Violation.of(Scenario.END, SEED, List.of()).write(file);
     String whole = Files.readString(file);
     Files.writeString(file, whole.substring(0, whole.length() / 2));
     assertRefused("is no finding", "--replay", file.toString());
--- a/src/test/java/org/fieldtrestle/rehearsal/search/Finding.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Violation.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.rehearsal.search;
+package org.fieldtrestle.simulation.search;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
@@ -17,11 +17,11 @@
  * @param faultSteps the steps before which the faults were placed, for the reader
  * @param broken what was broken, for the reader
  */
-record Finding(
+record Violation(
     int version,
     String scenario,
     long seed,
-    List<Placement> placements,
+    List<FaultPlacement> placements,
     List<String> faultSteps,
     List<String> broken) {
   static final int VERSION = 1;
@@ -32,10 +32,10 @@
           .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES)
           .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
 
-  static Finding of(Scenario scenario, long seed, List<Placement> placements) {
-    Run run = new Run(scenario, seed, placements);
-    Run.Result result = run.play();
-    return new Finding(
+  static Violation of(Scenario scenario, long seed, List<FaultPlacement> placements) {
+    ScenarioRun run = new ScenarioRun(scenario, seed, placements);
+    ScenarioRun.Result result = run.play();
+    return new Violation(
         VERSION,
         scenario.printedName(),
         seed,
@@ -45,18 +45,18 @@
   }
 
   /** Plays it again. */
-  Run.Result replay() throws BadInput {
-    return new Run(Scenario.named(scenario), seed, placements).play();
+  ScenarioRun.Result replay() throws BadInput {
+    return new ScenarioRun(Scenario.named(scenario), seed, placements).play();
   }
 
   void write(Path file) throws IOException {
     Files.write(file, MAPPER.writeValueAsBytes(this));
   }
 
-  static Finding read(Path file) throws BadInput {
-    Finding finding;
+  static Violation read(Path file) throws BadInput {
+    Violation finding;
     try {
-      finding = MAPPER.readValue(Files.readAllBytes(file), Finding.class);
+      finding = MAPPER.readValue(Files.readAllBytes(file), Violation.class);
     } catch (JsonProcessingException e) {
       throw new BadInput(file + " is no finding: " + e.getOriginalMessage());
     } catch (IOException e) {
--- a/src/test/java/org/fieldtrestle/bookkeeping/RecordsTest.java
+++ b/src/test/java/org/fieldtrestle/state/RecordsTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.bookkeeping;
+package org.fieldtrestle.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.UserWire;
+import org.fieldtrestle.protocol.UserProtocol;
 import org.junit.jupiter.api.Test;
 
 class RecordsTest {
@@ -51,7 +51,7 @@
       @ForAll @IntRange(min = 1, max = 9_000) int size,
       @ForAll @Size(max = 50) Set<@IntRange(max = 8_999) Integer> done,
       @ForAll @AlphaChars @StringLength(min = 1, max = 10) String team)
-      throws Records.Unreadable {
+      throws Records.UnreadableRecordException {
     BitSet set = new BitSet();
     done.stream().filter(n -> n < size).forEach(set::set);
     Records.Range range =
@@ -63,8 +63,8 @@
   @Property(tries = 200, seed = "15")
   void rostersAreReadAsTheyWereWritten(
       @ForAll @Size(max = 60) Map<@IntRange(max = 2000) Integer, @IntRange(max = 5) Integer> some)
-      throws Records.Unreadable {
-    Records.RosterKey key = new Records.RosterKey("trestle-1", 2);
+      throws Records.UnreadableRecordException {
+    Records.InventoryKey key = new Records.InventoryKey("trestle-1", 2);
     Map<String, Records.Machine> machines = new TreeMap<>();
     some.forEach(
         (number, kind) ->
@@ -78,14 +78,14 @@
                     kind > 2,
                     kind == 0 ? 77 : 0,
                     kind == 0 ? 0 : 400 + kind)));
-    assertEquals(machines, Records.readRoster(key, Records.writeRoster(machines)));
-    assertEquals(key, Records.key(Records.roster(key)));
+    assertEquals(machines, Records.readInventory(key, Records.writeInventory(machines)));
+    assertEquals(key, Records.key(Records.inventory(key)));
   }
 
   @Test
   void aJobIsReadAsItWasWrittenAndAlsoInTheFormBefore() throws Exception {
     JobSpec spec =
-        UserWire.readJob(
+        UserProtocol.readJob(
             """
             {"uid":"job-000412","lot":"train","crew":"vision","cut":"array","urgency":"urgent",
              "boards":16,"cpus":8.0,"gpus":1.0,"memoryGb":64.0,"blueprint":"img-07","pullGb":6.2,
@@ -113,12 +113,14 @@
 
   @Test
   void aRecordOfAnotherFormIsRefusedByName() {
-    ObjectNode other = (ObjectNode) Records.write(new Records.Master("trestle-0"));
+    ObjectNode other = (ObjectNode) Records.write(new Records.Shard("trestle-0"));
     other.put("f", 2);
-    Records.Unreadable error =
-        assertThrows(Records.Unreadable.class, () -> Records.readMaster(other));
+    Records.UnreadableRecordException error =
+        assertThrows(Records.UnreadableRecordException.class, () -> Records.readShard(other));
     assertTrue(error.getMessage().contains("form 2"), error.getMessage());
-    assertThrows(Records.Unreadable.class, () -> Records.readQuota(Json.object().put("shares", 1)));
+    assertThrows(
+        Records.UnreadableRecordException.class,
+        () -> Records.readQuota(Json.object().put("shares", 1)));
   }
 
   @Property(tries = 300, seed = "14")
--- a/src/test/java/org/fieldtrestle/transport/WorkMeterTest.java
+++ b/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import org.fieldtrestle.transport.WorkMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Work;
 import org.junit.jupiter.api.Test;
 
-class WorkMeterTest {
+class EventLoopMeterTest {
   private static final long MS = 1_000_000;
 
   private long now;
-  private final WorkMeter meter = new WorkMeter(() -> now);
+  private final EventLoopMeter meter = new EventLoopMeter(() -> now);
 
   private void pass(long ms) {
     now += ms * MS;
--- a/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
+++ b/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
@@ -37,11 +37,11 @@
                   new Http.Response(
                       200, ("got " + request.body().length).getBytes(StandardCharsets.UTF_8)));
             },
-            new Sockets(6), // four of them for whoever calls
+            new SocketBudget(6), // four of them for whoever calls
             path -> path.equals("/often"),
             60_000,
             requestMs,
-            new WorkMeter(System::nanoTime));
+            new EventLoopMeter(System::nanoTime));
     return server.start(new InetSocketAddress("127.0.0.1", 0));
   }
 
@@ -177,7 +177,7 @@
   @Test
   void nearTheLimitConnectionsEndWithTheirAnswers() throws Exception {
     EmbeddedChannel[] open = new EmbeddedChannel[95];
-    Sockets sockets = new Sockets(100); // 96 of them
+    SocketBudget sockets = new SocketBudget(100); // 96 of them
     for (int i = 0; i < open.length; i++) {
       assertEquals(i > 76, sockets.endsWithAnswer(true), "those that come often, at " + i);
       assertEquals(i > 86, sockets.endsWithAnswer(false), "all, at " + i);
--- a/src/test/java/org/fieldtrestle/coordination/ImageDownloadsTest.java
+++ b/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
@@ -1,4 +1,4 @@
-package org.fieldtrestle.coordination;
+package org.fieldtrestle.worker;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
