--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -40,7 +40,7 @@
       int placed = 0;
       for (TaskRange range : shard.ranges().all()) {
         waiting += range.waiting();
-        placed += range.placed.size();
+        placed += range.placed().size();
       }
       one.put("tasksWaiting", waiting);
       one.put("tasksOnMachines", placed);
--- a/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
+++ b/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
@@ -1,17 +1,17 @@
 package org.fieldtrestle.leadership;
 
-import org.fieldtrestle.state.StateCache;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import org.fieldtrestle.state.BoundedCache;
+import org.fieldtrestle.state.StateCache;
 
 /**
  * What is known of cancellations ahead of the followed state, for decisions and for those on call.
  *
  * <p>A cancellation that this controller has confirmed itself needs no memory here: its commit has
- * removed the job's record from the {@link StateCache}. What other
- * controllers say is a hint that makes tasks stop sooner; the oldest hints may be forgotten, as the
- * fence bounds what happens without them.
+ * removed the job's record from the {@link StateCache}. What other controllers say is a hint that
+ * makes tasks stop sooner; the oldest hints may be forgotten, as the fence bounds what happens
+ * without them.
  */
 public final class CancellationNotices {
   /** Hints of other controllers that are remembered. */
--- a/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -99,14 +99,15 @@
    * flow of work that there never was.
    */
   public void arrived(TaskRange range) {
-    if (range.spec == null) {
+    if (range.spec() == null) {
       return;
     }
-    if (range.inherited) {
-      double agoS = (context.now() - range.waitingSince) / 1000.0;
-      load += machineSeconds(range.spec, range.record.size()) * Math.exp(-agoS / FADES_S) / FADES_S;
+    if (range.isInherited()) {
+      double agoS = (context.now() - range.waitingSince()) / 1000.0;
+      load +=
+          machineSeconds(range.spec(), range.record().size()) * Math.exp(-agoS / FADES_S) / FADES_S;
     } else {
-      arrivedWork += machineSeconds(range.spec, range.waiting());
+      arrivedWork += machineSeconds(range.spec(), range.waiting());
     }
   }
 
@@ -133,9 +134,9 @@
     cheap = 0;
     zoneCounts.clear();
     for (Worker worker : workers.all()) {
-      cheap += worker.spot && !worker.draining ? 1 : 0;
-      if (worker.up) {
-        ZoneCount count = zoneCounts.computeIfAbsent(worker.zone, z -> new ZoneCount());
+      cheap += worker.isSpot() && !worker.isDraining() ? 1 : 0;
+      if (worker.isUp()) {
+        ZoneCount count = zoneCounts.computeIfAbsent(worker.zone(), z -> new ZoneCount());
         count.up++;
         count.silent += workers.silentFor(worker, now) > context.heartbeatIntervalsMs(2) ? 1 : 0;
       }
@@ -143,8 +144,8 @@
   }
 
   private void replaceIfUseless(Worker worker, long now) {
-    MachineType type = context.type(worker.machineType);
-    if (worker.draining || type == null) {
+    MachineType type = context.type(worker.machineType());
+    if (worker.isDraining() || type == null) {
       return;
     }
     for (TaskAttempt task : worker.attempts()) {
@@ -152,51 +153,54 @@
         failures.crawled(task, now);
       }
     }
-    if (worker.lastHeartbeatAt < 0 && !worker.up && worker.ageMs(now) > type.bootS() * 3500) {
+    if (worker.lastHeartbeatAt() < 0 && !worker.isUp() && worker.ageMs(now) > type.bootS() * 3500) {
       drain(worker, "never came up");
       return;
     }
-    if (worker.up && !worker.leaseExpired && silent(worker, now) && !zoneSilent(worker, now)) {
+    if (worker.isUp()
+        && !worker.isLeaseExpired()
+        && silent(worker, now)
+        && !zoneSilent(worker, now)) {
       drain(worker, "silent while others of its zone report");
       return;
     }
-    if (worker.leaseExpired
+    if (worker.isLeaseExpired()
         && workers.silentFor(worker, now) > 2 * context.settings().workerLeaseMs()) {
       drain(worker, "silent for two leases");
       return;
     }
-    if (worker.up && !worker.leaseExpired && deaf(worker, now)) {
+    if (worker.isUp() && !worker.isLeaseExpired() && deaf(worker, now)) {
       // Its reports say nothing of whether it hears us. Nothing that it has can be stopped but by
       // its lease, and nothing that it is given comes: only its return makes sure of that.
       drain(worker, "does not hear us");
-      worker.terminating = true;
+      worker.beginTermination();
       return;
     }
-    if (worker.up
-        && worker.reconciled
+    if (worker.isUp()
+        && worker.isReconciled()
         && worker.empty()
-        && workers.listenedFor(worker.idleSince, now) > idleMs(worker, type)) {
-      drain(worker, worker.cordoned ? "not needed" : "idle");
+        && workers.listenedFor(worker.idleSince(), now) > idleMs(worker, type)) {
+      drain(worker, worker.isCordoned() ? "not needed" : "idle");
     }
   }
 
   /** Whether a machine that reports has shown for long that our answers do not come through. */
   private boolean deaf(Worker worker, long now) {
     long lease = context.settings().workerLeaseMs();
-    if (worker.unresponsiveSince >= 0) {
-      return workers.listenedFor(worker.unresponsiveSince, now) > lease / 2;
+    if (worker.unresponsiveSince() >= 0) {
+      return workers.listenedFor(worker.unresponsiveSince(), now) > lease / 2;
     }
-    return !worker.reconciled
-        && worker.lastHeartbeatAt >= 0
-        && workers.listenedFor(worker.since, now) > lease + context.heartbeatIntervalsMs(4);
+    return !worker.isReconciled()
+        && worker.lastHeartbeatAt() >= 0
+        && workers.listenedFor(worker.since(), now) > lease + context.heartbeatIntervalsMs(4);
   }
 
   /** A cheap machine is kept for a while where the usual flow of work will want it again. */
   private long idleMs(Worker worker, MachineType type) {
-    if (worker.cordoned) {
+    if (worker.isCordoned()) {
       return Math.round(type.bootS() * 250);
     }
-    boolean wanted = worker.spot && cheap <= target();
+    boolean wanted = worker.isSpot() && cheap <= target();
     return Math.round(type.bootS() * (wanted ? 2000 : 500));
   }
 
@@ -211,11 +215,11 @@
     List<Worker> closed = new ArrayList<>();
     double surplus = -reservedCpus.getAsDouble();
     for (Worker worker : workers.all()) {
-      MachineType type = context.type(worker.machineType);
-      if (type == null || !worker.up || worker.draining) {
+      MachineType type = context.type(worker.machineType());
+      if (type == null || !worker.isUp() || worker.isDraining()) {
         continue;
       }
-      if (worker.cordoned) {
+      if (worker.isCordoned()) {
         closed.add(worker);
       } else if (workers.usable(worker, context.now())) {
         open.add(worker);
@@ -223,14 +227,15 @@
       }
     }
     Comparator<Worker> order =
-        Comparator.comparing((Worker worker) -> worker.spot).thenComparingDouble(Worker::usedCpus);
+        Comparator.comparing((Worker worker) -> worker.isSpot())
+            .thenComparingDouble(Worker::usedCpus);
     closed.sort(order.reversed());
     for (Worker worker : closed) {
       if (surplus >= 0) {
         break;
       }
-      worker.cordoned = false;
-      surplus += context.type(worker.machineType).cpus() - worker.usedCpus();
+      worker.uncordon();
+      surplus += context.type(worker.machineType()).cpus() - worker.usedCpus();
     }
     if (open.size() < 2) {
       return;
@@ -238,13 +243,13 @@
     open.sort(order);
     int left = open.size();
     for (Worker worker : open) {
-      MachineType type = context.type(worker.machineType);
+      MachineType type = context.type(worker.machineType());
       double free = type.cpus() - worker.usedCpus();
-      if (surplus - free < type.cpus() * (worker.spot ? 0.75 : 0.25)
-          || worker.spot && left <= target()) {
+      if (surplus - free < type.cpus() * (worker.isSpot() ? 0.75 : 0.25)
+          || worker.isSpot() && left <= target()) {
         return;
       }
-      worker.cordoned = true;
+      worker.cordon();
       left--;
       surplus -= free;
     }
@@ -256,7 +261,7 @@
 
   /** Most of a zone silent at once is a cut, not the machines. */
   private boolean zoneSilent(Worker worker, long now) {
-    ZoneCount count = zoneCounts.get(worker.zone);
+    ZoneCount count = zoneCounts.get(worker.zone());
     int self = workers.silentFor(worker, now) > context.heartbeatIntervalsMs(2) ? 1 : 0;
     int silent = count.silent - self;
     return silent > 0 && silent * 2 >= count.up - 1;
@@ -264,7 +269,7 @@
 
   private void drain(Worker worker, String why) {
     worker.drain(why);
-    LOG.info("machine {} goes: {}", worker.id, why);
+    LOG.info("machine {} goes: {}", worker.id(), why);
   }
 
   // ---- giving back
@@ -276,10 +281,10 @@
     List<String> names = new ArrayList<>();
     for (Worker worker : workers.all()) {
       if (names.size() < CloudProtocol.MAX_RETURN
-          && !worker.terminated
-          && (worker.terminating || worker.draining && mayGo(worker, now))) {
-        worker.terminating = true;
-        names.add(worker.id);
+          && !worker.isTerminated()
+          && (worker.isTerminating() || worker.isDraining() && mayGo(worker, now))) {
+        worker.beginTermination();
+        names.add(worker.id());
       }
     }
     if (names.isEmpty()) {
@@ -299,13 +304,14 @@
   }
 
   private boolean mayGo(Worker worker, long now) {
-    if (worker.spotNoticeUntil >= 0) {
+    if (worker.spotNoticeUntil() >= 0) {
       // Charged until it is taken; it may finish what it has until then.
       return worker.empty()
-          || now > worker.spotNoticeUntil + context.heartbeatIntervalsMs(1) && silent(worker, now);
+          || now > worker.spotNoticeUntil() + context.heartbeatIntervalsMs(1)
+              && silent(worker, now);
     }
     return worker.empty() && worker.hasNoCommandInFlight()
-        || worker.leaseExpired
+        || worker.isLeaseExpired()
         || silent(worker, now)
         || deaf(worker, now);
   }
@@ -317,9 +323,8 @@
       return;
     }
     context.metrics().returned++;
-    worker.terminated = true;
-    worker.leaseExpired = true;
-    workers.loseTasks(worker, "returned (" + worker.drainReason + ")");
+    worker.markTerminated();
+    workers.loseTasks(worker, "returned (" + worker.drainReason() + ")");
     inventory.remove(id);
   }
 
@@ -347,10 +352,10 @@
     for (CloudProtocol.Listed one : machines) {
       listed.add(one.machine());
       Worker worker = workers.get(one.machine());
-      if (worker != null && one.failed() && !worker.terminating) {
+      if (worker != null && one.failed() && !worker.isTerminating()) {
         drain(worker, "stopped by itself");
-        worker.leaseExpired = true;
-        worker.terminating = true;
+        worker.expireLease();
+        worker.beginTermination();
       }
       if (worker == null && !context.stateCache().machines().containsKey(one.machine())) {
         stranger(one, now);
@@ -358,16 +363,16 @@
     }
     strangers.keySet().retainAll(listed);
     for (Worker worker : workers.all()) {
-      if (listed.contains(worker.id) || worker.ageMs(now) < 4 * lagMs()) {
-        missing.remove(worker.id);
-      } else if (missing.merge(worker.id, 1, Integer::sum) >= 3
-          && (worker.lastHeartbeatAt < 0 || silent(worker, now))) {
+      if (listed.contains(worker.id()) || worker.ageMs(now) < 4 * lagMs()) {
+        missing.remove(worker.id());
+      } else if (missing.merge(worker.id(), 1, Integer::sum) >= 3
+          && (worker.lastHeartbeatAt() < 0 || silent(worker, now))) {
         // One that this epoch has never heard of holds up its team's limit and inherited tasks, for
         // the former holder's lease and its own; several changes of hands in a row begin anew.
-        if (!worker.draining) {
+        if (!worker.isDraining()) {
           drain(worker, "no longer listed");
         }
-        worker.terminating = true;
+        worker.beginTermination();
       }
     }
     workers.forgetMissing(missing);
@@ -437,9 +442,9 @@
     }
 
     boolean servedBy(Worker worker) {
-      return worker.machineType.equals(type.name())
-          && (spot || !worker.spot)
-          && (zone == null || zone.equals(worker.zone));
+      return worker.machineType().equals(type.name())
+          && (spot || !worker.isSpot())
+          && (zone == null || zone.equals(worker.zone()));
     }
   }
 
@@ -452,11 +457,11 @@
     for (TaskRange range : ranges.all()) {
       // While a machine has not been heard of, what waits of an inherited range may be there, and
       // none of it may start anyway: else every restart rented a second fleet.
-      if (range.spec != null
+      if (range.spec() != null
           && !term.policy().mustStop(range)
           && range.waiting() > 0
           && !ranges.blocked(range)) {
-        MachineType type = typeFor(range.spec);
+        MachineType type = typeFor(range.spec());
         if (type != null) {
           needs.add(need(range, type, now));
         }
@@ -490,7 +495,7 @@
     // What the usual flow keeps busy is rented ahead of it, but only where that is cheap.
     int machines = 0;
     for (Worker worker : workers.all()) {
-      machines += worker.draining ? 0 : 1;
+      machines += worker.isDraining() ? 0 : 1;
     }
     wanted = (int) Math.floor(target()) - machines;
     if (wanted > 0 && needs.get(0).spot()) {
@@ -505,19 +510,19 @@
     int machines = 0;
     double booting = 0;
     for (Worker worker : workers.all()) {
-      if (worker.draining
-          || worker.leaseExpired && silent(worker, now)
+      if (worker.isDraining()
+          || worker.isLeaseExpired() && silent(worker, now)
           || !kind.servedBy(worker)
           || failures.avoids(kind.range(), worker)) {
         continue;
       }
       machines++;
-      if (!worker.up) {
+      if (!worker.isUp()) {
         booting += Math.max(type.bootS() * 0.2, type.bootS() - worker.ageMs(now) / 1000.0);
       }
       for (TaskAttempt task : worker.attempts()) {
-        if (task.live() && task.range != null && task.range.spec != null) {
-          JobSpec spec = task.range.spec;
+        if (task.live() && task.range() != null && task.range().spec() != null) {
+          JobSpec spec = task.range().spec();
           busy += Math.max(2, remainingS(task, type, now)) / type.tasksPerMachine(spec);
         }
       }
@@ -540,13 +545,13 @@
   }
 
   private Need need(TaskRange range, MachineType type, long now) {
-    JobSpec spec = range.spec;
+    JobSpec spec = range.spec();
     double work =
         (spec.estimateS() + type.imageFetchS(spec) / 2)
             * range.waiting()
             / type.tasksPerMachine(spec);
-    String zone = range.zone != null ? range.zone : spec.zone();
-    double waited = (now - range.waitingSince) / 1000.0;
+    String zone = range.zone() != null ? range.zone() : spec.zone();
+    double waited = (now - range.waitingSince()) / 1000.0;
     double slack =
         spec.deadlineS() < 0
             ? 4 * type.bootS()
@@ -572,11 +577,11 @@
   }
 
   private static double remainingS(TaskAttempt task, MachineType type, long now) {
-    JobSpec spec = task.range.spec;
+    JobSpec spec = task.range().spec();
     double fetch =
-        task.runningSince >= 0
+        task.runningSince() >= 0
             ? 0
-            : Math.max(0, type.imageFetchS(spec) - (now - task.placedAt) / 1000.0);
+            : Math.max(0, type.imageFetchS(spec) - (now - task.placedAt()) / 1000.0);
     return fetch + task.remainingS(now, spec.estimateS());
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -66,15 +66,15 @@
     for (Worker worker : machines.all()) {
       if (machines.usable(worker, now)) {
         for (TaskAttempt task : worker.attempts()) {
-          if (task.live() && task.stop) {
-            meet(unmet, task.cpus);
+          if (task.live() && task.isStop()) {
+            meet(unmet, task.cpus());
           }
         }
       }
     }
     Map<String, List<SelectivePreemption.Waiting<Group>>> evictors = new HashMap<>();
     for (Worker worker : machines.all()) {
-      MachineType type = context.type(worker.machineType);
+      MachineType type = context.type(worker.machineType());
       if (type == null
           || !machines.usable(worker, now)
           || stopping(worker)
@@ -85,7 +85,7 @@
           failures.avoidsAny(worker)
               ? able(stuck, worker, type, now)
               : evictors.computeIfAbsent(
-                  worker.machineType + "/" + worker.zone + "/" + worker.spot,
+                  worker.machineType() + "/" + worker.zone() + "/" + worker.isSpot(),
                   kind -> able(stuck, worker, type, now));
       List<SelectivePreemption.Waiting<Group>> ready = new ArrayList<>();
       for (SelectivePreemption.Waiting<Group> one : able) {
@@ -103,7 +103,7 @@
         TaskRange range = drawn.what().range();
         worker.claim(range, now + context.heartbeatIntervalsMs(2));
         // At least one is met, or the next machine would evict for the same task again.
-        int met = Math.max(1, (int) Math.floor(freed / Math.max(0.1, range.record.cpus())));
+        int met = Math.max(1, (int) Math.floor(freed / Math.max(0.1, range.record().cpus())));
         unmet.merge(drawn, -met, (left, less) -> Math.max(0, left + less));
       }
     }
@@ -112,8 +112,8 @@
   private boolean mayEvict(SelectivePreemption.Waiting<Group> one, long now) {
     double waited = one.what().waitedS(now);
     TaskRange range = one.what().range();
-    return waited >= context.preemptionDelayS(range.spec, false)
-        || waited >= context.preemptionDelayS(range.spec, true) && shares.guaranteed(range);
+    return waited >= context.preemptionDelayS(range.spec(), false)
+        || waited >= context.preemptionDelayS(range.spec(), true) && shares.guaranteed(range);
   }
 
   private boolean anyMay(List<SelectivePreemption.Waiting<Group>> stuck, long now) {
@@ -135,9 +135,9 @@
     for (SelectivePreemption.Waiting<Group> one : stuck) {
       TaskRange range = one.what().range();
       if (one.what().first() >= 0
-          && type.fits(range.spec)
+          && type.fits(range.spec())
           && TaskPlacer.allowed(failures, range, one.what().first(), worker)
-          && shares.allows(range.spec)) {
+          && shares.allows(range.spec())) {
         queue.add(one);
       }
     }
@@ -154,11 +154,11 @@
   private boolean young(Worker worker, long now) {
     for (TaskAttempt task : worker.attempts()) {
       if (task.live()
-          && !task.spared
-          && task.range != null
-          && task.range.spec != null
-          && (now - task.placedAt) / 1000.0
-              <= context.operatorSettings().victimShare() * task.range.spec.estimateS()) {
+          && !task.isSpared()
+          && task.range() != null
+          && task.range().spec() != null
+          && (now - task.placedAt()) / 1000.0
+              <= context.operatorSettings().victimShare() * task.range().spec().estimateS()) {
         return true;
       }
     }
@@ -172,7 +172,7 @@
       if (left < 0.1) {
         return;
       }
-      double each = Math.max(0.1, one.getKey().what().range().record.cpus());
+      double each = Math.max(0.1, one.getKey().what().range().record().cpus());
       int met = (int) Math.min(one.getValue(), Math.floor(left / each + 1e-6));
       one.setValue(one.getValue() - met);
       left -= met * each;
@@ -181,7 +181,7 @@
 
   private static boolean stopping(Worker worker) {
     for (TaskAttempt task : worker.attempts()) {
-      if (task.live() && task.stop) {
+      if (task.live() && task.isStop()) {
         return true;
       }
     }
@@ -191,23 +191,23 @@
   /** Makes room for one waiting task on a machine; returns the CPUs that its victims leave. */
   private double evictFor(
       SelectivePreemption.Waiting<Group> drawn, Worker worker, MachineType type, long now) {
-    JobSpec spec = drawn.what().range().spec;
+    JobSpec spec = drawn.what().range().spec();
     boolean owed = shares.guaranteed(drawn.what().range());
     List<SelectivePreemption.Running<TaskAttempt>> running = new ArrayList<>();
     for (TaskAttempt task : worker.attempts()) {
       if (task.live()
-          && task.range != null
-          && task.range.spec != null
-          && !task.spared
-          && !task.range.spec.whole()) { // gangs and services are spared
-        JobSpec other = task.range.spec;
+          && task.range() != null
+          && task.range().spec() != null
+          && !task.isSpared()
+          && !task.range().spec().whole()) { // gangs and services are spared
+        JobSpec other = task.range().spec();
         running.add(
             new SelectivePreemption.Running<>(
                 task,
                 other.priority(),
-                falcon.score(task.remainingS(now, other.estimateS()), task.waitedS),
+                falcon.score(task.remainingS(now, other.estimateS()), task.waitedS()),
                 // An image on its way is work too: giving it up and fetching again helps nobody.
-                (now - task.placedAt) / 1000.0,
+                (now - task.placedAt()) / 1000.0,
                 other.estimateS(),
                 owed && shares.owed(spec.team(), other.team())));
       }
@@ -221,9 +221,9 @@
       if (cpus >= spec.cpus() && gpus >= spec.gpus() && memory >= spec.memoryGb()) {
         break;
       }
-      cpus += victim.what().cpus;
-      gpus += victim.what().gpus;
-      memory += victim.what().memoryGb;
+      cpus += victim.what().cpus();
+      gpus += victim.what().gpus();
+      memory += victim.what().memoryGb();
       chosen.add(victim.what());
     }
     if (chosen.isEmpty() || cpus < spec.cpus() || gpus < spec.gpus() || memory < spec.memoryGb()) {
@@ -231,10 +231,11 @@
     }
     double freed = 0;
     for (TaskAttempt victim : chosen) {
-      freed += victim.cpus;
+      freed += victim.cpus();
       LOG.debug("task {} gives way to {} ({})", victim, spec.id(), spec.priority());
       context.metrics().evicted++;
-      decisions.stop(victim, victim.range.spec.hasCheckpoints() ? victim.range.spec.saveS() : 0);
+      decisions.stop(
+          victim, victim.range().spec().hasCheckpoints() ? victim.range().spec().saveS() : 0);
     }
     return freed;
   }
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -87,7 +87,7 @@
     TeamUsage usage = workers.usage();
     double[] used = {usage.cpus(team), usage.gpus(team)};
     for (Worker worker : workers.unresolved()) {
-      MachineType type = context.type(worker.machineType);
+      MachineType type = context.type(worker.machineType());
       used[0] += type == null ? Double.MAX_VALUE / 4 : type.cpus();
       used[1] += type == null ? Double.MAX_VALUE / 4 : type.gpus();
     }
@@ -115,12 +115,12 @@
     double[] least = {Double.MAX_VALUE, Double.MAX_VALUE};
     for (TaskRange range : ranges.all()) {
       if (range.waiting() > 0
-          && range.record.team().equals(team.name())
+          && range.record().team().equals(team.name())
           && !term.policy().mustStop(range)) {
-        need[0] += range.waiting() * range.record.cpus();
-        need[1] += range.waiting() * range.record.gpus();
-        least[0] = Math.min(least[0], range.record.cpus());
-        least[1] = Math.min(least[1], range.record.gpus());
+        need[0] += range.waiting() * range.record().cpus();
+        need[1] += range.waiting() * range.record().gpus();
+        least[0] = Math.min(least[0], range.record().cpus());
+        least[1] = Math.min(least[1], range.record().gpus());
       }
     }
     double shards = context.settings().peers().size() + 1;
@@ -194,8 +194,8 @@
 
   /** Whether a job fits its team's guarantee together with the team's earlier unfinished jobs. */
   boolean guaranteed(TaskRange range) {
-    Settings.Team team = context.settings().team(range.spec.team());
-    StateCache.ActiveJob own = context.stateCache().job(range.key.job());
+    Settings.Team team = context.settings().team(range.spec().team());
+    StateCache.ActiveJob own = context.stateCache().job(range.key().job());
     if (team == null || own == null || team.cpus() <= 0 && team.gpus() <= 0) {
       return false;
     }
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -67,32 +67,32 @@
    * How many tasks at the end of the range are nowhere. One that has failed stays: we know of it.
    */
   private int tail(TaskRange range) {
-    if (range.spec == null
+    if (range.spec() == null
         || term.policy().mustStop(range)
-        || range.writing
+        || range.isWriting()
         || ranges.blocked(range)
-        || !range.record.caps().isEmpty()
-        || context.stateCache().rangesOf(range.key.job()).size() + 4
+        || !range.record().caps().isEmpty()
+        || context.stateCache().rangesOf(range.key().job()).size() + 4
             > context.settings().state().txnOps()) {
       return 0;
     }
-    int size = range.record.size();
+    int size = range.record().size();
     int tail = 0;
     while (tail < size
         && range.isNowhere(size - 1 - tail)
         && !workers.hasDuplicate(range, size - 1 - tail)) {
       tail++;
     }
-    return range.spec.kind() == JobSpec.Kind.GANG && tail < size ? 0 : tail;
+    return range.spec().kind() == JobSpec.Kind.GANG && tail < size ? 0 : tail;
   }
 
   private boolean hand(TaskRange range, int tail, double waiting, double capacity) {
-    String zone = range.zone != null ? range.zone : range.spec.zone();
-    JobSplitter.Candidate to = context.loads().leastLoaded(range.spec, zone, term.shard());
+    String zone = range.zone() != null ? range.zone() : range.spec().zone();
+    JobSplitter.Candidate to = context.loads().leastLoaded(range.spec(), zone, term.shard());
     if (to == null || context.stateCache().shard(to.shard()) == null) {
       return false;
     }
-    double cpus = Math.max(range.spec.cpus(), 0.1);
+    double cpus = Math.max(range.spec().cpus(), 0.1);
     int count = 0;
     if (to.freeTasks() > 0 && to.waitingCpus() < cpus) {
       count = to.freeTasks();
@@ -104,7 +104,7 @@
       }
     }
     count = Math.min(count, tail);
-    if (count <= 0 || range.spec.kind() == JobSpec.Kind.GANG && count < tail) {
+    if (count <= 0 || range.spec().kind() == JobSpec.Kind.GANG && count < tail) {
       return false;
     }
     move(range, count, to.shard());
@@ -112,32 +112,32 @@
   }
 
   private void move(TaskRange range, int count, String to) {
-    Records.Range whole = range.record;
+    Records.Range whole = range.record();
     int cut = whole.to() - count;
     Records.RangeKey fresh =
         new Records.RangeKey(
-            range.key.job(),
-            context.stateCache().rangesOf(range.key.job()).keySet().stream()
+            range.key().job(),
+            context.stateCache().rangesOf(range.key().job()).keySet().stream()
                     .mapToInt(i -> i)
                     .max()
                     .orElse(0)
                 + 1);
-    String job = Records.job(range.key.job());
+    String job = Records.job(range.key().job());
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    conditions.add(new KeyValueProtocol.Condition(Records.range(range.key), range.version));
+    conditions.add(new KeyValueProtocol.Condition(Records.range(range.key()), range.version()));
     conditions.add(new KeyValueProtocol.Condition(job, context.stateCache().version(job)));
     long epoch = context.stateCache().shard(to).version();
     conditions.add(new KeyValueProtocol.Condition(Records.shard(to), epoch));
     if (cut == whole.from()) {
       changes.add(
           new KeyValueProtocol.Put(
-              Records.range(range.key), Records.write(whole.ownedBy(to, epoch)), 0));
+              Records.range(range.key()), Records.write(whole.ownedBy(to, epoch)), 0));
     } else {
       conditions.add(new KeyValueProtocol.Condition(Records.range(fresh), 0));
       changes.add(
           new KeyValueProtocol.Put(
-              Records.range(range.key), Records.write(whole.between(whole.from(), cut)), 0));
+              Records.range(range.key()), Records.write(whole.between(whole.from(), cut)), 0));
       changes.add(
           new KeyValueProtocol.Put(
               Records.range(fresh),
@@ -147,11 +147,11 @@
     // From here on these tasks may be another shard's at any time: they are not to be started.
     BitSet held = new BitSet();
     held.set(cut - whole.from(), whole.size());
-    range.fresh.andNot(held);
-    held.stream().forEach(range.retries::remove);
-    range.writing = true;
+    range.fresh().andNot(held);
+    held.stream().forEach(range.retries()::remove);
+    range.beginWrite();
     writing = true;
-    LOG.debug("handing {} tasks of {} to {}", count, range.key, to);
+    LOG.debug("handing {} tasks of {} to {}", count, range.key(), to);
     term.write(
         conditions,
         changes,
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -121,11 +121,11 @@
 
     /** The task of it that goes next; below 0 where none is left. */
     int first() {
-      return isFresh() ? range.fresh.nextSetBit(0) : offset;
+      return isFresh() ? range.fresh().nextSetBit(0) : offset;
     }
 
     double waitedS(long now) {
-      long since = isFresh() ? range.waitingSince : range.retries.get(offset).waitingSince;
+      long since = isFresh() ? range.waitingSince() : range.retries().get(offset).waitingSince;
       return (now - since) / 1000.0;
     }
   }
@@ -146,7 +146,7 @@
       double gpus = Double.MAX_VALUE;
       double memoryGb = Double.MAX_VALUE;
       for (SelectivePreemption.Waiting<Group> one : groups) {
-        JobSpec spec = one.what().range().spec;
+        JobSpec spec = one.what().range().spec();
         cpus = Math.min(cpus, spec.cpus());
         gpus = Math.min(gpus, spec.gpus());
         memoryGb = Math.min(memoryGb, spec.memoryGb());
@@ -154,7 +154,7 @@
       }
       for (FreeResources room : machines.rooms(now)) {
         free += room.cpus();
-        all += room.machineType.cpus();
+        all += room.machineType().cpus();
         if (room.has(cpus, gpus, memoryGb)) { // a full machine is of no use to any of them
           rooms.add(room);
         }
@@ -181,7 +181,7 @@
     boolean hasRoomFor(TaskRange range) {
       int offset = range.firstWaiting();
       for (FreeResources room : rooms) {
-        if (room.fits(range.spec) && allowed(failures, range, offset, room.worker)) {
+        if (room.fits(range.spec()) && allowed(failures, range, offset, room.worker())) {
           return true;
         }
       }
@@ -191,8 +191,10 @@
 
   /** A range that is new here. */
   public void arrived(TaskRange range) {
-    if (range.spec != null && context.isLatencySensitive(range.spec) && range.key.index() == 0) {
-      double cpus = range.spec.cpus() * range.spec.tasks();
+    if (range.spec() != null
+        && context.isLatencySensitive(range.spec())
+        && range.key().index() == 0) {
+      double cpus = range.spec().cpus() * range.spec().tasks();
       urgentCpus = urgentCpus == 0 ? cpus : urgentCpus * 0.8 + cpus * 0.2;
     }
   }
@@ -225,35 +227,39 @@
   private List<SelectivePreemption.Waiting<Group>> waiting(long now) {
     List<SelectivePreemption.Waiting<Group>> groups = new ArrayList<>();
     for (TaskRange range : ranges.all()) {
-      if (range.spec == null || range.waiting() == 0 || !mayStart(range)) {
+      if (range.spec() == null || range.waiting() == 0 || !mayStart(range)) {
         continue;
       }
-      JobSpec spec = range.spec;
+      JobSpec spec = range.spec();
       if (spec.kind() == JobSpec.Kind.GANG) {
-        if (range.placed.isEmpty()
+        if (range.placed().isEmpty()
             && range.waiting() > 0
             && range.mayRetryAll(now)
-            && range.retries.keySet().intStream().noneMatch(o -> machines.hasDuplicate(range, o))) {
+            && range
+                .retries()
+                .keySet()
+                .intStream()
+                .noneMatch(o -> machines.hasDuplicate(range, o))) {
           groups.add(
               new SelectivePreemption.Waiting<>(
                   new Group(range, -1),
                   spec.priority(),
-                  falcon.score(spec.estimateS(), (now - range.waitingSince) / 1000.0),
+                  falcon.score(spec.estimateS(), (now - range.waitingSince()) / 1000.0),
                   range.waiting()));
         } else if (range.waiting() > 0) {
           // One of them was lost: the rest cannot go on without it.
-          List.copyOf(range.placed.values()).forEach(task -> decisions.stop(task, spec.saveS()));
+          List.copyOf(range.placed().values()).forEach(task -> decisions.stop(task, spec.saveS()));
         }
         continue;
       }
-      int fresh = range.fresh.cardinality();
+      int fresh = range.fresh().cardinality();
       if (fresh > 0 && overdue(range, now)) {
         fresh--;
         groups.add(
             new SelectivePreemption.Waiting<>(
                 new Group(range, -1, true),
                 Priority.CRITICAL,
-                falcon.score(spec.estimateS(), (now - range.waitingSince) / 1000.0),
+                falcon.score(spec.estimateS(), (now - range.waitingSince()) / 1000.0),
                 1));
       }
       if (fresh > 0) {
@@ -261,10 +267,10 @@
             new SelectivePreemption.Waiting<>(
                 new Group(range, -1),
                 spec.priority(),
-                falcon.score(spec.estimateS(), counted(spec, range, range.waitingSince, now)),
+                falcon.score(spec.estimateS(), counted(spec, range, range.waitingSince(), now)),
                 fresh));
       }
-      for (var retry : range.retries.int2ObjectEntrySet()) {
+      for (var retry : range.retries().int2ObjectEntrySet()) {
         if (retry.getValue().notBefore <= now && !machines.hasDuplicate(range, retry.getIntKey())) {
           groups.add(
               new SelectivePreemption.Waiting<>(
@@ -288,12 +294,12 @@
   }
 
   private boolean overdue(TaskRange range, long now) {
-    return range.placed.isEmpty()
-        && range.retries.isEmpty()
-        && range.finished.isEmpty()
-        && range.record.done().isEmpty()
-        && now - range.waitingSince > context.shortestBootS() * 1000 * OVERDUE_BOOTS
-        && context.stateCache().rangesOf(range.key.job()).firstKey() == range.key.index();
+    return range.placed().isEmpty()
+        && range.retries().isEmpty()
+        && range.finished().isEmpty()
+        && range.record().done().isEmpty()
+        && now - range.waitingSince() > context.shortestBootS() * 1000 * OVERDUE_BOOTS
+        && context.stateCache().rangesOf(range.key().job()).firstKey() == range.key().index();
   }
 
   /**
@@ -306,7 +312,7 @@
       return waited;
     }
     double late =
-        (now - range.waitingSince) / 1000.0 + spec.estimateS() * LATE_AT - spec.deadlineS();
+        (now - range.waitingSince()) / 1000.0 + spec.estimateS() * LATE_AT - spec.deadlineS();
     return late > 0 ? Math.min(waited, late) : waited;
   }
 
@@ -319,21 +325,21 @@
     for (SelectivePreemption.Slot<Group> slot = queue.next(); slot != null; slot = queue.next()) {
       SelectivePreemption.Waiting<Group> next = slot.group();
       TaskRange range = next.what().range();
-      if (range.spec.kind() == JobSpec.Kind.GANG) {
+      if (range.spec().kind() == JobSpec.Kind.GANG) {
         slot.takeAll();
         placeGang(pass, range);
         continue;
       }
       FreeResources room = null;
       // Room only shrinks within a step: what one task of a range did not find, none finds.
-      if (range.noRoomIn != step
-          && shares.allows(range.spec)
-          && (next.what().overdue() || !pass.kept(range.spec) || reserveYieldsTo(pass, range))) {
+      if (range.noRoomIn() != step
+          && shares.allows(range.spec())
+          && (next.what().overdue() || !pass.kept(range.spec()) || reserveYieldsTo(pass, range))) {
         room = choose(pass, next.what(), next.what().first());
         if (room == null) {
-          range.noRoomIn = step;
-        } else if (!room.worker.hasImage(range.spec.image())
-            && !room.worker.claimedBy(range, pass.now)
+          range.markNoRoomIn(step);
+        } else if (!room.worker().hasImage(range.spec().image())
+            && !room.worker().claimedBy(range, pass.now)
             && !next.what().overdue()
             && (withImage ? !pressing(next.what(), pass.now) : patient(pass, range))) {
           room = null;
@@ -341,16 +347,16 @@
       }
       if (room == null) {
         // What found no room evicts by its own priority, though it may have been drawn by a higher.
-        Priority priority = withImage ? next.priority() : range.spec.priority();
+        Priority priority = withImage ? next.priority() : range.spec().priority();
         stuck.add(
             new SelectivePreemption.Waiting<>(next.what(), priority, next.score(), slot.takeAll()));
         continue;
       }
       slot.takeOne();
       int offset = next.what().first();
-      decisions.place(range, offset, room.worker, decisions.nextAttempt());
-      range.placed.get(offset).spared = next.what().overdue();
-      pass.take(room, range.spec);
+      decisions.place(range, offset, room.worker(), decisions.nextAttempt());
+      range.placed().get(offset).exemptFromPreemption(next.what().overdue());
+      pass.take(room, range.spec());
     }
     return stuck;
   }
@@ -362,28 +368,28 @@
    */
   private boolean reserveYieldsTo(Pass pass, TaskRange range) {
     if (!pass.hasRoomFor(range)) {
-      range.withheldSince = TaskRange.NOT_WITHHELD;
+      range.markNotWithheld();
       return false;
     }
-    if (range.withheldSince == TaskRange.NOT_WITHHELD) {
-      range.withheldSince = pass.now;
+    if (range.withheldSince() == TaskRange.NOT_WITHHELD) {
+      range.markWithheldSince(pass.now);
     }
     long patienceMs =
         Math.round(
             Math.min(
                 context.settings().workerLeaseMs() * RESERVE_YIELDS_AFTER_LEASES,
                 context.shortestBootS() * 1000));
-    return pass.now - range.withheldSince > patienceMs;
+    return pass.now - range.withheldSince() > patienceMs;
   }
 
   /** Whether a task has waited for so much of its slack that it takes any room there is. */
   private boolean pressing(Group group, long now) {
-    return context.isLatencySensitive(group.range().spec) || usedUp(group, now) > PRESSING;
+    return context.isLatencySensitive(group.range().spec()) || usedUp(group, now) > PRESSING;
   }
 
   /** The share of its slack that a task has waited for. */
   private double usedUp(Group group, long now) {
-    JobSpec spec = group.range().spec;
+    JobSpec spec = group.range().spec();
     double fetchS = context.fetchS(spec);
     double slack = spec.deadlineS() < 0 ? 4 * fetchS : spec.deadlineS() - spec.estimateS() - fetchS;
     return group.waitedS(now) / Math.max(context.operatorSettings().floorS(), slack);
@@ -391,24 +397,24 @@
 
   /** All tasks of a gang at once, or none. */
   private void placeGang(Pass pass, TaskRange range) {
-    BitSet all = (BitSet) range.fresh.clone();
-    range.retries.keySet().forEach(all::set);
-    if (!shares.allows(range.spec, all.cardinality())) {
+    BitSet all = (BitSet) range.fresh().clone();
+    range.retries().keySet().forEach(all::set);
+    if (!shares.allows(range.spec(), all.cardinality())) {
       return;
     }
     Map<Integer, FreeResources> chosen = new TreeMap<>();
     for (int offset = all.nextSetBit(0); offset >= 0; offset = all.nextSetBit(offset + 1)) {
       FreeResources room = choose(pass, new Group(range, offset), offset);
       if (room == null) {
-        chosen.values().forEach(taken -> taken.release(range.spec));
+        chosen.values().forEach(taken -> taken.release(range.spec()));
         return;
       }
-      room.take(range.spec);
+      room.take(range.spec());
       chosen.put(offset, room);
     }
     // One attempt for all: a gang's tasks know each other by it.
     long attempt = decisions.nextAttempt();
-    chosen.forEach((offset, room) -> decisions.place(range, offset, room.worker, attempt));
+    chosen.forEach((offset, room) -> decisions.place(range, offset, room.worker(), attempt));
   }
 
   /**
@@ -421,17 +427,17 @@
   }
 
   private boolean patientFor(Pass pass, TaskRange range) {
-    JobSpec spec = range.spec;
+    JobSpec spec = range.spec();
     if (context.isLatencySensitive(spec)) {
       return false;
     }
     double fetchS = 0;
     double slots = 0;
     for (Worker worker : machines.all()) {
-      if (!worker.hasImage(spec.image()) || !machines.mayStart(worker) || worker.draining) {
+      if (!worker.hasImage(spec.image()) || !machines.mayStart(worker) || worker.isDraining()) {
         continue;
       }
-      MachineType type = context.type(worker.machineType);
+      MachineType type = context.type(worker.machineType());
       if (type != null) {
         slots += slotsFor(worker, type, spec);
         fetchS = Math.max(fetchS, type.imageFetchS(spec));
@@ -439,7 +445,8 @@
     }
     double patience = fetchS * PATIENCE;
     if (spec.deadlineS() >= 0) {
-      double left = spec.deadlineS() - spec.estimateS() - (pass.now - range.waitingSince) / 1000.0;
+      double left =
+          spec.deadlineS() - spec.estimateS() - (pass.now - range.waitingSince()) / 1000.0;
       patience = Math.max(patience, Math.min(left * PATIENT_SLACK, fetchS * PATIENT_FETCHES));
     }
     return slots > 0 && pass.workByImage.getOrDefault(spec.image(), 0.0) / slots < patience;
@@ -452,10 +459,10 @@
     double others = 0;
     for (TaskAttempt task : worker.attempts()) {
       if (task.live()
-          && (task.range == null
-              || task.range.spec == null
-              || !task.range.spec.image().equals(spec.image()))) {
-        others += task.cpus;
+          && (task.range() == null
+              || task.range().spec() == null
+              || !task.range().spec().image().equals(spec.image()))) {
+        others += task.cpus();
       }
     }
     int all = type.tasksPerMachine(spec);
@@ -463,18 +470,18 @@
   }
 
   static boolean allowed(FailureTracker failures, TaskRange range, int offset, Worker worker) {
-    JobSpec spec = range.spec;
-    return (spec.types().isEmpty() || spec.types().contains(worker.machineType))
-        && (spec.spot() || !worker.spot)
-        && range.zoneAllows(worker.zone)
-        && worker.attempt(new TaskId(range.key.job(), range.record.from() + offset)) == null
+    JobSpec spec = range.spec();
+    return (spec.types().isEmpty() || spec.types().contains(worker.machineType()))
+        && (spec.spot() || !worker.isSpot())
+        && range.zoneAllows(worker.zone())
+        && worker.attempt(new TaskId(range.key().job(), range.record().from() + offset)) == null
         && !failures.avoids(range, worker);
   }
 
   /** The fitting machine with the least room left, of those that have the image if any has it. */
   private FreeResources choose(Pass pass, Group group, int offset) {
     TaskRange range = group.range();
-    JobSpec spec = range.spec;
+    JobSpec spec = range.spec();
     // Two fetches at once share the line: both tasks start when the later would have anyway. One
     // that hurries goes there all the same, unless downloads were seen to be shared: then its small
     // image takes as long as a large one beside it, and who has it will have room before.
@@ -485,12 +492,12 @@
     boolean bestHas = false;
     double bestLeft = 0;
     for (FreeResources room : pass.rooms) {
-      if (!room.fits(spec) || room.worker.claimedFrom(range, pass.now)) {
+      if (!room.fits(spec) || room.worker().claimedFrom(range, pass.now)) {
         continue;
       }
-      boolean has = room.worker.hasImage(spec.image());
+      boolean has = room.worker().hasImage(spec.image());
       boolean shares =
-          !hurried && room.worker.fetching() && !room.worker.claimedBy(range, pass.now);
+          !hurried && room.worker().fetching() && !room.worker().claimedBy(range, pass.now);
       if (!has && (bestHas || shares)) {
         continue;
       }
@@ -498,7 +505,7 @@
       if ((best == null
               || (has && !bestHas)
               || (has == bestHas && closer(room, left, best, bestLeft, has)))
-          && allowed(failures, range, offset, room.worker)) {
+          && allowed(failures, range, offset, room.worker())) {
         best = room;
         bestHas = has;
         bestLeft = left;
@@ -513,12 +520,14 @@
    */
   private static boolean closer(
       FreeResources room, double left, FreeResources best, double bestLeft, boolean hasImage) {
-    if (room.worker.cordoned != best.worker.cordoned) {
-      return best.worker.cordoned;
+    if (room.worker().isCordoned() != best.worker().isCordoned()) {
+      return best.worker().isCordoned();
     }
-    if (!hasImage && room.worker.fetching() != best.worker.fetching()) {
-      return best.worker.fetching();
+    if (!hasImage && room.worker().fetching() != best.worker().fetching()) {
+      return best.worker().fetching();
     }
-    return room.worker.spot != best.worker.spot ? room.worker.spot : left < bestLeft;
+    return room.worker().isSpot() != best.worker().isSpot()
+        ? room.worker().isSpot()
+        : left < bestLeft;
   }
 }
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -220,7 +220,7 @@
     int up = 0;
     int silent = 0;
     for (Worker worker : workers.all()) {
-      if (worker.up && !worker.draining) {
+      if (worker.isUp() && !worker.isDraining()) {
         up++;
         silent += workers.silentFor(worker, context.now()) > silentAfterMs ? 1 : 0;
       }
@@ -241,23 +241,23 @@
   @Override
   public void place(TaskRange range, int offset, Worker worker, long attempt) {
     long now = context.now();
-    TaskRange.Retry retry = range.retries.get(offset);
-    long since = retry == null ? range.waitingSince : retry.waitingSince;
-    TaskId id = new TaskId(range.key.job(), range.record.from() + offset);
+    TaskRange.Retry retry = range.retries().get(offset);
+    long since = retry == null ? range.waitingSince() : retry.waitingSince;
+    TaskId id = new TaskId(range.key().job(), range.record().from() + offset);
     TaskAttempt task = new TaskAttempt(id, attempt, worker, range, now, (now - since) / 1000.0);
-    MachineType type = context.type(worker.machineType);
-    if (worker.fetching() && !worker.hasImage(range.spec.image())) {
-      task.fetchBesideS = type.imageFetchS(range.spec);
+    MachineType type = context.type(worker.machineType());
+    if (worker.fetching() && !worker.hasImage(range.spec().image())) {
+      task.expectConcurrentFetch(type.imageFetchS(range.spec()));
     }
     worker.put(task);
     range.place(offset, task);
-    worker.idleSince = now;
+    worker.markBusy(now);
     workers.commands().newsFor(worker);
-    boolean fetches = !worker.hasImage(range.spec.image());
+    boolean fetches = !worker.hasImage(range.spec().image());
     if (fetches) {
       context.metrics().fetches++;
     }
-    worker.usesImage(range.spec.image(), range.spec.imageGb(), type.cacheGb());
+    worker.usesImage(range.spec().image(), range.spec().imageGb(), type.cacheGb());
     context.metrics().placed++;
     logFirstStart(task);
     ControllerMetrics.record(context.metrics().startWaitMs, now - since);
@@ -333,7 +333,7 @@
 
   private void reported(WorkerProtocol.Heartbeat report, Consumer<Http.Response> reply) {
     Worker worker = workers.get(report.machine());
-    if (worker == null || worker.terminating || !term.isLeading()) {
+    if (worker == null || worker.isTerminating() || !term.isLeading()) {
       refuse(reply);
       return;
     }
@@ -352,12 +352,12 @@
   }
 
   private void answer(Worker worker, Consumer<Http.Response> reply) {
-    if (!term.isLeading() || worker.terminating || workers.get(worker.id) != worker) {
+    if (!term.isLeading() || worker.isTerminating() || workers.get(worker.id()) != worker) {
       refuse(reply);
       return;
     }
     List<WorkerProtocol.Command> orders = workers.answer(worker);
-    reply.accept(new Http.Response(200, WorkerProtocol.answer(worker.fencingToken, orders)));
+    reply.accept(new Http.Response(200, WorkerProtocol.answer(worker.fencingToken(), orders)));
   }
 
   private void answerAll() {
@@ -429,20 +429,20 @@
     int ordinary = 0;
     int booting = 0;
     for (Worker worker : workers.all()) {
-      MachineType type = context.type(worker.machineType);
+      MachineType type = context.type(worker.machineType());
       if (type == null) {
         continue;
       }
-      ordinary += worker.spot ? 0 : 1;
-      if (!worker.up) {
+      ordinary += worker.isSpot() ? 0 : 1;
+      if (!worker.isUp()) {
         booting++;
         continue;
       }
       capacity += type.cpus();
       used += worker.usedCpus();
       for (TaskAttempt task : worker.attempts()) {
-        if (task.live() && task.runningSince < 0) {
-          fetching += task.cpus;
+        if (task.live() && task.runningSince() < 0) {
+          fetching += task.cpus();
         }
       }
     }
@@ -475,7 +475,7 @@
   public PeerProtocol.ShardLoad load() {
     Map<String, double[]> rooms = new TreeMap<>();
     for (FreeResources free : workers.rooms(context.now())) {
-      double[] room = rooms.computeIfAbsent(free.worker.zone, z -> new double[3]);
+      double[] room = rooms.computeIfAbsent(free.worker().zone(), z -> new double[3]);
       room[0] += free.cpus();
       room[1] += free.gpus();
       room[2] += free.memoryGb();
@@ -495,7 +495,7 @@
   public int runningOf(String job) {
     int count = 0;
     for (TaskRange range : ranges.ofJob(job)) {
-      for (TaskAttempt task : range.placed.values()) {
+      for (TaskAttempt task : range.placed().values()) {
         if (task.state() == TaskAttempt.State.RUNNING || task.state() == TaskAttempt.State.SAVING) {
           count++;
         }
--- a/src/main/java/org/fieldtrestle/worker/FreeResources.java
+++ b/src/main/java/org/fieldtrestle/worker/FreeResources.java
@@ -5,8 +5,8 @@
 
 /** A machine's free amounts during one placement pass. */
 public final class FreeResources {
-  public final Worker worker;
-  public final MachineType machineType;
+  final Worker worker;
+  final MachineType machineType;
   private double cpus;
   private double gpus;
   private double memoryGb;
@@ -67,4 +67,12 @@
   private static double part(double left, double of) {
     return of > 0 ? left / of : 0;
   }
+
+  public MachineType machineType() {
+    return machineType;
+  }
+
+  public Worker worker() {
+    return worker;
+  }
 }
--- a/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
@@ -21,19 +21,19 @@
     }
   }
 
-  public final TaskId task;
-  public final long attempt;
+  final TaskId task;
+  final long attempt;
   final Worker worker;
 
   /** What it takes, and of whose limit: counted until it is gone, whatever becomes of its range. */
   final String team;
 
-  public final double cpus;
-  public final double gpus;
-  public final double memoryGb;
+  final double cpus;
+  final double gpus;
+  final double memoryGb;
 
   /** Null once the range is no longer ours to keep. */
-  public TaskRange range;
+  TaskRange range;
 
   /** The session of the machine in which it was placed or found. */
   final long session;
@@ -52,29 +52,29 @@
   /** The machine's last report before its start should have come; below 0 where that is open. */
   long answeredSeq = -1;
 
-  public boolean stop;
+  boolean stop;
   boolean stopSent;
-  public double graceS;
+  double graceS;
 
   /** Exited, and whatever its end means is durable, so that the machine may forget it. */
   boolean clearable;
 
-  public final long placedAt;
-  public long runningSince = -1;
+  final long placedAt;
+  long runningSince = -1;
 
   /**
    * The first of a job that had waited too long to begin: a burst of a higher priority would else
    * evict it as soon as it was placed, since it has run so little.
    */
-  public boolean spared;
+  boolean spared;
 
   /** How long its image should take by itself, where its line was busy when it was placed; or 0. */
-  public double fetchBesideS;
+  double fetchBesideS;
 
   /** Its beginning was not seen: it was there when this epoch found it. */
   boolean found;
 
-  public final double waitedS;
+  final double waitedS;
 
   public TaskAttempt(
       TaskId task, long attempt, Worker worker, TaskRange range, long now, double waitedS) {
@@ -126,4 +126,62 @@
   public String toString() {
     return task + "." + attempt + "@" + worker.id;
   }
+
+  /** Whether no other task may preempt this one. */
+  public void exemptFromPreemption(boolean exempt) {
+    spared = exempt;
+  }
+
+  /** Its image shares the machine's download bandwidth; it would take so long by itself. */
+  public void expectConcurrentFetch(double aloneS) {
+    fetchBesideS = aloneS;
+  }
+
+  public long attempt() {
+    return attempt;
+  }
+
+  public double cpus() {
+    return cpus;
+  }
+
+  public double gpus() {
+    return gpus;
+  }
+
+  public double graceS() {
+    return graceS;
+  }
+
+  public double memoryGb() {
+    return memoryGb;
+  }
+
+  public long placedAt() {
+    return placedAt;
+  }
+
+  public TaskRange range() {
+    return range;
+  }
+
+  public long runningSince() {
+    return runningSince;
+  }
+
+  public boolean isSpared() {
+    return spared;
+  }
+
+  public boolean isStop() {
+    return stop;
+  }
+
+  public TaskId task() {
+    return task;
+  }
+
+  public double waitedS() {
+    return waitedS;
+  }
 }
--- a/src/main/java/org/fieldtrestle/worker/TaskRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -17,15 +17,15 @@
     public long notBefore;
   }
 
-  public final Records.RangeKey key;
-  public Records.Range record;
-  public long version;
+  final Records.RangeKey key;
+  Records.Range record;
+  long version;
 
   /** Null where the job has ended (or its record is not to be read). */
-  public JobSpec spec;
+  JobSpec spec;
 
   /** The only zone, where the job or its record names one. */
-  public String zone;
+  String zone;
 
   /** True once the job is known to have ended while this range still has to be wound up. */
   boolean ended;
@@ -40,16 +40,16 @@
   boolean unstoppedLogged;
 
   /** Was there before this epoch began, so that its tasks may be on machines not heard of yet. */
-  public final boolean inherited;
+  final boolean inherited;
 
-  public final long waitingSince;
+  final long waitingSince;
 
   /**
    * Tasks that finished but whose done is not durable yet. Numbers count from the range's first.
    */
-  public final BitSet finished = new BitSet();
+  final BitSet finished = new BitSet();
 
-  public final Int2ObjectMap<TaskAttempt> placed = new Int2ObjectOpenHashMap<>();
+  final Int2ObjectMap<TaskAttempt> placed = new Int2ObjectOpenHashMap<>();
 
   /** Tasks that have exited as done and wait on their machines until that is durable. */
   final Set<TaskAttempt> exited = new HashSet<>();
@@ -57,20 +57,20 @@
   public static final long NOT_WITHHELD = -1;
 
   /** Since when there is room for its tasks that is reserved for others, and none has moved. */
-  public long withheldSince = NOT_WITHHELD;
+  long withheldSince = NOT_WITHHELD;
 
   /** The placement step in which no machine had room for its tasks. */
-  public long noRoomIn = -1;
+  long noRoomIn = -1;
 
-  public final Int2ObjectMap<Retry> retries = new Int2ObjectOpenHashMap<>();
+  final Int2ObjectMap<Retry> retries = new Int2ObjectOpenHashMap<>();
 
   /** How often tasks have failed; outlives their being placed again. */
   final Int2IntOpenHashMap failures = new Int2IntOpenHashMap();
 
   /** Tasks that wait and have not been on a machine in this epoch. */
-  public final BitSet fresh = new BitSet();
+  final BitSet fresh = new BitSet();
 
-  public boolean writing;
+  boolean writing;
 
   /** When what has finished is to be written though more is to come; below 0 where nothing has. */
   long writeAt = -1;
@@ -172,4 +172,80 @@
     }
     return inZone(name) < record.caps().getOrDefault(name, 0);
   }
+
+  /** A write of the range's record is under way; no other may begin. */
+  public void beginWrite() {
+    writing = true;
+  }
+
+  /** No machine had room for its tasks in this placement step. */
+  public void markNoRoomIn(long step) {
+    noRoomIn = step;
+  }
+
+  /** Reserved room is withheld from its tasks since this time. */
+  public void markWithheldSince(long now) {
+    withheldSince = now;
+  }
+
+  /** No room is withheld from its tasks. */
+  public void markNotWithheld() {
+    withheldSince = NOT_WITHHELD;
+  }
+
+  public BitSet finished() {
+    return finished;
+  }
+
+  public BitSet fresh() {
+    return fresh;
+  }
+
+  public boolean isInherited() {
+    return inherited;
+  }
+
+  public Records.RangeKey key() {
+    return key;
+  }
+
+  public long noRoomIn() {
+    return noRoomIn;
+  }
+
+  public Int2ObjectMap<TaskAttempt> placed() {
+    return placed;
+  }
+
+  public Records.Range record() {
+    return record;
+  }
+
+  public Int2ObjectMap<Retry> retries() {
+    return retries;
+  }
+
+  public JobSpec spec() {
+    return spec;
+  }
+
+  public long version() {
+    return version;
+  }
+
+  public long waitingSince() {
+    return waitingSince;
+  }
+
+  public long withheldSince() {
+    return withheldSince;
+  }
+
+  public boolean isWriting() {
+    return writing;
+  }
+
+  public String zone() {
+    return zone;
+  }
 }
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -15,56 +15,56 @@
 
 /** A machine of this shard's, and everything that is or may be on it. */
 public final class Worker {
-  public final String id;
-  public final String machineType;
-  public final String zone;
-  public final boolean spot;
+  final String id;
+  final String machineType;
+  final String zone;
+  final boolean spot;
 
   /** As it reported last. */
   String address = "";
 
   /** Its record says that tasks may have been started on it. */
-  public boolean up;
+  boolean up;
 
   boolean upWriteInFlight;
 
   /** What is on it is known: it has reported having seen this epoch's token. */
-  public boolean reconciled;
+  boolean reconciled;
 
   long incarnation = -1;
   long sequence = -1;
   long seenFencingToken;
 
   /** The token that we send it; raised to fence off a direct command of unknown fate. */
-  public long fencingToken;
+  long fencingToken;
 
   /** No clear and no conclusion from absence until the machine has seen this token. */
   long requiredFencingToken;
 
   boolean directCommandInFlight;
-  public long lastHeartbeatAt = -1;
+  long lastHeartbeatAt = -1;
 
   /** When its lease was renewed last, or may have been by whoever acted before us. */
   long leaseRenewedAt;
 
   /** Its lease has run out since: nothing is on it, and it has not reported again. */
-  public boolean leaseExpired;
+  boolean leaseExpired;
 
-  public final long since;
+  final long since;
   private long rentedAgoMs;
-  public long spotNoticeUntil = -1;
-  public boolean draining;
+  long spotNoticeUntil = -1;
+  boolean draining;
 
   /** Takes nothing new for as long as nothing waits. */
-  public boolean cordoned;
+  boolean cordoned;
 
-  public boolean terminating;
+  boolean terminating;
 
   /** The cloud has taken it back; only its record still goes. */
-  public boolean terminated;
+  boolean terminated;
 
-  public String drainReason = "";
-  public long idleSince;
+  String drainReason = "";
+  long idleSince;
   long quarantineUntil;
   int errors;
   final Set<String> errorJobs = new HashSet<>();
@@ -73,7 +73,7 @@
   int unacknowledgedAnswers;
 
   /** Since when it seems not to hear us; below 0 while it does. */
-  public long unresponsiveSince = -1;
+  long unresponsiveSince = -1;
 
   /** The last report of this session, as against the answers to direct commands. */
   long heartbeatSequence = -1;
@@ -317,4 +317,107 @@
     }
     return false;
   }
+
+  /** Takes no new tasks for as long as other workers have room. */
+  public void cordon() {
+    cordoned = true;
+  }
+
+  /** Takes new tasks again. */
+  public void uncordon() {
+    cordoned = false;
+  }
+
+  /** The machine is being returned to the cloud and gets no further commands. */
+  public void beginTermination() {
+    terminating = true;
+  }
+
+  /** The cloud has taken the machine back; only its record still has to go. */
+  public void markTerminated() {
+    terminated = true;
+    leaseExpired = true;
+  }
+
+  /** Nothing that was started in this incarnation can still run. */
+  public void expireLease() {
+    leaseExpired = true;
+  }
+
+  /** Tasks were placed or seen on it at this time. */
+  public void markBusy(long now) {
+    idleSince = now;
+  }
+
+  public boolean isCordoned() {
+    return cordoned;
+  }
+
+  public String drainReason() {
+    return drainReason;
+  }
+
+  public boolean isDraining() {
+    return draining;
+  }
+
+  public long fencingToken() {
+    return fencingToken;
+  }
+
+  public String id() {
+    return id;
+  }
+
+  public long idleSince() {
+    return idleSince;
+  }
+
+  public long lastHeartbeatAt() {
+    return lastHeartbeatAt;
+  }
+
+  public boolean isLeaseExpired() {
+    return leaseExpired;
+  }
+
+  public String machineType() {
+    return machineType;
+  }
+
+  public boolean isReconciled() {
+    return reconciled;
+  }
+
+  public long since() {
+    return since;
+  }
+
+  public boolean isSpot() {
+    return spot;
+  }
+
+  public long spotNoticeUntil() {
+    return spotNoticeUntil;
+  }
+
+  public boolean isTerminated() {
+    return terminated;
+  }
+
+  public boolean isTerminating() {
+    return terminating;
+  }
+
+  public long unresponsiveSince() {
+    return unresponsiveSince;
+  }
+
+  public boolean isUp() {
+    return up;
+  }
+
+  public String zone() {
+    return zone;
+  }
 }
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -44,7 +44,7 @@
         ShardLeaderFixture.TASKS, ShardLeaderFixture.orders(fixture.report(), "start"), "repeated");
     fixture.commitCancellation();
     assertEquals(0, ShardLeaderFixture.orders(fixture.report(), "start"));
-    assertEquals(ShardLeaderFixture.TASKS, fixture.range().placed.size());
+    assertEquals(ShardLeaderFixture.TASKS, fixture.range().placed().size());
     assertEquals(ShardLeaderFixture.TASKS, ShardLeaderFixture.orders(fixture.report(), "stop"));
   }
 
@@ -54,7 +54,7 @@
     fixture.showToken();
     fixture.report();
     fixture.reportRunning();
-    for (TaskAttempt task : fixture.range().placed.values()) {
+    for (TaskAttempt task : fixture.range().placed().values()) {
       fixture.shard.stop(task, 20);
     }
     assertEquals(
@@ -62,9 +62,9 @@
     fixture.commitCancellation();
     assertEquals(
         ShardLeaderFixture.TASKS, ShardLeaderFixture.orders(fixture.reportRunning(), "stop"));
-    assertEquals(ShardLeaderFixture.TASKS, fixture.range().placed.size());
-    for (TaskAttempt task : fixture.range().placed.values()) {
-      assertEquals(0, task.graceS);
+    assertEquals(ShardLeaderFixture.TASKS, fixture.range().placed().size());
+    for (TaskAttempt task : fixture.range().placed().values()) {
+      assertEquals(0, task.graceS());
     }
   }
 
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -196,12 +196,12 @@
   /** The worker reports everything that was placed on it as running; returns the answer. */
   Http.Response reportRunning() {
     return report(
-        range().placed.values().stream()
+        range().placed().values().stream()
             .map(
                 task ->
                     new WorkerProtocol.ReportedTask(
-                        task.task,
-                        task.attempt,
+                        task.task(),
+                        task.attempt(),
                         WorkerProtocol.TaskState.RUNNING,
                         WorkerProtocol.Cause.NONE))
             .toList());
