--- a/src/main/java/org/fieldtrestle/api/FinishedJobs.java
+++ b/src/main/java/org/fieldtrestle/api/FinishedJobs.java
@@ -8,8 +8,12 @@
 import java.util.function.Consumer;
 import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.state.BoundedCache;
+import org.fieldtrestle.state.FinishedJobRecord;
 import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.ListResult;
+import org.fieldtrestle.state.RecordCodec;
+import org.fieldtrestle.state.StateKeys;
+import org.fieldtrestle.state.UnreadableRecordException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -40,7 +44,7 @@
   sealed interface Outcome {}
 
   /** It has ended like this. */
-  record Ended(Records.FinishedJob end) implements Outcome {}
+  record Ended(FinishedJobRecord end) implements Outcome {}
 
   /** It had not ended when the question came, or was never accepted. */
   record NotEnded() implements Outcome {}
@@ -49,7 +53,7 @@
   record Unavailable() implements Outcome {}
 
   private final KeyValueClient store;
-  private final BoundedCache<String, Records.FinishedJob> remembered =
+  private final BoundedCache<String, FinishedJobRecord> remembered =
       new BoundedCache<>(MAX_REMEMBERED);
 
   /** Who asks about jobs that no reading has been sent for yet, by the keys of their ends. */
@@ -63,18 +67,18 @@
   }
 
   /** How a job ended, as far as that is remembered; null where it is not. */
-  Records.FinishedJob remembered(String job) {
+  FinishedJobRecord remembered(String job) {
     return remembered.get(job);
   }
 
   /** Remembers an end that is durable. */
-  void remember(String job, Records.FinishedJob end) {
+  void remember(String job, FinishedJobRecord end) {
     remembered.put(job, end);
   }
 
   /** Finds out from the state service whether and how a job has ended. */
   void read(String job, Consumer<Outcome> done) {
-    String key = Records.finished(job);
+    String key = StateKeys.finished(job);
     if (!waiting.containsKey(key) && waiting.size() >= MAX_WAITING) {
       done.accept(new Unavailable());
       return;
@@ -106,10 +110,10 @@
     }
     String from = first;
     store.list(
-        Records.FINAL,
+        StateKeys.FINISHED_PREFIX,
         justBefore(from),
         Math.min(KeyValueClient.MAX_PAGE, PAGE_FOR_EACH * asked.size()),
-        page -> received(asked, from, page));
+        result -> received(asked, from, result));
   }
 
   /**
@@ -122,11 +126,12 @@
   }
 
   private void received(
-      TreeMap<String, List<Consumer<Outcome>>> asked, String from, KeyValueProtocol.Listing page) {
-    if (page == null) {
+      TreeMap<String, List<Consumer<Outcome>>> asked, String from, ListResult result) {
+    if (!(result instanceof ListResult.Listed listed)) {
       asked.values().forEach(askers -> tell(askers, new Unavailable()));
       return;
     }
+    KeyValueProtocol.Listing page = listed.page();
     Map<String, Outcome> ends = new HashMap<>();
     String last = from;
     for (KeyValueProtocol.Entry entry : page.entries()) {
@@ -149,10 +154,10 @@
 
   private Outcome outcome(KeyValueProtocol.Entry entry) {
     try {
-      Records.FinishedJob end = Records.readFinal(entry.value());
-      remember(entry.key().substring(Records.FINAL.length()), end);
+      FinishedJobRecord end = RecordCodec.decodeFinishedJob(entry.value());
+      remember(entry.key().substring(StateKeys.FINISHED_PREFIX.length()), end);
       return new Ended(end);
-    } catch (Records.UnreadableRecordException e) {
+    } catch (UnreadableRecordException e) {
       LOG.error("unreadable value at state key {}: {}", entry.key(), e.getMessage());
       return new Unavailable();
     }
--- a/src/main/java/org/fieldtrestle/api/ReadBarrier.java
+++ b/src/main/java/org/fieldtrestle/api/ReadBarrier.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.protocol.KeyValueProtocol;
-import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.CommitResult;
+import org.fieldtrestle.state.StateKeys;
 import org.fieldtrestle.transport.Reactor;
 
 /**
@@ -25,7 +25,7 @@
   private static final int OUTAGE = 503;
 
   private static final List<KeyValueProtocol.Condition> NO_CHANGE =
-      List.of(new KeyValueProtocol.Condition(Records.LIVE + "barrier", 0));
+      List.of(new KeyValueProtocol.Condition(StateKeys.LIVE_PREFIX + "barrier", 0));
 
   private static final class Waiter {
     final long askedAt;
@@ -104,12 +104,12 @@
     context.store().compare(NO_CHANGE, result -> answered(asked, result));
   }
 
-  private void answered(List<Waiter> asked, KeyValueClient.Result result) {
+  private void answered(List<Waiter> asked, CommitResult result) {
     asking = false;
-    if (result instanceof KeyValueClient.Committed committed) {
+    if (result instanceof CommitResult.Committed committed) {
       asked.forEach(waiter -> waiter.revision = committed.revision());
       release();
-    } else if (result instanceof KeyValueClient.Refused refused && refused.status() == OUTAGE) {
+    } else if (result instanceof CommitResult.Refused refused && refused.status() == OUTAGE) {
       finish(asked, false);
     }
     // Otherwise the next request is for them too.
--- a/src/main/java/org/fieldtrestle/api/UserApi.java
+++ b/src/main/java/org/fieldtrestle/api/UserApi.java
@@ -19,9 +19,16 @@
 import org.fieldtrestle.protocol.UserProtocol.Stage;
 import org.fieldtrestle.routing.JobSplitter;
 import org.fieldtrestle.routing.ShardLoads;
-import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
-import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.ActiveJob;
+import org.fieldtrestle.state.CommitResult;
+import org.fieldtrestle.state.FinishedJobRecord;
+import org.fieldtrestle.state.InitialRange;
+import org.fieldtrestle.state.JobRecord;
+import org.fieldtrestle.state.RecordCodec;
+import org.fieldtrestle.state.StateChanges;
+import org.fieldtrestle.state.StateKey;
+import org.fieldtrestle.state.StateKeys;
+import org.fieldtrestle.state.Transaction;
 import org.fieldtrestle.transport.Actor;
 import org.fieldtrestle.transport.EventLoopMeter.Work;
 import org.fieldtrestle.transport.Http;
@@ -90,7 +97,7 @@
 
   /** Whether this node can take requests. */
   public boolean ready() {
-    return context.stateCache().ready() && !context.types().isEmpty() && !cutOff();
+    return context.stateCache().isReady() && !context.types().isEmpty() && !cutOff();
   }
 
   /**
@@ -109,7 +116,7 @@
 
   /** Whether asking the state service once more only keeps a user waiting. */
   private boolean hopeless() {
-    return !context.stateCache().ready()
+    return !context.stateCache().isReady()
         || context.store().unavailableForMs() > context.settings().stateLeaseMs() / 12;
   }
 
@@ -249,61 +256,61 @@
           JobSplitter.split(spec, candidates.subList(0, 1), maxPart, context.settings().zones());
     }
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    conditions.add(new KeyValueProtocol.Condition(Records.job(spec.id()), 0));
-    conditions.add(new KeyValueProtocol.Condition(Records.finished(spec.id()), 0));
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.job(spec.id()), 0));
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.finished(spec.id()), 0));
     Map<String, Long> epochs = new TreeMap<>();
     for (JobSplitter.Part part : parts) {
-      epochs.put(part.shard(), context.stateCache().version(Records.shard(part.shard())));
+      epochs.put(part.shard(), context.stateCache().version(StateKeys.shard(part.shard())));
     }
     // Were a shard to change hands meanwhile, its new holder could not tell whether the old one
     // has started anything of these ranges.
     epochs.forEach(
         (shard, epoch) ->
-            conditions.add(new KeyValueProtocol.Condition(Records.shard(shard), epoch)));
-    List<Records.Part> given = new ArrayList<>();
+            conditions.add(new KeyValueProtocol.Condition(StateKeys.shard(shard), epoch)));
+    List<InitialRange> given = new ArrayList<>();
     for (JobSplitter.Part part : parts) {
       given.add(
-          new Records.Part(
+          new InitialRange(
               part.shard(), epochs.get(part.shard()), part.from(), part.to(), part.caps()));
     }
     // One write for the job and all its ranges: each gets a record of its own once it differs.
-    JsonNode value = Records.write(new Records.Job(spec, reactor.wall(), zone, given));
+    JsonNode value = RecordCodec.encode(new JobRecord(spec, reactor.wall(), zone, given));
     if (Json.bytes(value).length > context.settings().state().valueKb() * 1024) {
       // How it is split depends on how the shards stand now: it may have fitted before.
       refuseUnlessAccepted(spec.id(), refuse(400, "larger than what can be kept of a job"), reply);
       return;
     }
     List<KeyValueProtocol.Change> changes =
-        List.of(new KeyValueProtocol.Put(Records.job(spec.id()), value, 0));
+        List.of(new KeyValueProtocol.Put(StateKeys.job(spec.id()), value, 0));
     List<JobSplitter.Part> taken = parts;
     context
         .store()
         .commit(
-            new KeyValueClient.Transaction(conditions, changes),
+            new Transaction(conditions, changes),
             result -> {
-              if (result instanceof KeyValueClient.Committed committed) {
+              if (result instanceof CommitResult.Committed committed) {
                 loads.taken(spec, taken);
-                context.stateCache().committed(changes, committed.revision());
+                context.stateCache().applyCommit(changes, committed.revision());
                 LOG.debug(
                     "job {} of class {} accepted in {} ranges",
                     spec.id(),
                     spec.jobClass(),
                     taken.size());
                 answerAccepted(spec.id(), reply);
-              } else if (result instanceof KeyValueClient.Conflict conflict
-                  && !conflict.keys().contains(Records.job(spec.id()))
-                  && !conflict.keys().contains(Records.finished(spec.id()))) {
+              } else if (result instanceof CommitResult.Conflict conflict
+                  && !conflict.keys().contains(StateKeys.job(spec.id()))
+                  && !conflict.keys().contains(StateKeys.finished(spec.id()))) {
                 if (tries > 0) {
                   context
                       .stateCache()
-                      .await(
+                      .awaitRevision(
                           conflict.revision(),
                           context.stateCache().watchIntervalMs() * 4,
                           seen -> accept(spec, reply, tries - 1));
                 } else {
                   reply.accept(later());
                 }
-              } else if (result instanceof KeyValueClient.Conflict) {
+              } else if (result instanceof CommitResult.Conflict) {
                 status(spec.id(), reply, true);
               } else {
                 context.metrics().refusedSubmissions++;
@@ -338,7 +345,7 @@
 
   /** The job's state, no older than any that was told before; 404 where there is none. */
   private void status(String id, Consumer<Http.Response> reply, boolean brief) {
-    Records.FinishedJob end = ended.remembered(id);
+    FinishedJobRecord end = ended.remembered(id);
     if (end != null) {
       reply.accept(finalAnswer(id, end, brief));
     } else if (!UserProtocol.validId(id)) {
@@ -357,10 +364,10 @@
             reply.accept(unanswered(Unanswered.NOT_FOLLOWED_IN_TIME));
             return;
           }
-          StateCache.ActiveJob job = context.stateCache().job(id);
+          ActiveJob job = context.stateCache().job(id);
           if (job != null) {
             reply.accept(liveAnswer(id, job, brief));
-          } else if (context.stateCache().version(Records.job(id)) != 0) {
+          } else if (context.stateCache().version(StateKeys.job(id)) != 0) {
             reply.accept(unreadableJob(id, brief));
           } else {
             readFinal(id, reply, brief);
@@ -370,7 +377,7 @@
 
   /** A live job whose record this version cannot read; its ranges show that it was accepted. */
   private Http.Response unreadableJob(String id, boolean brief) {
-    StateCache.ActiveJob rest = context.stateCache().all().get(id);
+    ActiveJob rest = context.stateCache().jobsById().get(id);
     return rest == null || rest.ranges().isEmpty()
         ? unanswered(Unanswered.RECORD_UNREADABLE)
         : liveAnswer(id, rest, brief);
@@ -408,7 +415,7 @@
             reply.accept(finalAnswer(id, found.end(), brief));
           } else if (outcome instanceof FinishedJobs.NotEnded) {
             // It may have been accepted since we passed the barrier.
-            StateCache.ActiveJob job = context.stateCache().job(id);
+            ActiveJob job = context.stateCache().job(id);
             reply.accept(job != null ? liveAnswer(id, job, brief) : refuse(404, "no such job"));
           } else {
             reply.accept(unanswered(Unanswered.END_NOT_READ));
@@ -416,27 +423,27 @@
         });
   }
 
-  private Http.Response liveAnswer(String id, StateCache.ActiveJob job, boolean brief) {
+  private Http.Response liveAnswer(String id, ActiveJob job, boolean brief) {
     int runs = running.of(id);
-    int done = job.done();
+    int done = job.doneTasks();
     Stage stage = runs > 0 || done > 0 ? Stage.RUNNING : Stage.QUEUED;
     return new Http.Response(
         200, brief ? UserProtocol.accepted(id, stage) : UserProtocol.status(id, stage, done, runs));
   }
 
-  private static Http.Response finalAnswer(String id, Records.FinishedJob end, boolean brief) {
+  private static Http.Response finalAnswer(String id, FinishedJobRecord end, boolean brief) {
     Stage stage = end.done() ? Stage.DONE : Stage.CANCELLED;
     return new Http.Response(
         200,
         brief
             ? UserProtocol.accepted(id, stage)
-            : UserProtocol.status(id, stage, end.finished(), 0));
+            : UserProtocol.status(id, stage, end.doneTasks(), 0));
   }
 
   // ---- cancellations
 
   private void cancel(String id, Consumer<Http.Response> reply, int tries) {
-    Records.FinishedJob end = ended.remembered(id);
+    FinishedJobRecord end = ended.remembered(id);
     if (end != null) {
       reply.accept(finalAnswer(id, end, true));
       return;
@@ -445,8 +452,8 @@
       reply.accept(later());
       return;
     }
-    StateCache.ActiveJob job = context.stateCache().job(id);
-    if (job == null && context.stateCache().version(Records.job(id)) != 0) {
+    ActiveJob job = context.stateCache().job(id);
+    if (job == null && context.stateCache().version(StateKeys.job(id)) != 0) {
       reply.accept(later()); // a record that we cannot read is not ours to end
       return;
     }
@@ -454,40 +461,40 @@
       status(id, reply, true);
       return;
     }
-    Records.FinishedJob cancelled =
-        new Records.FinishedJob(false, job.job().record().spec().tasks(), job.done());
+    FinishedJobRecord cancelled =
+        new FinishedJobRecord(false, job.job().record().spec().tasks(), job.doneTasks());
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    conditions.add(new KeyValueProtocol.Condition(Records.job(id), job.job().version()));
-    conditions.add(new KeyValueProtocol.Condition(Records.finished(id), 0));
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.job(id), job.job().version()));
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.finished(id), 0));
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    changes.add(new KeyValueProtocol.Delete(Records.job(id)));
-    changes.add(new KeyValueProtocol.Put(Records.finished(id), Records.write(cancelled), 0));
+    changes.add(new KeyValueProtocol.Delete(StateKeys.job(id)));
+    changes.add(StateChanges.put(StateKeys.finished(id), cancelled));
     // Ranges that only the job's record names outlive it by records of their own: their tasks count
     // against the team's limit until they are gone.
     job.ranges()
         .forEach(
             (index, range) -> {
               if (range.version() == 0) {
-                String key = Records.range(new Records.RangeKey(id, index));
+                String key = StateKeys.range(new StateKey.RangeKey(id, index));
                 conditions.add(new KeyValueProtocol.Condition(key, 0));
-                changes.add(new KeyValueProtocol.Put(key, Records.write(range.record()), 0));
+                changes.add(StateChanges.put(key, range.record()));
               }
             });
     context
         .store()
         .commit(
-            new KeyValueClient.Transaction(conditions, changes),
+            new Transaction(conditions, changes),
             result -> {
-              if (result instanceof KeyValueClient.Committed committed) {
+              if (result instanceof CommitResult.Committed committed) {
                 ended.remember(id, cancelled);
-                context.stateCache().committed(changes, committed.revision());
+                context.stateCache().applyCommit(changes, committed.revision());
                 confirmed(id, committed.revision());
                 peers.cancelled(id);
                 reply.accept(finalAnswer(id, cancelled, true));
-              } else if (result instanceof KeyValueClient.Conflict conflict && tries > 0) {
+              } else if (result instanceof CommitResult.Conflict conflict && tries > 0) {
                 context
                     .stateCache()
-                    .await(
+                    .awaitRevision(
                         conflict.revision(),
                         context.stateCache().watchIntervalMs() * 8,
                         seen -> {
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -26,10 +26,16 @@
 import org.fieldtrestle.protocol.WorkerProtocol;
 import org.fieldtrestle.routing.ShardLoads;
 import org.fieldtrestle.shard.ShardLeader;
+import org.fieldtrestle.state.ActiveJob;
 import org.fieldtrestle.state.BoundedCache;
+import org.fieldtrestle.state.CommitResult;
 import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.MachineRecord;
+import org.fieldtrestle.state.ShardRecord;
 import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.StateKey;
+import org.fieldtrestle.state.Transaction;
+import org.fieldtrestle.state.Versioned;
 import org.fieldtrestle.transport.EventLoopMeter;
 import org.fieldtrestle.transport.EventLoopMeter.Work;
 import org.fieldtrestle.transport.Http;
@@ -146,7 +152,7 @@
     LOG.info(
         "controller {} in zone {} starts", context.settings().label(), context.settings().zone());
     this.listen = listen;
-    stateCache.listen(this::changed);
+    stateCache.addKeyListener(this::changed);
     stateCache.addProgressListener(
         () -> context.cancellations().appliedRevision(stateCache.appliedRevision()));
     stateCache.start();
@@ -163,7 +169,7 @@
   }
 
   private void awaitView() {
-    if (!stateCache.ready()) {
+    if (!stateCache.isReady()) {
       reactor.schedule(stateCache.watchIntervalMs() / 3, this::awaitView);
       return;
     }
@@ -280,7 +286,7 @@
             reactor.wall(),
             new PeerProtocol.Liveness(
                 context.settings().label(),
-                stateCache.ready() && context.store().unavailableForMs() == 0));
+                stateCache.isReady() && context.store().unavailableForMs() == 0));
     context
         .settings()
         .peers()
@@ -353,8 +359,8 @@
     return sum;
   }
 
-  private void changed(Records.Key key) {
-    if (key instanceof Records.MachineKey k) {
+  private void changed(StateKey key) {
+    if (key instanceof StateKey.MachineKey k) {
       if (stateCache.machines().containsKey(k.machine())) {
         knownMachines.add(k.machine());
       } else if (knownMachines.remove(k.machine())) {
@@ -369,9 +375,9 @@
     if (!context.mayAct() || context.store().isCongested()) {
       return;
     }
-    for (Map.Entry<String, StateCache.ActiveJob> one : stateCache.all().entrySet()) {
-      StateCache.ActiveJob job = one.getValue();
-      if (job.complete()
+    for (Map.Entry<String, ActiveJob> one : stateCache.jobsById().entrySet()) {
+      ActiveJob job = one.getValue();
+      if (job.isComplete()
           && shards.containsKey(job.ranges().firstEntry().getValue().record().shard())
           && !finishing.contains(one.getKey())) {
         finish(one.getKey());
@@ -390,10 +396,10 @@
     context
         .store()
         .commit(
-            new KeyValueClient.Transaction(conditions, changes),
+            new Transaction(conditions, changes),
             result -> {
-              if (result instanceof KeyValueClient.Committed committed) {
-                stateCache.committed(changes, committed.revision());
+              if (result instanceof CommitResult.Committed committed) {
+                stateCache.applyCommit(changes, committed.revision());
               }
               reactor.schedule(context.heartbeatIntervalsMs(0.2), () -> finishing.remove(job));
             });
@@ -461,11 +467,11 @@
       reply.accept(new Http.Response(400, UserProtocol.error(e.getMessage())));
       return;
     }
-    if (!stateCache.ready()) {
+    if (!stateCache.isReady()) {
       reply.accept(new Http.Response(503, Http.Response.EMPTY));
       return;
     }
-    Records.Machine record = stateCache.machines().get(report.machine());
+    MachineRecord record = stateCache.machines().get(report.machine());
     if (record == null) {
       adopt(report);
       reply.accept(new Http.Response(503, Http.Response.EMPTY));
@@ -476,8 +482,8 @@
       shard.tell(new ShardLeader.Reported(report, reply));
       return;
     }
-    StateCache.Versioned<Records.Shard> holder = stateCache.shard(record.shard());
-    String to = holder == null ? null : holder.record().holder();
+    Versioned<ShardRecord> holder = stateCache.shard(record.shard());
+    String to = holder == null ? null : holder.record().leader();
     if (to != null) {
       leadershipTransfer.sentOn(report.machine(), to);
     }
--- a/src/main/java/org/fieldtrestle/leadership/Membership.java
+++ b/src/main/java/org/fieldtrestle/leadership/Membership.java
@@ -9,9 +9,18 @@
 import java.util.TreeSet;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.state.CommitResult;
 import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.LeaseGrant;
+import org.fieldtrestle.state.LeaseRenewal;
+import org.fieldtrestle.state.MemberRecord;
+import org.fieldtrestle.state.ShardRecord;
 import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.StateChanges;
+import org.fieldtrestle.state.StateKey;
+import org.fieldtrestle.state.StateKeys;
+import org.fieldtrestle.state.Transaction;
+import org.fieldtrestle.state.Versioned;
 import org.fieldtrestle.transport.Reactor;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -75,7 +84,7 @@
 
   public void start(Listener to) {
     this.listener = to;
-    stateCache.listen(this::changed);
+    stateCache.addKeyListener(this::changed);
     register();
     beat();
   }
@@ -126,9 +135,9 @@
           if (renewed != lease || !registered) {
             return;
           }
-          if (renewal == KeyValueClient.Renewal.KEPT) {
+          if (renewal == LeaseRenewal.KEPT) {
             fence.leaseKept(sent);
-          } else if (renewal == KeyValueClient.Renewal.ENDED) {
+          } else if (renewal == LeaseRenewal.ENDED) {
             LOG.warn("lease {} has ended, registering again", lease);
             registered = false;
             fence.leaseEnded();
@@ -147,35 +156,35 @@
     store.grant(
         ttlMs,
         granted -> {
-          if (granted == 0) {
+          if (granted instanceof LeaseGrant.Granted grant) {
+            present(grant.lease(), sent);
+          } else {
             retry(-1);
-            return;
           }
-          present(granted, sent);
         });
   }
 
   private void present(long granted, long sent) {
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    String member = Records.member(self);
+    String member = StateKeys.member(self);
     conditions.add(new KeyValueProtocol.Condition(member, stateCache.version(member)));
-    changes.add(new KeyValueProtocol.Put(member, Records.write(new Records.Member(boot)), granted));
+    changes.add(StateChanges.put(member, new MemberRecord(boot), granted));
     // Whoever took one of our shards over while we had no lease waits for workers' leases that
     // it counts from then on: acting again under the old epoch would renew them. So all or none.
     held.forEach(
-        (m, epoch) -> conditions.add(new KeyValueProtocol.Condition(Records.shard(m), epoch)));
+        (m, epoch) -> conditions.add(new KeyValueProtocol.Condition(StateKeys.shard(m), epoch)));
     boolean take = !held.containsKey(self);
-    String own = Records.shard(self);
+    String own = StateKeys.shard(self);
     boolean formerLeaderMayAct = take && formerLeaderMayAct(self);
     if (take) {
       conditions.add(new KeyValueProtocol.Condition(own, stateCache.version(own)));
-      changes.add(new KeyValueProtocol.Put(own, Records.write(new Records.Shard(self)), 0));
+      changes.add(StateChanges.put(own, new ShardRecord(self)));
     }
     store.commitWithPriority(
-        new KeyValueClient.Transaction(conditions, changes),
+        new Transaction(conditions, changes),
         result -> {
-          if (result instanceof KeyValueClient.Committed committed) {
+          if (result instanceof CommitResult.Committed committed) {
             busy = false;
             registered = true;
             lease = granted;
@@ -185,8 +194,8 @@
             if (take && stateCache.version(own) <= committed.revision()) {
               begin(self, committed.revision(), formerLeaderMayAct);
             }
-            stateCache.committed(changes, committed.revision());
-          } else if (result instanceof KeyValueClient.Conflict conflict) {
+            stateCache.applyCommit(changes, committed.revision());
+          } else if (result instanceof CommitResult.Conflict conflict) {
             retry(conflict.revision());
           } else {
             retry(-1);
@@ -203,16 +212,16 @@
     if (revision < 0) {
       reactor.schedule(ttlMs / 50, again);
     } else {
-      stateCache.await(
+      stateCache.awaitRevision(
           revision, ttlMs / 12, seen -> reactor.schedule(seen ? 0 : ttlMs / 50, again));
     }
   }
 
   private boolean formerLeaderMayAct(String shard) {
-    StateCache.Versioned<Records.Shard> kept = stateCache.shard(shard);
+    Versioned<ShardRecord> kept = stateCache.shard(shard);
     return kept != null
-        && !kept.record().holder().equals(self)
-        && stateCache.members().containsKey(kept.record().holder());
+        && !kept.record().leader().equals(self)
+        && stateCache.members().containsKey(kept.record().leader());
   }
 
   private void begin(String shard, long epoch, boolean formerLeaderMayAct) {
@@ -221,11 +230,11 @@
     listener.began(shard, epoch, formerLeaderMayAct);
   }
 
-  private void changed(Records.Key key) {
-    if (key instanceof Records.ShardKey k) {
+  private void changed(StateKey key) {
+    if (key instanceof StateKey.ShardKey k) {
       changedAt.put(k.shard(), reactor.now());
       Long epoch = held.get(k.shard());
-      if (epoch != null && stateCache.version(Records.shard(k.shard())) != epoch) {
+      if (epoch != null && stateCache.version(StateKeys.shard(k.shard())) != epoch) {
         LOG.warn("no longer acting as master {}: another has taken it", k.shard());
         held.remove(k.shard());
         if (k.shard().equals(self) && mayAct()) {
@@ -234,9 +243,9 @@
         }
         listener.ended(k.shard());
       }
-      StateCache.Versioned<Records.Shard> now = stateCache.shard(k.shard());
+      Versioned<ShardRecord> now = stateCache.shard(k.shard());
       if (now != null
-          && now.record().holder().equals(self)
+          && now.record().leader().equals(self)
           && !k.shard().equals(self)
           && !held.containsKey(k.shard())
           && mayAct()) {
@@ -250,11 +259,11 @@
    * it has changed hands only lately.
    */
   public void seizeLeadership(String shard) {
-    StateCache.Versioned<Records.Shard> kept = stateCache.shard(shard);
+    Versioned<ShardRecord> kept = stateCache.shard(shard);
     if (kept != null
         && !held.containsKey(shard)
         && reactor.now() - changedAt.getOrDefault(shard, 0L) > ttlMs) {
-      take(shard, kept.record().holder(), kept.version());
+      take(shard, kept.record().leader(), kept.version());
     }
   }
 
@@ -264,21 +273,19 @@
    */
   public void transferLeadership(String shard, String to) {
     Long epoch = held.get(shard);
-    if (epoch == null || stateCache.version(Records.member(to)) == 0) {
+    if (epoch == null || stateCache.version(StateKeys.member(to)) == 0) {
       return;
     }
     held.remove(shard);
     apartUntil = reactor.now() + ttlMs * APART;
     listener.ended(shard);
     store.commitWithPriority(
-        new KeyValueClient.Transaction(
+        new Transaction(
             List.of(
-                new KeyValueProtocol.Condition(Records.shard(shard), epoch),
+                new KeyValueProtocol.Condition(StateKeys.shard(shard), epoch),
                 new KeyValueProtocol.Condition(
-                    Records.member(to), stateCache.version(Records.member(to)))),
-            List.of(
-                new KeyValueProtocol.Put(
-                    Records.shard(shard), Records.write(new Records.Shard(to)), 0))),
+                    StateKeys.member(to), stateCache.version(StateKeys.member(to)))),
+            List.of(StateChanges.put(StateKeys.shard(shard), new ShardRecord(to)))),
         result -> LOG.info("handing master {} over to {}: {}", shard, to, result));
   }
 
@@ -289,10 +296,10 @@
       return;
     }
     int order = new TreeSet<>(stateCache.members().keySet()).headSet(self).size();
-    for (Map.Entry<String, StateCache.Versioned<Records.Shard>> one :
+    for (Map.Entry<String, Versioned<ShardRecord>> one :
         List.copyOf(stateCache.shards().entrySet())) {
       String shard = one.getKey();
-      String holder = one.getValue().record().holder();
+      String holder = one.getValue().record().leader();
       if (held.containsKey(shard)) {
         vacantSince.remove(shard);
         continue;
@@ -320,26 +327,24 @@
     }
     boolean formerLeaderMayAct = formerLeaderMayAct(shard);
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    conditions.add(new KeyValueProtocol.Condition(Records.shard(shard), version));
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.shard(shard), version));
     conditions.add(
         new KeyValueProtocol.Condition(
-            Records.member(self), stateCache.version(Records.member(self))));
+            StateKeys.member(self), stateCache.version(StateKeys.member(self))));
     if (!formerLeaderMayAct && !holder.equals(self)) {
-      conditions.add(new KeyValueProtocol.Condition(Records.member(holder), 0));
+      conditions.add(new KeyValueProtocol.Condition(StateKeys.member(holder), 0));
     }
     List<KeyValueProtocol.Change> changes =
-        List.of(
-            new KeyValueProtocol.Put(
-                Records.shard(shard), Records.write(new Records.Shard(self)), 0));
+        List.of(StateChanges.put(StateKeys.shard(shard), new ShardRecord(self)));
     LOG.warn("taking master {} from {}", shard, holder);
     store.commitWithPriority(
-        new KeyValueClient.Transaction(conditions, changes),
+        new Transaction(conditions, changes),
         result -> {
           taking.remove(shard);
-          if (result instanceof KeyValueClient.Committed committed
-              && stateCache.version(Records.shard(shard)) <= committed.revision()) {
+          if (result instanceof CommitResult.Committed committed
+              && stateCache.version(StateKeys.shard(shard)) <= committed.revision()) {
             begin(shard, committed.revision(), formerLeaderMayAct);
-            stateCache.committed(changes, committed.revision());
+            stateCache.applyCommit(changes, committed.revision());
           }
         });
   }
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -9,7 +9,10 @@
 import java.util.function.Consumer;
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.protocol.KeyValueProtocol;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.MachineRecord;
+import org.fieldtrestle.state.StateChanges;
+import org.fieldtrestle.state.StateKey;
+import org.fieldtrestle.state.StateKeys;
 import org.fieldtrestle.worker.LeadershipTerm;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -36,7 +39,7 @@
   /** What is to become of a machine in the roster. */
   private sealed interface Wish {}
 
-  private record Add(Records.Machine machine, boolean adopted, Consumer<Boolean> done)
+  private record Add(MachineRecord machine, boolean adopted, Consumer<Boolean> done)
       implements Wish {}
 
   private record Up() implements Wish {}
@@ -65,8 +68,7 @@
     long since = adopted ? 0 : context.reactor().wall();
     wish(
         id,
-        new Add(
-            new Records.Machine(term.shard(), 0, type, zone, spot, since, upIn), adopted, done));
+        new Add(new MachineRecord(term.shard(), 0, type, zone, spot, since, upIn), adopted, done));
   }
 
   /** Tasks may be started on a machine once this is durable. */
@@ -99,10 +101,9 @@
     final Map<String, Wish> taken = new LinkedHashMap<>();
     final List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     final List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    final Map<Records.InventoryKey, TreeMap<String, Records.Machine>> parts =
-        new TreeMap<>(BY_PART);
+    final Map<StateKey.InventoryKey, TreeMap<String, MachineRecord>> parts = new TreeMap<>(BY_PART);
 
-    TreeMap<String, Records.Machine> part(Records.InventoryKey key) {
+    TreeMap<String, MachineRecord> part(StateKey.InventoryKey key) {
       return parts.computeIfAbsent(
           key, k -> new TreeMap<>(context.stateCache().inventories().getOrDefault(k, Map.of())));
     }
@@ -123,7 +124,7 @@
     }
 
     void include(String id, Wish wish) {
-      Records.Machine known = context.stateCache().machines().get(id);
+      MachineRecord known = context.stateCache().machines().get(id);
       boolean ours = known != null && known.shard().equals(term.shard());
       if (wish instanceof Add add) {
         if (known != null) {
@@ -139,18 +140,18 @@
       } else if (!fits(known.part())) {
         return;
       } else if (wish instanceof Up) {
-        part(key(known.part())).put(id, known.upIn(term.epoch()));
+        part(key(known.part())).put(id, known.withUpSince(term.epoch()));
       } else {
         part(key(known.part())).remove(id);
-        if (context.stateCache().version(Records.orphan(id)) != 0) {
-          changes.add(new KeyValueProtocol.Delete(Records.orphan(id)));
+        if (context.stateCache().version(StateKeys.orphan(id)) != 0) {
+          changes.add(new KeyValueProtocol.Delete(StateKeys.orphan(id)));
         }
       }
       taken.put(id, wish);
     }
 
     private int sizeOf(int part) {
-      Map<String, Records.Machine> changed = parts.get(key(part));
+      Map<String, MachineRecord> changed = parts.get(key(part));
       return changed != null
           ? changed.size()
           : context.stateCache().inventories().getOrDefault(key(part), Map.of()).size();
@@ -160,23 +161,29 @@
       int number = 0;
       int most = (int) (context.settings().state().valueKb() * 1024 * FILLED / BYTES_EACH);
       while (sizeOf(number) >= most
-          || !context.stateCache().readable(Records.inventory(key(number)))) {
+          || !context.stateCache().isReadable(StateKeys.inventory(key(number)))) {
         number++;
       }
       if (!fits(number)) {
         return;
       }
       taken.put(id, add);
-      Records.Machine m = add.machine();
+      MachineRecord m = add.machine();
       part(key(number))
           .put(
               id,
-              new Records.Machine(
-                  m.shard(), number, m.type(), m.zone(), m.spot(), m.sinceWall(), m.upIn()));
-      String stray = Records.orphan(id);
+              new MachineRecord(
+                  m.shard(),
+                  number,
+                  m.type(),
+                  m.zone(),
+                  m.spot(),
+                  m.bootingSinceWallMs(),
+                  m.upSinceEpoch()));
+      String stray = StateKeys.orphan(id);
       conditions.add(new KeyValueProtocol.Condition(stray, context.stateCache().version(stray)));
       if (add.adopted()) {
-        changes.add(new KeyValueProtocol.Put(stray, Records.writeOrphan(term.shard()), 0));
+        changes.add(StateChanges.putOrphan(stray, term.shard()));
       }
     }
 
@@ -187,7 +194,7 @@
           int number = 0;
           long version;
           do {
-            String key = Records.inventory(new Records.InventoryKey(other, number++));
+            String key = StateKeys.inventory(new StateKey.InventoryKey(other, number++));
             version = context.stateCache().version(key);
             conditions.add(new KeyValueProtocol.Condition(key, version));
           } while (version != 0);
@@ -201,22 +208,22 @@
       }
       parts.forEach(
           (key, machines) -> {
-            String name = Records.inventory(key);
+            String name = StateKeys.inventory(key);
             long version = context.stateCache().version(name);
             if (machines.equals(context.stateCache().inventories().getOrDefault(key, Map.of()))) {
               return; // looked at only
             }
             conditions.add(new KeyValueProtocol.Condition(name, version));
-            changes.add(new KeyValueProtocol.Put(name, Records.writeInventory(machines), 0));
+            changes.add(StateChanges.putInventory(name, machines));
           });
     }
   }
 
-  private static final Comparator<Records.InventoryKey> BY_PART =
-      Comparator.comparingInt(Records.InventoryKey::part);
+  private static final Comparator<StateKey.InventoryKey> BY_PART =
+      Comparator.comparingInt(StateKey.InventoryKey::part);
 
-  private Records.InventoryKey key(int part) {
-    return new Records.InventoryKey(term.shard(), part);
+  private StateKey.InventoryKey key(int part) {
+    return new StateKey.InventoryKey(term.shard(), part);
   }
 
   private void write() {
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -9,9 +9,14 @@
 import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.KeyValueProtocol;
-import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
-import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.ActiveJob;
+import org.fieldtrestle.state.CommitResult;
+import org.fieldtrestle.state.QuotaRecord;
+import org.fieldtrestle.state.QuotaShare;
+import org.fieldtrestle.state.StateChanges;
+import org.fieldtrestle.state.StateKeys;
+import org.fieldtrestle.state.Transaction;
+import org.fieldtrestle.state.Versioned;
 import org.fieldtrestle.worker.LeadershipTerm;
 import org.fieldtrestle.worker.TaskRange;
 import org.fieldtrestle.worker.TaskRanges;
@@ -70,11 +75,12 @@
   }
 
   private double[] share(String team) {
-    StateCache.Versioned<Records.Quota> kept = context.stateCache().quota(team);
+    Versioned<QuotaRecord> kept = context.stateCache().quota(team);
     double[] share =
-        kept == null
-            ? new double[2]
-            : kept.record().shares().getOrDefault(term.shard(), new double[2]);
+        toArray(
+            kept == null
+                ? QuotaShare.NONE
+                : kept.record().shares().getOrDefault(term.shard(), QuotaShare.NONE));
     Shrinking less = shrinking.get(team);
     if (less != null && kept != null && less.version() == kept.version()) {
       return new double[] {Math.min(share[0], less.cpus()), Math.min(share[1], less.gpus())};
@@ -82,6 +88,10 @@
     return share;
   }
 
+  private static double[] toArray(QuotaShare share) {
+    return new double[] {share.cpus(), share.gpus()};
+  }
+
   /** What the team may be using here: all of any machine that we have not heard of yet. */
   private double[] used(String team) {
     TeamUsage usage = workers.usage();
@@ -103,13 +113,13 @@
   }
 
   private void adjust(Settings.Team team) {
-    if (!context.stateCache().readable(Records.quota(team.name()))) {
+    if (!context.stateCache().isReadable(StateKeys.quota(team.name()))) {
       return;
     }
-    StateCache.Versioned<Records.Quota> kept = context.stateCache().quota(team.name());
-    Map<String, double[]> shares =
+    Versioned<QuotaRecord> kept = context.stateCache().quota(team.name());
+    Map<String, QuotaShare> shares =
         kept == null ? new TreeMap<>() : new TreeMap<>(kept.record().shares());
-    double[] mine = shares.getOrDefault(term.shard(), new double[2]);
+    double[] mine = toArray(shares.getOrDefault(term.shard(), QuotaShare.NONE));
     double[] used = used(team.name());
     double[] need = used.clone();
     double[] least = {Double.MAX_VALUE, Double.MAX_VALUE};
@@ -130,9 +140,9 @@
     boolean shrinks = false;
     for (int i = 0; i < 2; i++) {
       double others = 0;
-      for (Map.Entry<String, double[]> share : shares.entrySet()) {
+      for (Map.Entry<String, QuotaShare> share : shares.entrySet()) {
         if (!share.getKey().equals(term.shard())) {
-          others += share.getValue()[i];
+          others += toArray(share.getValue())[i];
         }
       }
       double most = Math.max(0, limit[i] - others);
@@ -164,28 +174,27 @@
       }
     }
     idleSince.remove(team.name());
-    shares.put(term.shard(), want);
+    shares.put(term.shard(), new QuotaShare(want[0], want[1]));
     if (kept != null && shrinks) {
       shrinking.put(team.name(), new Shrinking(version, want[0], want[1]));
     }
-    String key = Records.quota(team.name());
+    String key = StateKeys.quota(team.name());
     List<KeyValueProtocol.Condition> conditions =
         List.of(new KeyValueProtocol.Condition(key, version), term.guard());
-    List<KeyValueProtocol.Change> changes =
-        List.of(new KeyValueProtocol.Put(key, Records.write(new Records.Quota(shares)), 0));
+    List<KeyValueProtocol.Change> changes = List.of(StateChanges.put(key, new QuotaRecord(shares)));
     writing.put(team.name(), true);
     context
         .store()
         .commit(
-            new KeyValueClient.Transaction(conditions, changes),
+            new Transaction(conditions, changes),
             result -> {
-              if (result instanceof KeyValueClient.Committed committed) {
-                context.stateCache().committed(changes, committed.revision());
+              if (result instanceof CommitResult.Committed committed) {
+                context.stateCache().applyCommit(changes, committed.revision());
               }
               context
                   .reactor()
                   .schedule(
-                      result instanceof KeyValueClient.Committed
+                      result instanceof CommitResult.Committed
                           ? 0
                           : context.stateCache().watchIntervalMs() * 2,
                       () -> writing.put(team.name(), false));
@@ -195,16 +204,16 @@
   /** Whether a job fits its team's guarantee together with the team's earlier unfinished jobs. */
   boolean guaranteed(TaskRange range) {
     Settings.Team team = context.settings().team(range.spec().team());
-    StateCache.ActiveJob own = context.stateCache().job(range.key().job());
+    ActiveJob own = context.stateCache().job(range.key().job());
     if (team == null || own == null || team.cpus() <= 0 && team.gpus() <= 0) {
       return false;
     }
     double cpus = 0;
     double gpus = 0;
-    for (StateCache.ActiveJob job : context.stateCache().jobs()) {
+    for (ActiveJob job : context.stateCache().jobs()) {
       if (job.job() != null
           && job.job().record().spec().team().equals(team.name())
-          && job.job().record().acceptedWall() <= own.job().record().acceptedWall()) {
+          && job.job().record().acceptedWallMs() <= own.job().record().acceptedWallMs()) {
         JobSpec spec = job.job().record().spec();
         cpus += spec.cpus() * spec.tasks();
         gpus += spec.gpus() * spec.tasks();
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -7,7 +7,10 @@
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.routing.JobSplitter;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.RangeRecord;
+import org.fieldtrestle.state.StateChanges;
+import org.fieldtrestle.state.StateKey;
+import org.fieldtrestle.state.StateKeys;
 import org.fieldtrestle.worker.LeadershipTerm;
 import org.fieldtrestle.worker.TaskRange;
 import org.fieldtrestle.worker.TaskRanges;
@@ -71,7 +74,7 @@
         || term.policy().mustStop(range)
         || range.isWriting()
         || ranges.blocked(range)
-        || !range.record().caps().isEmpty()
+        || !range.record().zoneLimits().isEmpty()
         || context.stateCache().rangesOf(range.key().job()).size() + 4
             > context.settings().state().txnOps()) {
       return 0;
@@ -112,37 +115,31 @@
   }
 
   private void move(TaskRange range, int count, String to) {
-    Records.Range whole = range.record();
+    RangeRecord whole = range.record();
     int cut = whole.to() - count;
-    Records.RangeKey fresh =
-        new Records.RangeKey(
+    StateKey.RangeKey fresh =
+        new StateKey.RangeKey(
             range.key().job(),
             context.stateCache().rangesOf(range.key().job()).keySet().stream()
                     .mapToInt(i -> i)
                     .max()
                     .orElse(0)
                 + 1);
-    String job = Records.job(range.key().job());
+    String job = StateKeys.job(range.key().job());
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    conditions.add(new KeyValueProtocol.Condition(Records.range(range.key()), range.version()));
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.range(range.key()), range.version()));
     conditions.add(new KeyValueProtocol.Condition(job, context.stateCache().version(job)));
     long epoch = context.stateCache().shard(to).version();
-    conditions.add(new KeyValueProtocol.Condition(Records.shard(to), epoch));
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.shard(to), epoch));
     if (cut == whole.from()) {
-      changes.add(
-          new KeyValueProtocol.Put(
-              Records.range(range.key()), Records.write(whole.ownedBy(to, epoch)), 0));
+      changes.add(StateChanges.put(StateKeys.range(range.key()), whole.ownedBy(to, epoch)));
     } else {
-      conditions.add(new KeyValueProtocol.Condition(Records.range(fresh), 0));
-      changes.add(
-          new KeyValueProtocol.Put(
-              Records.range(range.key()), Records.write(whole.between(whole.from(), cut)), 0));
+      conditions.add(new KeyValueProtocol.Condition(StateKeys.range(fresh), 0));
+      changes.add(StateChanges.put(StateKeys.range(range.key()), whole.slice(whole.from(), cut)));
       changes.add(
-          new KeyValueProtocol.Put(
-              Records.range(fresh),
-              Records.write(whole.between(cut, whole.to()).ownedBy(to, epoch)),
-              0));
+          StateChanges.put(
+              StateKeys.range(fresh), whole.slice(cut, whole.to()).ownedBy(to, epoch)));
     }
     // From here on these tasks may be another shard's at any time: they are not to be started.
     BitSet held = new BitSet();
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -19,7 +19,7 @@
 import org.fieldtrestle.scheduling.RangeReassignment;
 import org.fieldtrestle.scheduling.SelectivePreemption;
 import org.fieldtrestle.scheduling.TaskPlacer;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.StateKey;
 import org.fieldtrestle.transport.Actor;
 import org.fieldtrestle.transport.EventLoopMeter.Work;
 import org.fieldtrestle.transport.Http;
@@ -54,7 +54,7 @@
       implements Message {}
 
   /** A key that it may care for has changed. */
-  public record Changed(Records.Key key) implements Message {}
+  public record Changed(StateKey key) implements Message {}
 
   /** Another controller says that a job is cancelled. */
   public record Cancelled(String job) implements Message {}
@@ -288,9 +288,9 @@
   private void activate() {
     term.activate();
     workers.inherit();
-    for (var job : List.copyOf(context.stateCache().all().entrySet())) {
+    for (var job : List.copyOf(context.stateCache().jobsById().entrySet())) {
       for (int index : List.copyOf(job.getValue().ranges().keySet())) {
-        ranges.sync(new Records.RangeKey(job.getKey(), index));
+        ranges.sync(new StateKey.RangeKey(job.getKey(), index));
       }
     }
     logLeadership("leadership begins");
@@ -310,17 +310,17 @@
         .log(what);
   }
 
-  private void changed(Records.Key key) {
+  private void changed(StateKey key) {
     if (!term.isActive()) {
       return;
     }
-    if (key instanceof Records.RangeKey k) {
+    if (key instanceof StateKey.RangeKey k) {
       if (ranges.sync(k)) {
         requestPlacementPass();
       }
-    } else if (key instanceof Records.MachineKey k) {
+    } else if (key instanceof StateKey.MachineKey k) {
       workers.sync(k.machine(), false);
-    } else if (key instanceof Records.JobKey k) {
+    } else if (key instanceof StateKey.JobKey k) {
       if (ranges.syncJob(k.job())) {
         requestPlacementPass();
       }
--- a/src/main/java/org/fieldtrestle/state/RequestQueue.java
+++ b/src/main/java/org/fieldtrestle/state/RequestQueue.java
@@ -4,22 +4,24 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * Requests to the state service that wait for this controller's part of its rate limits.
+ * Requests to the key-value store that wait for this controller's part of its rate limits.
  *
  * <p>Reads and writes wait in queues of their own and take turns, so that neither can keep the
  * other away: writes may wait for minutes after many machines were lost, while users ask about
  * their jobs every few seconds. Both queues are bounded; what does not fit is refused at once.
  */
 final class RequestQueue {
-  /** Writes that wait at the most. */
+  /** How many writes may wait. */
   private static final int MAX_WRITES = 64;
 
-  /** Reads that wait at the most: some ten seconds of them where few requests are allowed. */
+  /** How many reads may wait: some ten seconds' worth where few requests are allowed. */
   private static final int MAX_READS = 256;
 
-  /** Share of our requests that reads, which users' questions cause, may take. */
+  /** Share of this controller's requests that reads, which users' questions cause, may take. */
   private static final double READ_SHARE = 0.55;
 
+  private static final long NOTHING_WAITS = Long.MAX_VALUE;
+
   private record Request(int changes, Runnable send) {}
 
   private final Reactor reactor;
@@ -93,24 +95,24 @@
       nextDrain.cancel();
       nextDrain = null;
     }
-    long wait = sendUntilLimited();
-    if (wait > 0) {
-      nextDrain = reactor.schedule(wait, this::drain);
+    long waitMs = sendUntilLimited();
+    if (waitMs > 0) {
+      nextDrain = reactor.schedule(waitMs, this::drain);
     }
   }
 
-  /** Sends what may go now; returns for how long the next has to wait, 0 where there is none. */
+  /** Sends what the limits allow now; returns the wait of the next one in ms, 0 if none waits. */
   private long sendUntilLimited() {
     while (true) {
-      long readWait = readWaitMs();
-      long writeWait = writeWaitMs();
-      if (readWait == Long.MAX_VALUE && writeWait == Long.MAX_VALUE) {
+      long readWaitMs = readWaitMs();
+      long writeWaitMs = writeWaitMs();
+      if (readWaitMs == NOTHING_WAITS && writeWaitMs == NOTHING_WAITS) {
         return 0;
       }
-      if (readWait > 0 && writeWait > 0) {
-        return Math.min(readWait, writeWait);
+      if (readWaitMs > 0 && writeWaitMs > 0) {
+        return Math.min(readWaitMs, writeWaitMs);
       }
-      if (readWait <= 0 && (readsNext || writeWait > 0)) {
+      if (readWaitMs <= 0 && (readsNext || writeWaitMs > 0)) {
         sendRead();
       } else {
         sendWrite();
@@ -120,7 +122,7 @@
 
   private long readWaitMs() {
     if (waitingReads.isEmpty()) {
-      return Long.MAX_VALUE;
+      return NOTHING_WAITS;
     }
     long now = reactor.now();
     return Math.max(requests.waitMs(now, 1), reads.waitMs(now, 1));
@@ -128,7 +130,7 @@
 
   private long writeWaitMs() {
     if (waitingWrites.isEmpty()) {
-      return Long.MAX_VALUE;
+      return NOTHING_WAITS;
     }
     long now = reactor.now();
     return Math.max(
--- a/src/main/java/org/fieldtrestle/state/TaskSet.java
+++ b/src/main/java/org/fieldtrestle/state/TaskSet.java
@@ -4,15 +4,18 @@
 import java.util.BitSet;
 
 /**
- * A set of task numbers in a compact text: runs such as {@code 0-5,8}, or, where the set is too
- * ragged for that, {@code #} and a bitmap.
+ * A set of task numbers as a compact text: runs such as {@code 0-5,8}, or, where that would be
+ * longer, {@code #} and a bitmap in Base64.
  */
 public final class TaskSet {
+  private static final String BITMAP_MARK = "#";
+
   private TaskSet() {}
 
+  /** Writes a set in the shorter form. */
   public static String encode(BitSet set) {
     byte[] bitmap = set.toByteArray();
-    int budget = 1 + (bitmap.length + 2) / 3 * 4;
+    int bitmapLength = BITMAP_MARK.length() + (bitmap.length + 2) / 3 * 4;
     StringBuilder runs = new StringBuilder();
     for (int from = set.nextSetBit(0); from >= 0; ) {
       int to = set.nextClearBit(from) - 1;
@@ -23,8 +26,8 @@
       if (to > from) {
         runs.append('-').append(to);
       }
-      if (runs.length() > budget) {
-        return "#" + Base64.getEncoder().encodeToString(bitmap);
+      if (runs.length() > bitmapLength) {
+        return BITMAP_MARK + Base64.getEncoder().encodeToString(bitmap);
       }
       from = set.nextSetBit(to + 1);
     }
@@ -32,31 +35,37 @@
   }
 
   /**
-   * Reads the text again.
+   * Reads a set.
    *
-   * @throws IllegalArgumentException where the text is damaged or names a number not below size
+   * @param size all numbers must be below it
+   * @throws IllegalArgumentException if the text is damaged or names a number that is not below
+   *     size
    */
   public static BitSet decode(String text, int size) {
-    BitSet set;
-    if (text.startsWith("#")) {
-      set = BitSet.valueOf(Base64.getDecoder().decode(text.substring(1)));
-    } else {
-      set = new BitSet();
-      if (!text.isEmpty()) {
-        for (String run : text.split(",", -1)) {
-          int dash = run.indexOf('-');
-          int from = Integer.parseInt(dash < 0 ? run : run.substring(0, dash));
-          int to = dash < 0 ? from : Integer.parseInt(run.substring(dash + 1));
-          if (from < 0 || to < from || to >= size) {
-            throw new IllegalArgumentException("task set run " + run);
-          }
-          set.set(from, to + 1);
-        }
-      }
-    }
+    BitSet set =
+        text.startsWith(BITMAP_MARK)
+            ? BitSet.valueOf(Base64.getDecoder().decode(text.substring(BITMAP_MARK.length())))
+            : decodeRuns(text, size);
     if (set.length() > size) {
       throw new IllegalArgumentException("task set beyond " + size);
     }
     return set;
   }
+
+  private static BitSet decodeRuns(String text, int size) {
+    BitSet set = new BitSet();
+    if (text.isEmpty()) {
+      return set;
+    }
+    for (String run : text.split(",", -1)) {
+      int dash = run.indexOf('-');
+      int from = Integer.parseInt(dash < 0 ? run : run.substring(0, dash));
+      int to = dash < 0 ? from : Integer.parseInt(run.substring(dash + 1));
+      if (from < 0 || to < from || to >= size) {
+        throw new IllegalArgumentException("task set run " + run);
+      }
+      set.set(from, to + 1);
+    }
+    return set;
+  }
 }
--- a/src/main/java/org/fieldtrestle/state/TokenBucket.java
+++ b/src/main/java/org/fieldtrestle/state/TokenBucket.java
@@ -1,10 +1,13 @@
 package org.fieldtrestle.state;
 
-/** A rate limit that allows bursts of one second's worth. */
+/** A rate limit that allows bursts of one second's worth. Times are in ms on the same clock. */
 final class TokenBucket {
+  private static final double MS_PER_S = 1000;
+  private static final long NEVER = Long.MIN_VALUE;
+
   private final double perSecond;
   private double level;
-  private long filledAt = Long.MIN_VALUE;
+  private long filledAt = NEVER;
 
   TokenBucket(double perSecond) {
     this.perSecond = perSecond;
@@ -12,14 +15,14 @@
   }
 
   private void refill(long now) {
-    if (filledAt != Long.MIN_VALUE) {
-      level = Math.min(perSecond, level + (now - filledAt) * perSecond / 1000);
+    if (filledAt != NEVER) {
+      level = Math.min(perSecond, level + (now - filledAt) * perSecond / MS_PER_S);
     }
     filledAt = now;
   }
 
   /**
-   * For how long to wait until so much may be taken; an amount above the burst waits for a full
+   * Time to wait until an amount may be taken, in ms; an amount above the burst waits for a full
    * bucket.
    */
   long waitMs(long now, double amount) {
@@ -28,10 +31,10 @@
     }
     refill(now);
     double missing = Math.min(amount, perSecond) - level;
-    return missing <= 0 ? 0 : (long) Math.ceil(missing * 1000 / perSecond);
+    return missing <= 0 ? 0 : (long) Math.ceil(missing * MS_PER_S / perSecond);
   }
 
-  /** Takes tokens, also where there are not enough: whoever waits then waits for longer. */
+  /** Takes tokens, also where there are not enough: later requests wait for longer then. */
   void take(long now, double amount) {
     refill(now);
     level -= amount;
--- a/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
+++ b/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
@@ -2,8 +2,9 @@
 
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.metrics.StartRefusal;
-import org.fieldtrestle.state.Records;
-import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.RangeRecord;
+import org.fieldtrestle.state.StateKeys;
+import org.fieldtrestle.state.Versioned;
 
 /**
  * The one place that decides what a shard may tell workers: whether a task may be started, whether
@@ -26,7 +27,7 @@
   CommandPolicy(ControllerContext context, String shard, long epoch) {
     this.context = context;
     this.shard = shard;
-    this.shardKey = Records.shard(shard);
+    this.shardKey = StateKeys.shard(shard);
     this.epoch = epoch;
   }
 
@@ -74,7 +75,7 @@
   }
 
   /** Whether a record shows a range to be this shard's, as of this epoch. */
-  boolean isOurs(StateCache.Versioned<Records.Range> kept) {
+  boolean isOurs(Versioned<RangeRecord> kept) {
     return kept != null && kept.record().shard().equals(shard) && kept.record().epoch() <= epoch;
   }
 
@@ -98,7 +99,7 @@
     }
     String job = range.key.job();
     return context.stateCache().job(job) == null
-        && context.stateCache().version(Records.job(job)) == 0
+        && context.stateCache().version(StateKeys.job(job)) == 0
         && (range.spec != null || context.stateCache().appliedRevision() >= range.version);
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -4,8 +4,13 @@
 import java.util.Map;
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.protocol.KeyValueProtocol;
-import org.fieldtrestle.state.Records;
-import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.ActiveJob;
+import org.fieldtrestle.state.FinishedJobRecord;
+import org.fieldtrestle.state.RangeRecord;
+import org.fieldtrestle.state.StateChanges;
+import org.fieldtrestle.state.StateKey;
+import org.fieldtrestle.state.StateKeys;
+import org.fieldtrestle.state.Versioned;
 
 /** Turns a job whose tasks are all durably done into its final record, in one transaction. */
 public final class JobCompletion {
@@ -19,18 +24,18 @@
    */
   static boolean add(
       ControllerContext context,
-      Records.RangeKey key,
-      Records.Range next,
+      StateKey.RangeKey key,
+      RangeRecord next,
       List<KeyValueProtocol.Condition> conditions,
       List<KeyValueProtocol.Change> changes) {
-    StateCache.ActiveJob job = context.stateCache().job(key.job());
+    ActiveJob job = context.stateCache().job(key.job());
     if (job == null) {
       return false;
     }
     int tasks = 0;
-    for (Map.Entry<Integer, StateCache.Versioned<Records.Range>> one : job.ranges().entrySet()) {
-      Records.Range range = one.getKey() == key.index() ? next : one.getValue().record();
-      if (!range.complete()) {
+    for (Map.Entry<Integer, Versioned<RangeRecord>> one : job.ranges().entrySet()) {
+      RangeRecord range = one.getKey() == key.index() ? next : one.getValue().record();
+      if (!range.isComplete()) {
         return false;
       }
       tasks += range.size();
@@ -39,10 +44,10 @@
         || job.ranges().size() + 2 > context.settings().state().txnOps()) {
       return false;
     }
-    conditions.add(new KeyValueProtocol.Condition(Records.job(key.job()), job.job().version()));
-    changes.add(new KeyValueProtocol.Delete(Records.job(key.job())));
-    for (Map.Entry<Integer, StateCache.Versioned<Records.Range>> one : job.ranges().entrySet()) {
-      String rangeKey = Records.range(new Records.RangeKey(key.job(), one.getKey()));
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.job(key.job()), job.job().version()));
+    changes.add(new KeyValueProtocol.Delete(StateKeys.job(key.job())));
+    for (Map.Entry<Integer, Versioned<RangeRecord>> one : job.ranges().entrySet()) {
+      String rangeKey = StateKeys.range(new StateKey.RangeKey(key.job(), one.getKey()));
       if (one.getKey() != key.index()) {
         conditions.add(new KeyValueProtocol.Condition(rangeKey, one.getValue().version()));
       }
@@ -51,10 +56,7 @@
       }
     }
     changes.add(
-        new KeyValueProtocol.Put(
-            Records.finished(key.job()),
-            Records.write(new Records.FinishedJob(true, tasks, tasks)),
-            0));
+        StateChanges.put(StateKeys.finished(key.job()), new FinishedJobRecord(true, tasks, tasks)));
     return true;
   }
 
@@ -64,13 +66,13 @@
       String job,
       List<KeyValueProtocol.Condition> conditions,
       List<KeyValueProtocol.Change> changes) {
-    StateCache.ActiveJob live = context.stateCache().job(job);
-    if (live == null || !live.complete()) {
+    ActiveJob live = context.stateCache().job(job);
+    if (live == null || !live.isComplete()) {
       return false;
     }
-    Map.Entry<Integer, StateCache.Versioned<Records.Range>> any = live.ranges().firstEntry();
-    Records.RangeKey key = new Records.RangeKey(job, any.getKey());
-    conditions.add(new KeyValueProtocol.Condition(Records.range(key), any.getValue().version()));
+    Map.Entry<Integer, Versioned<RangeRecord>> any = live.ranges().firstEntry();
+    StateKey.RangeKey key = new StateKey.RangeKey(job, any.getKey());
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.range(key), any.getValue().version()));
     return add(context, key, any.getValue().record(), conditions, changes);
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
+++ b/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
@@ -5,8 +5,9 @@
 import java.util.function.Consumer;
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.protocol.KeyValueProtocol;
-import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.CommitResult;
+import org.fieldtrestle.state.StateKeys;
+import org.fieldtrestle.state.Transaction;
 
 /**
  * One term of this controller as the leader of a shard: the shard's name, its epoch, the fencing
@@ -105,7 +106,7 @@
 
   /** The condition that makes every write of this term fail once the next has begun. */
   public KeyValueProtocol.Condition guard() {
-    return new KeyValueProtocol.Condition(Records.shard(shard), epoch);
+    return new KeyValueProtocol.Condition(StateKeys.shard(shard), epoch);
   }
 
   /**
@@ -124,13 +125,13 @@
     context
         .store()
         .commit(
-            new KeyValueClient.Transaction(all, changes),
+            new Transaction(all, changes),
             result -> {
-              if (result instanceof KeyValueClient.Committed committed) {
-                context.stateCache().committed(changes, committed.revision());
+              if (result instanceof CommitResult.Committed committed) {
+                context.stateCache().applyCommit(changes, committed.revision());
                 // The cache tells the shard by message; what depends on it runs after that.
                 context.reactor().execute(() -> done.accept(true));
-              } else if (result instanceof KeyValueClient.Conflict conflict) {
+              } else if (result instanceof CommitResult.Conflict conflict) {
                 retryAfter(conflict, done);
               } else {
                 context
@@ -142,10 +143,10 @@
             });
   }
 
-  private void retryAfter(KeyValueClient.Conflict conflict, Consumer<Boolean> done) {
+  private void retryAfter(CommitResult.Conflict conflict, Consumer<Boolean> done) {
     context
         .stateCache()
-        .await(
+        .awaitRevision(
             conflict.revision(),
             context.heartbeatIntervalsMs(1),
             seen ->
--- a/src/main/java/org/fieldtrestle/worker/TaskRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -7,7 +7,8 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.fieldtrestle.protocol.JobSpec;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.RangeRecord;
+import org.fieldtrestle.state.StateKey;
 
 /** A range in this shard's hands: which of its tasks wait, are on machines, or have finished. */
 public final class TaskRange {
@@ -17,8 +18,8 @@
     public long notBefore;
   }
 
-  final Records.RangeKey key;
-  Records.Range record;
+  final StateKey.RangeKey key;
+  RangeRecord record;
   long version;
 
   /** Null where the job has ended (or its record is not to be read). */
@@ -76,7 +77,7 @@
   long writeAt = -1;
 
   TaskRange(
-      Records.RangeKey key, Records.Range record, long version, boolean inherited, long since) {
+      StateKey.RangeKey key, RangeRecord record, long version, boolean inherited, long since) {
     this.key = key;
     this.record = record;
     this.version = version;
@@ -167,10 +168,10 @@
     if (spec != null && spec.zone() != null && !spec.zone().equals(name)) {
       return false;
     }
-    if (record.caps().isEmpty()) {
+    if (record.zoneLimits().isEmpty()) {
       return spec == null || !spec.spread();
     }
-    return inZone(name) < record.caps().getOrDefault(name, 0);
+    return inZone(name) < record.zoneLimits().getOrDefault(name, 0);
   }
 
   /** A write of the range's record is under way; no other may begin. */
@@ -205,7 +206,7 @@
     return inherited;
   }
 
-  public Records.RangeKey key() {
+  public StateKey.RangeKey key() {
     return key;
   }
 
@@ -217,7 +218,7 @@
     return placed;
   }
 
-  public Records.Range record() {
+  public RangeRecord record() {
     return record;
   }
 
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -11,8 +11,13 @@
 import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.protocol.TaskId;
 import org.fieldtrestle.protocol.WorkerProtocol;
-import org.fieldtrestle.state.Records;
-import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.ActiveJob;
+import org.fieldtrestle.state.RangeRecord;
+import org.fieldtrestle.state.RecordCodec;
+import org.fieldtrestle.state.StateChanges;
+import org.fieldtrestle.state.StateKey;
+import org.fieldtrestle.state.StateKeys;
+import org.fieldtrestle.state.Versioned;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -31,7 +36,7 @@
   private final FailureTracker failures;
   private final ControllerContext context;
   private final CommandPolicy policy;
-  private final TreeMap<Records.RangeKey, TaskRange> ranges = new TreeMap<>();
+  private final TreeMap<StateKey.RangeKey, TaskRange> ranges = new TreeMap<>();
   private final Map<String, List<TaskRange>> byJob = new HashMap<>();
 
   public TaskRanges(
@@ -82,8 +87,8 @@
   // ---- records
 
   /** Follows the record of a range; true where it is or was ours. */
-  public boolean sync(Records.RangeKey key) {
-    StateCache.Versioned<Records.Range> kept = context.stateCache().range(key);
+  public boolean sync(StateKey.RangeKey key) {
+    Versioned<RangeRecord> kept = context.stateCache().range(key);
     TaskRange range = ranges.get(key);
     // One given to a later epoch of this shard is not ours, though we may not know yet that we
     // are over: both would start its tasks.
@@ -94,11 +99,11 @@
       return range != null;
     }
     if (range == null) {
-      StateCache.ActiveJob job = context.stateCache().job(key.job());
+      ActiveJob job = context.stateCache().job(key.job());
       long age =
           job == null
               ? 0
-              : Math.max(0, context.reactor().wall() - job.job().record().acceptedWall());
+              : Math.max(0, context.reactor().wall() - job.job().record().acceptedWallMs());
       range =
           new TaskRange(
               key,
@@ -132,7 +137,7 @@
   public boolean syncJob(String job) {
     boolean ours = false;
     for (int index : List.copyOf(context.stateCache().rangesOf(job).keySet())) {
-      ours |= sync(new Records.RangeKey(job, index));
+      ours |= sync(new StateKey.RangeKey(job, index));
     }
     for (TaskRange range : List.copyOf(ofJob(job))) {
       ours |= sync(range.key);
@@ -158,7 +163,7 @@
   }
 
   void refreshJob(TaskRange range) {
-    StateCache.ActiveJob job = context.stateCache().job(range.key.job());
+    ActiveJob job = context.stateCache().job(range.key.job());
     if (job != null) {
       range.spec = job.job().record().spec();
       range.zone = job.job().record().zone();
@@ -234,8 +239,8 @@
     }
     range.writing = true;
     term.write(
-        List.of(new KeyValueProtocol.Condition(Records.range(range.key), range.version)),
-        List.of(new KeyValueProtocol.Delete(Records.range(range.key))),
+        List.of(new KeyValueProtocol.Condition(StateKeys.range(range.key), range.version)),
+        List.of(new KeyValueProtocol.Delete(StateKeys.range(range.key))),
         committed -> {
           range.writing = false;
         });
@@ -309,9 +314,9 @@
   /** That a range is still as we know it; one without a record of its own is as its job's is. */
   List<KeyValueProtocol.Condition> unchanged(TaskRange range) {
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    conditions.add(new KeyValueProtocol.Condition(Records.range(range.key), range.version));
+    conditions.add(new KeyValueProtocol.Condition(StateKeys.range(range.key), range.version));
     if (range.version == 0) {
-      String job = Records.job(range.key.job());
+      String job = StateKeys.job(range.key.job());
       conditions.add(new KeyValueProtocol.Condition(job, context.stateCache().version(job)));
     }
     return conditions;
@@ -327,7 +332,7 @@
     }
     term.write(
         unchanged(range),
-        List.of(new KeyValueProtocol.Put(Records.range(range.key), Records.write(range.record), 0)),
+        List.of(StateChanges.put(StateKeys.range(range.key), range.record)),
         committed -> {
           if (!committed) {
             settle(range, held);
@@ -366,7 +371,7 @@
     context.reactor().schedule(context.stateCache().watchIntervalMs() / 3, () -> writeDone(range));
   }
 
-  private static Records.Range withFinished(TaskRange range) {
+  private static RangeRecord withFinished(TaskRange range) {
     BitSet done = (BitSet) range.record.done().clone();
     done.or(range.finished);
     return range.record.withDone(done);
@@ -377,11 +382,11 @@
       range.writing = false;
       return;
     }
-    Records.Range next = withFinished(range);
+    RangeRecord next = withFinished(range);
     List<KeyValueProtocol.Condition> conditions = unchanged(range);
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     if (!JobCompletion.add(context, range.key, next, conditions, changes)) {
-      changes.add(new KeyValueProtocol.Put(Records.range(range.key), Records.write(next), 0));
+      changes.add(StateChanges.put(StateKeys.range(range.key), next));
     }
     range.writeAt = -1;
     term.write(
@@ -406,14 +411,14 @@
       if (range.writeAt < 0 || range.writing || range.writeAt > now || range.ended) {
         continue;
       }
-      Records.Range next = withFinished(range);
-      JsonNode value = Records.write(next);
+      RangeRecord next = withFinished(range);
+      JsonNode value = RecordCodec.encode(next);
       bytes += value.toString().length() + 200;
       if (batch.size() >= context.settings().state().txnOps() / 2 || bytes > MOST_BYTES) {
         break;
       }
       conditions.addAll(unchanged(range));
-      changes.add(new KeyValueProtocol.Put(Records.range(range.key), value, 0));
+      changes.add(new KeyValueProtocol.Put(StateKeys.range(range.key), value, 0));
       range.writing = true;
       range.writeAt = -1;
       batch.add(range);
--- a/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
@@ -13,7 +13,7 @@
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.TaskId;
 import org.fieldtrestle.protocol.WorkerProtocol;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.MachineRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -139,7 +139,7 @@
    * @param inherited everything that is known was there before this epoch began
    */
   public void sync(String id, boolean inherited) {
-    Records.Machine record = context.stateCache().machines().get(id);
+    MachineRecord record = context.stateCache().machines().get(id);
     Worker worker = workers.get(id);
     if (record == null || !record.shard().equals(term.shard())) {
       if (worker != null) {
@@ -160,23 +160,23 @@
               term.firstToken(),
               context.now(),
               usage);
-      worker.rentedAgo(Math.max(0, context.reactor().wall() - record.sinceWall()));
+      worker.rentedAgo(Math.max(0, context.reactor().wall() - record.bootingSinceWallMs()));
       if (inherited) {
         worker.leaseRenewedAt = context.now() + term.formerLeaderGraceMs();
       }
       workers.put(id, worker);
       // One that came up in this epoch cannot have been given anything before it.
-      if (inherited && record.up()) {
+      if (inherited && record.isUp()) {
         unresolved.add(worker);
       } else {
         worker.reconciled = true;
       }
     }
-    if (!worker.up && record.up()) {
+    if (!worker.up && record.isUp()) {
       worker.idleSince = context.now();
       events.requestPlacementPass();
     }
-    worker.up = record.up();
+    worker.up = record.isUp();
   }
 
   public boolean mayStart(Worker worker) {
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -9,8 +9,10 @@
 import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.simulation.SimulatedNetwork;
 import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.RecordCodec;
+import org.fieldtrestle.state.ShardRecord;
 import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.StateKeys;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 import org.junit.jupiter.api.Test;
@@ -65,13 +67,13 @@
     network.runFor(500);
     membership.start(new Begun());
     network.runFor(LATE_MS / 2);
-    network.writeState(Records.shard(LABEL), Records.write(new Records.Shard("trestle-1")));
+    network.writeState(StateKeys.shard(LABEL), RecordCodec.encode(new ShardRecord("trestle-1")));
     network.runFor(LATE_MS / 4);
-    long taken = stateCache.version(Records.shard(LABEL));
+    long taken = stateCache.version(StateKeys.shard(LABEL));
     network.runFor(LATE_MS);
     assertTrue(begun.stream().noneMatch(epoch -> epoch < taken), begun + " before " + taken);
     network.runFor(settings.stateLeaseMs());
     assertEquals(
-        stateCache.version(Records.shard(LABEL)), begun.get(begun.size() - 1), "taken back");
+        stateCache.version(StateKeys.shard(LABEL)), begun.get(begun.size() - 1), "taken back");
   }
 }
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.StateKeys;
 import org.fieldtrestle.worker.TaskAttempt;
 import org.junit.jupiter.api.Test;
 
@@ -72,7 +72,7 @@
   void aStartThatWasOrderedIsNotRepeatedWhileTheJobsRecordCannotBeRead() {
     fixture.showToken();
     fixture.report();
-    fixture.commit(Records.job(ShardLeaderFixture.JOB), Json.object());
+    fixture.commit(StateKeys.job(ShardLeaderFixture.JOB), Json.object());
     assertEquals(0, ShardLeaderFixture.orders(fixture.report(), "start"));
     assertEquals(
         0, ShardLeaderFixture.orders(fixture.report(), "stop"), "it may still be read again");
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -21,9 +21,17 @@
 import org.fieldtrestle.protocol.WorkerProtocol;
 import org.fieldtrestle.routing.ShardLoads;
 import org.fieldtrestle.simulation.SimulatedNetwork;
+import org.fieldtrestle.state.InitialRange;
+import org.fieldtrestle.state.JobRecord;
 import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.MachineRecord;
+import org.fieldtrestle.state.RangeRecord;
+import org.fieldtrestle.state.RecordCodec;
+import org.fieldtrestle.state.ShardRecord;
 import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.StateChanges;
+import org.fieldtrestle.state.StateKey;
+import org.fieldtrestle.state.StateKeys;
 import org.fieldtrestle.transport.EventLoopMeter;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
@@ -39,7 +47,7 @@
 public final class ShardLeaderFixture {
   public static final String JOB = "job-000001";
   static final int TASKS = 2;
-  public static final Records.RangeKey RANGE = new Records.RangeKey(JOB, 0);
+  public static final StateKey.RangeKey RANGE = new StateKey.RangeKey(JOB, 0);
   private static final String LABEL = "trestle-0";
   private static final String MACHINE = "host-000001";
   private static final String WORKER_ADDRESS = "10.1.0.1:9000";
@@ -88,11 +96,11 @@
     network.runFor(STEP_MS);
     context.membership().start(new Begun());
     network.runFor(STEP_MS);
-    write(Records.job(JOB), Records.write(job()));
+    write(StateKeys.job(JOB), RecordCodec.encode(job()));
     write(
-        Records.inventory(new Records.InventoryKey(LABEL, 0)),
-        Records.writeInventory(
-            Map.of(MACHINE, new Records.Machine(LABEL, 0, "big", "a", true, 0, epoch))));
+        StateKeys.inventory(new StateKey.InventoryKey(LABEL, 0)),
+        RecordCodec.encodeInventory(
+            Map.of(MACHINE, new MachineRecord(LABEL, 0, "big", "a", true, 0, epoch))));
     shard.tell(new ShardLeader.Tick());
     network.runFor(STEP_MS);
   }
@@ -116,7 +124,7 @@
             : new Http.Response(503, Http.Response.EMPTY));
   }
 
-  private Records.Job job() {
+  private JobRecord job() {
     JobSpec spec =
         new JobSpec(
             JOB,
@@ -139,11 +147,11 @@
             0,
             0,
             -1);
-    return new Records.Job(
+    return new JobRecord(
         spec,
         context.reactor().wall(),
         null,
-        List.of(new Records.Part(LABEL, epoch, 0, TASKS, Map.of())));
+        List.of(new InitialRange(LABEL, epoch, 0, TASKS, Map.of())));
   }
 
   /** Writes a key at the state service and lets it be followed. */
@@ -162,25 +170,25 @@
 
   /** As the answer to a transaction of this controller's own that cancels the job. */
   public void commitCancellation() {
-    Records.Range range = context.stateCache().range(RANGE).record();
+    RangeRecord range = context.stateCache().range(RANGE).record();
     context
         .stateCache()
-        .committed(
+        .applyCommit(
             List.of(
-                new KeyValueProtocol.Delete(Records.job(JOB)),
-                new KeyValueProtocol.Put(Records.range(RANGE), Records.write(range), 0)),
+                new KeyValueProtocol.Delete(StateKeys.job(JOB)),
+                StateChanges.put(StateKeys.range(RANGE), range)),
             LATER_REVISION);
   }
 
   /** As the answer to a transaction by which a later epoch of the shard begins. */
   public void commitLaterEpoch() {
-    commit(Records.shard(LABEL), Records.write(new Records.Shard("trestle-1")));
+    commit(StateKeys.shard(LABEL), RecordCodec.encode(new ShardRecord("trestle-1")));
   }
 
   public void commit(String key, JsonNode value) {
     context
         .stateCache()
-        .committed(List.of(new KeyValueProtocol.Put(key, value, 0)), LATER_REVISION);
+        .applyCommit(List.of(new KeyValueProtocol.Put(key, value, 0)), LATER_REVISION);
   }
 
   /** The machine is known to the shard and has shown its token, and nothing is placed on it yet. */
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -1,6 +1,7 @@
 package org.fieldtrestle.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -10,9 +11,14 @@
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.state.CommitResult;
 import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.ListResult;
+import org.fieldtrestle.state.MemberRecord;
 import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.state.StateChanges;
+import org.fieldtrestle.state.StateKeys;
+import org.fieldtrestle.state.Transaction;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 import org.junit.jupiter.api.Test;
@@ -54,7 +60,7 @@
       changes.add(new KeyValueProtocol.Delete("ft/live/range/job-1/" + i));
     }
     for (int i = 0; i < 200; i++) {
-      store.commit(new KeyValueClient.Transaction(List.of(), changes), result -> {});
+      store.commit(new Transaction(List.of(), changes), result -> {});
     }
   }
 
@@ -62,10 +68,10 @@
   void aComparisonIsAnsweredWhileWritesWait() {
     fillWithWrites();
     time.runUntil(1000);
-    List<KeyValueClient.Result> results = new ArrayList<>();
+    List<CommitResult> results = new ArrayList<>();
     store.compare(List.of(new KeyValueProtocol.Condition("ft/live/barrier", 0)), results::add);
     time.runUntil(1100);
-    assertEquals(List.of(new KeyValueClient.Committed(1)), results);
+    assertEquals(List.of(new CommitResult.Committed(1)), results);
   }
 
   @Test
@@ -74,28 +80,28 @@
     fillWithWrites();
     time.runUntil(1000);
     assertTrue(store.isCongested(), "the queue of writes is full");
-    List<KeyValueProtocol.Listing> pages = new ArrayList<>();
+    List<ListResult> pages = new ArrayList<>();
     assertTrue(
-        store.enqueueRead(() -> store.list(Records.FINAL, "", 1, pages::add)), "not refused");
+        store.enqueueRead(() -> store.list(StateKeys.FINISHED_PREFIX, "", 1, pages::add)),
+        "not refused");
     time.runUntil(1500);
     assertEquals(1, pages.size());
+    assertInstanceOf(ListResult.Listed.class, pages.get(0));
   }
 
   @Test
   void readsThatNeverEndLeaveWritesTheirTurns() {
     for (int i = 0; i < 1000; i++) {
       time.after(
-          i * 10L, () -> store.enqueueRead(() -> store.list(Records.FINAL, "", 1, page -> {})));
+          i * 10L,
+          () -> store.enqueueRead(() -> store.list(StateKeys.FINISHED_PREFIX, "", 1, page -> {})));
     }
     int[] committed = {0};
     for (int i = 0; i < 40; i++) {
       List<KeyValueProtocol.Change> one =
           List.of(new KeyValueProtocol.Delete("ft/live/stray/" + i));
       time.after(
-          i * 250L,
-          () ->
-              store.commit(
-                  new KeyValueClient.Transaction(List.of(), one), result -> committed[0]++));
+          i * 250L, () -> store.commit(new Transaction(List.of(), one), result -> committed[0]++));
     }
     time.runUntil(10_500);
     assertEquals(40, committed[0]);
@@ -108,8 +114,7 @@
     boolean[] done = {false};
     List<KeyValueProtocol.Change> change =
         List.of(new KeyValueProtocol.Delete("ft/live/member/trestle-0"));
-    store.commitWithPriority(
-        new KeyValueClient.Transaction(List.of(), change), result -> done[0] = true);
+    store.commitWithPriority(new Transaction(List.of(), change), result -> done[0] = true);
     time.runUntil(1000 + 1000 * settings.state().txnOps() / 9);
     assertTrue(done[0], "once the write before it has been paid for");
   }
@@ -198,7 +203,7 @@
         };
     view.start();
     time.runUntil(20_000);
-    assertTrue(view.ready());
+    assertTrue(view.isReady());
     assertEquals(10, view.appliedRevision(), "the watch begins where the first page was read");
     long firstPages = sent.stream().filter(path -> !path.contains("from=")).count();
     assertEquals(1, firstPages, "pages that were read are kept: " + sent);
@@ -213,7 +218,7 @@
   void theStateIsFreshOnlyOnceAllThatProvesItWasTakenIn() {
     StateCache view = appliedRevision();
     List<Long> freshWhenTold = new ArrayList<>();
-    view.listen(key -> freshWhenTold.add(view.freshAsOf()));
+    view.addKeyListener(key -> freshWhenTold.add(view.freshAsOf()));
     long before = view.freshAsOf();
     String member = "{\"write\":\"ft/live/member/a\",\"v\":{\"f\":1,\"boot\":\"b\"},\"entry\":11}";
     service = path -> path.contains("from=10&") ? answer(200, watched(11, member)) : null;
@@ -242,8 +247,7 @@
     service = path -> path.contains("from=10&") ? answer(200, watched(12, log)) : null;
     time.runUntil(time.now() + 20_000);
     assertEquals(12, view.appliedRevision());
-    view.committed(
-        List.of(new KeyValueProtocol.Put(member, Records.write(new Records.Member("b")), 0)), 11);
+    view.applyCommit(List.of(StateChanges.put(member, new MemberRecord("b"), 0)), 11);
     assertEquals(0, view.version(member));
     assertTrue(view.members().isEmpty());
   }
--- a/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
+++ b/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
@@ -1,6 +1,5 @@
 package org.fieldtrestle.state;
 
-import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -108,50 +107,49 @@
   }
 
   /** Checks the key in both directions and the written value byte for byte. */
-  private void assertStored(String name, Records.Key key, String builtKey, JsonNode written) {
+  private void assertStored(String name, StateKey key, String builtKey, JsonNode written) {
     assertEquals(key(name), builtKey);
-    assertEquals(key, Records.key(builtKey));
+    assertEquals(key, StateKeys.parse(builtKey));
     assertEquals(json(name), new String(Json.bytes(written), StandardCharsets.UTF_8));
   }
 
-  private void assertJob(String name, Records.Job job) throws Exception {
-    assertEquals(job, Records.readJob(value(name)));
+  private void assertJob(String name, JobRecord job) throws Exception {
+    assertEquals(job, RecordCodec.decodeJob(value(name)));
     String id = job.spec().id();
-    assertStored(name, new Records.JobKey(id), Records.job(id), Records.write(job));
+    assertStored(name, new StateKey.JobKey(id), StateKeys.job(id), RecordCodec.encode(job));
   }
 
   @Test
   void jobsOfThePresentFormNameTheirRanges() throws Exception {
     assertJob(
         "job-form-2-array",
-        new Records.Job(
+        new JobRecord(
             ARRAY_SPEC,
             1_790_000_000_000L,
             "a",
             List.of(
-                new Records.Part("trestle-0", 9, 0, 10, new TreeMap<>(Map.of("a", 5, "b", 4))),
-                new Records.Part("trestle-1", 11, 10, 16, Map.of()))));
+                new InitialRange("trestle-0", 9, 0, 10, new TreeMap<>(Map.of("a", 5, "b", 4))),
+                new InitialRange("trestle-1", 11, 10, 16, Map.of()))));
     assertJob(
         "job-form-2-gang",
-        new Records.Job(
-            GANG_SPEC, 0, null, List.of(new Records.Part("trestle-0", 3, 0, 4, Map.of()))));
+        new JobRecord(
+            GANG_SPEC, 0, null, List.of(new InitialRange("trestle-0", 3, 0, 4, Map.of()))));
     assertJob(
         "job-form-2-service",
-        new Records.Job(
-            SERVICE_SPEC, 5, null, List.of(new Records.Part("trestle-2", 3, 0, 2, Map.of()))));
+        new JobRecord(
+            SERVICE_SPEC, 5, null, List.of(new InitialRange("trestle-2", 3, 0, 2, Map.of()))));
   }
 
   @Test
   void aJobOfTheFormerFormNamesNoRanges() throws Exception {
     assertEquals(
-        new Records.Job(ARRAY_SPEC, 1_790_000_000_000L, "a", List.of()),
-        Records.readJob(value("job-form-1")));
+        new JobRecord(ARRAY_SPEC, 1_790_000_000_000L, "a", List.of()),
+        RecordCodec.decodeJob(value("job-form-1")));
   }
 
-  private void assertRange(String name, Records.RangeKey key, Records.Range range)
-      throws Exception {
-    assertEquals(range, Records.readRange(value(name)));
-    assertStored(name, key, Records.range(key), Records.write(range));
+  private void assertRange(String name, StateKey.RangeKey key, RangeRecord range) throws Exception {
+    assertEquals(range, RecordCodec.decodeRange(value(name)));
+    assertStored(name, key, StateKeys.range(key), RecordCodec.encode(range));
   }
 
   @Test
@@ -161,16 +159,16 @@
     done.set(4);
     assertRange(
         "range",
-        new Records.RangeKey("job-000412", 1),
-        new Records.Range("trestle-1", 12, 10, 16, done, Map.of(), "vision", 8, 1));
+        new StateKey.RangeKey("job-000412", 1),
+        new RangeRecord("trestle-1", 12, 10, 16, done, Map.of(), "vision", 8, 1));
     BitSet everyOther = new BitSet();
     for (int task = 0; task < 400; task += 2) {
       everyOther.set(task);
     }
     assertRange(
         "range-with-caps-and-bitmap",
-        new Records.RangeKey("job-000999", 0),
-        new Records.Range(
+        new StateKey.RangeKey("job-000999", 0),
+        new RangeRecord(
             "trestle-0",
             77,
             0,
@@ -183,74 +181,74 @@
   }
 
   private void assertInventory(
-      String name, Records.InventoryKey key, Map<String, Records.Machine> machines)
+      String name, StateKey.InventoryKey key, Map<String, MachineRecord> machines)
       throws Exception {
-    assertEquals(machines, Records.readInventory(key, value(name)));
-    assertStored(name, key, Records.inventory(key), Records.writeInventory(machines));
+    assertEquals(machines, RecordCodec.decodeInventory(key, value(name)));
+    assertStored(name, key, StateKeys.inventory(key), RecordCodec.encodeInventory(machines));
   }
 
   @Test
   void machineInventoriesGroupEqualMachines() throws Exception {
-    Map<String, Records.Machine> machines = new TreeMap<>();
-    machines.put("host-000001", new Records.Machine("trestle-1", 2, "g8", "a", true, 0, 411));
-    machines.put("host-000002", new Records.Machine("trestle-1", 2, "g8", "a", true, 0, 411));
+    Map<String, MachineRecord> machines = new TreeMap<>();
+    machines.put("host-000001", new MachineRecord("trestle-1", 2, "g8", "a", true, 0, 411));
+    machines.put("host-000002", new MachineRecord("trestle-1", 2, "g8", "a", true, 0, 411));
     machines.put(
-        "host-000003",
-        new Records.Machine("trestle-1", 2, "c16", "b", false, 1_790_000_000_500L, 0));
-    assertInventory("inventory", new Records.InventoryKey("trestle-1", 2), machines);
+        "host-000003", new MachineRecord("trestle-1", 2, "c16", "b", false, 1_790_000_000_500L, 0));
+    assertInventory("inventory", new StateKey.InventoryKey("trestle-1", 2), machines);
     assertEquals(
         411,
-        Records.readInventory(new Records.InventoryKey("trestle-1", 2), value("inventory"))
+        RecordCodec.decodeInventory(new StateKey.InventoryKey("trestle-1", 2), value("inventory"))
             .get("host-000002")
-            .upIn());
-    assertInventory("inventory-empty", new Records.InventoryKey("trestle-1", 3), Map.of());
+            .upSinceEpoch());
+    assertInventory("inventory-empty", new StateKey.InventoryKey("trestle-1", 3), Map.of());
   }
 
   @Test
   void orphansShardsAndMembersAreOneFieldEach() throws Exception {
     assertStored(
         "orphan",
-        new Records.OrphanKey("host-000231"),
-        Records.orphan("host-000231"),
-        Records.writeOrphan("trestle-0"));
-    Records.Shard shard = new Records.Shard("trestle-2");
-    assertEquals(shard, Records.readShard(value("shard")));
+        new StateKey.OrphanKey("host-000231"),
+        StateKeys.orphan("host-000231"),
+        RecordCodec.encodeOrphan("trestle-0"));
+    ShardRecord shard = new ShardRecord("trestle-2");
+    assertEquals(shard, RecordCodec.decodeShard(value("shard")));
     assertStored(
         "shard",
-        new Records.ShardKey("trestle-0"),
-        Records.shard("trestle-0"),
-        Records.write(shard));
-    Records.Member member = new Records.Member("boot-17");
-    assertEquals(member, Records.readMember(value("member")));
+        new StateKey.ShardKey("trestle-0"),
+        StateKeys.shard("trestle-0"),
+        RecordCodec.encode(shard));
+    MemberRecord member = new MemberRecord("boot-17");
+    assertEquals(member, RecordCodec.decodeMember(value("member")));
     assertStored(
         "member",
-        new Records.MemberKey("trestle-2"),
-        Records.member("trestle-2"),
-        Records.write(member));
+        new StateKey.MemberKey("trestle-2"),
+        StateKeys.member("trestle-2"),
+        RecordCodec.encode(member));
   }
 
   @Test
   void quotasKeepTheSharesOfEachShard() throws Exception {
-    Records.Quota quota = Records.readQuota(value("quota"));
+    QuotaRecord quota = RecordCodec.decodeQuota(value("quota"));
     assertEquals(List.of("trestle-0", "trestle-1"), List.copyOf(quota.shares().keySet()));
-    assertArrayEquals(new double[] {12.5, 0}, quota.shares().get("trestle-0"));
-    assertArrayEquals(new double[] {100, 8}, quota.shares().get("trestle-1"));
+    assertEquals(new QuotaShare(12.5, 0), quota.shares().get("trestle-0"));
+    assertEquals(new QuotaShare(100, 8), quota.shares().get("trestle-1"));
     String team = "night shift/50%";
-    assertStored("quota", new Records.QuotaKey(team), Records.quota(team), Records.write(quota));
+    assertStored(
+        "quota", new StateKey.QuotaKey(team), StateKeys.quota(team), RecordCodec.encode(quota));
   }
 
-  private void assertFinished(String name, String id, Records.FinishedJob job) throws Exception {
-    assertEquals(job, Records.readFinal(value(name)));
+  private void assertFinished(String name, String id, FinishedJobRecord job) throws Exception {
+    assertEquals(job, RecordCodec.decodeFinishedJob(value(name)));
     assertStored(
         name,
-        new Records.ForeignKey(Records.finished(id)),
-        Records.finished(id),
-        Records.write(job));
+        new StateKey.ForeignKey(StateKeys.finished(id)),
+        StateKeys.finished(id),
+        RecordCodec.encode(job));
   }
 
   @Test
   void finishedJobsTellHowTheyEnded() throws Exception {
-    assertFinished("finished-job", "job-000398", new Records.FinishedJob(true, 16, 16));
-    assertFinished("finished-job-cancelled", "job-000399", new Records.FinishedJob(false, 16, 3));
+    assertFinished("finished-job", "job-000398", new FinishedJobRecord(true, 16, 16));
+    assertFinished("finished-job-cancelled", "job-000399", new FinishedJobRecord(false, 16, 3));
   }
 }
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -9,7 +9,10 @@
 import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.shard.ShardLeader;
 import org.fieldtrestle.shard.ShardLeaderFixture;
-import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.RangeRecord;
+import org.fieldtrestle.state.RecordCodec;
+import org.fieldtrestle.state.StateKey;
+import org.fieldtrestle.state.StateKeys;
 import org.junit.jupiter.api.Test;
 
 /** Each reason for which a task may not be started or has to be stopped, by itself. */
@@ -43,9 +46,9 @@
 
   @Test
   void aJobThatWasNeverSeenHasEndedOnlyOnceTheRangesWritingIsFollowed() {
-    Records.RangeKey key = new Records.RangeKey("job-000002", 0);
-    Records.Range record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
-    fixture.commit(Records.range(key), Records.write(record));
+    StateKey.RangeKey key = new StateKey.RangeKey("job-000002", 0);
+    RangeRecord record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
+    fixture.commit(StateKeys.range(key), RecordCodec.encode(record));
     TaskRange unseen = new TaskRange(key, record, ShardLeaderFixture.LATER_REVISION, false, 0);
     assertEquals(StartRefusal.JOB_UNKNOWN, policy.startRefusal(unseen));
     assertFalse(policy.mustStop(unseen));
@@ -84,25 +87,26 @@
 
   @Test
   void anUnreadableJobIsNeitherStartedNorStopped() {
-    fixture.commit(Records.job(ShardLeaderFixture.JOB), Json.object().put("f", 99));
+    fixture.commit(StateKeys.job(ShardLeaderFixture.JOB), Json.object().put("f", 99));
     assertEquals(StartRefusal.JOB_UNKNOWN, policy.startRefusal(range));
     assertFalse(policy.mustStop(range));
   }
 
   @Test
   void aRangeThatWasHandedOverIsNotOurs() {
-    Records.Range record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
+    RangeRecord record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(
-        Records.range(ShardLeaderFixture.RANGE), Records.write(record.ownedBy("trestle-1", 1)));
+        StateKeys.range(ShardLeaderFixture.RANGE),
+        RecordCodec.encode(record.ownedBy("trestle-1", 1)));
     assertEquals(StartRefusal.RANGE_NOT_OURS, policy.startRefusal(range));
   }
 
   @Test
   void aRangeGivenToALaterEpochIsNotOurs() {
-    Records.Range record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
+    RangeRecord record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(
-        Records.range(ShardLeaderFixture.RANGE),
-        Records.write(record.ownedBy("trestle-0", ShardLeaderFixture.LATER_REVISION)));
+        StateKeys.range(ShardLeaderFixture.RANGE),
+        RecordCodec.encode(record.ownedBy("trestle-0", ShardLeaderFixture.LATER_REVISION)));
     assertEquals(StartRefusal.RANGE_NOT_OURS, policy.startRefusal(range));
   }
 
