--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -49,7 +49,7 @@
         new PeerTransport(
             group,
             sockets,
-            PeerProtocol.MAX_FRAME,
+            PeerProtocol.MAX_FRAME_BYTES,
             INBOUND_PER_PEER * (settings.peers().size() + 1),
             idleMs,
             Math.round(settings.workers().heartbeatIntervalS() * 1000));
@@ -60,7 +60,7 @@
             group,
             controller,
             sockets,
-            WorkerProtocol.REPORT::equals,
+            WorkerProtocol.HEARTBEAT_PATH::equals,
             idleMs,
             settings.workerLeaseMs() / 2,
             meter);
--- a/src/main/java/org/fieldtrestle/WarmUpServices.java
+++ b/src/main/java/org/fieldtrestle/WarmUpServices.java
@@ -71,20 +71,20 @@
   public void handle(Http.Request request, Consumer<Http.Response> reply) {
     String path = request.path();
     JsonNode body = Json.parseOrEmpty(request.body());
-    if (path.equals(KeyValueProtocol.WATCH)) {
+    if (path.equals(KeyValueProtocol.WATCH_PATH)) {
       reactor.schedule(STEP_MS, () -> reply.accept(ok(watched())));
-    } else if (path.equals(KeyValueProtocol.KEYS)) {
+    } else if (path.equals(KeyValueProtocol.KEYS_PATH)) {
       reply.accept(ok(listed(request.query())));
-    } else if (path.equals(KeyValueProtocol.COMMIT)) {
+    } else if (path.equals(KeyValueProtocol.COMMIT_PATH)) {
       body.path("apply").forEach(this::apply);
       reply.accept(ok(Json.object().put("ledger", ++revision)));
-    } else if (path.startsWith(KeyValueProtocol.LEASES)) {
+    } else if (path.startsWith(KeyValueProtocol.LEASES_PATH)) {
       reply.accept(ok(Json.object().put("permit", 1)));
-    } else if (path.equals(CloudProtocol.TYPES)) {
+    } else if (path.equals(CloudProtocol.TYPES_PATH)) {
       reply.accept(ok(types()));
-    } else if (path.equals(CloudProtocol.MACHINES)) {
+    } else if (path.equals(CloudProtocol.MACHINES_PATH)) {
       reply.accept(request.method().equals("POST") ? rent() : ok(machines()));
-    } else if (path.equals(WorkerProtocol.COMMANDS)) {
+    } else if (path.equals(WorkerProtocol.COMMANDS_PATH)) {
       carryOut(body);
       reply.accept(ok(reportBody()));
     } else {
@@ -172,7 +172,7 @@
   private void report() {
     if (rented) {
       tasks.values().forEach(task -> task.stage = next(task.stage));
-      call("POST", WorkerProtocol.REPORT, reportBody(), answer -> carryOut(answer));
+      call("POST", WorkerProtocol.HEARTBEAT_PATH, reportBody(), answer -> carryOut(answer));
     }
     reactor.schedule(STEP_MS, this::report);
   }
@@ -240,11 +240,11 @@
             .put("tallyS", 0.0)
             .put("stackS", 0.0)
             .put("dueS", 100.0);
-    call("POST", UserProtocol.JOBS, job, answer -> ask(id));
+    call("POST", UserProtocol.JOBS_PATH, job, answer -> ask(id));
   }
 
   private void ask(String id) {
-    call("GET", UserProtocol.JOBS + "/" + id, Json.object(), answer -> answered(id, answer));
+    call("GET", UserProtocol.JOBS_PATH + "/" + id, Json.object(), answer -> answered(id, answer));
   }
 
   private void answered(String id, JsonNode answer) {
@@ -255,7 +255,7 @@
       cancelling = true;
       call(
           "POST",
-          UserProtocol.JOBS + "/" + CANCELLED_JOB + "/" + UserProtocol.CANCEL,
+          UserProtocol.JOBS_PATH + "/" + CANCELLED_JOB + "/" + UserProtocol.CANCEL_SEGMENT,
           Json.object(),
           cancelled -> lookAround());
     } else if (!stage.isEmpty()) {
@@ -268,14 +268,14 @@
   private void lookAround() {
     call(
         "GET",
-        UserProtocol.JOBS + "/" + UNKNOWN_JOB,
+        UserProtocol.JOBS_PATH + "/" + UNKNOWN_JOB,
         Json.object(),
         unknown ->
             call(
                 "GET",
-                UserProtocol.READY,
+                UserProtocol.READY_PATH,
                 Json.object(),
-                ready -> call("GET", UserProtocol.STATS, Json.object(), stats -> done.run())));
+                ready -> call("GET", UserProtocol.STATS_PATH, Json.object(), stats -> done.run())));
   }
 
   private void call(String method, String path, JsonNode body, Consumer<JsonNode> answered) {
--- a/src/main/java/org/fieldtrestle/api/UserApi.java
+++ b/src/main/java/org/fieldtrestle/api/UserApi.java
@@ -11,12 +11,13 @@
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.metrics.ControllerMetrics;
 import org.fieldtrestle.metrics.JobQueryMetrics.Unanswered;
-import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.protocol.JobStage;
 import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.protocol.MachineType;
+import org.fieldtrestle.protocol.MalformedJsonException;
 import org.fieldtrestle.protocol.UserProtocol;
-import org.fieldtrestle.protocol.UserProtocol.Stage;
 import org.fieldtrestle.routing.JobSplitter;
 import org.fieldtrestle.routing.ShardLoads;
 import org.fieldtrestle.state.ActiveJob;
@@ -174,7 +175,7 @@
   }
 
   private static Http.Response refuse(int status, String reason) {
-    return new Http.Response(status, UserProtocol.error(reason));
+    return new Http.Response(status, UserProtocol.writeError(reason));
   }
 
   // ---- submissions
@@ -183,7 +184,7 @@
     JobSpec spec;
     try {
       spec = UserProtocol.readJob(body);
-    } catch (Json.MalformedJsonException e) {
+    } catch (MalformedJsonException e) {
       reply.accept(refuse(400, e.getMessage()));
       return;
     }
@@ -224,7 +225,7 @@
     if (team == null) {
       return "unknown team";
     }
-    int together = spec.whole() ? spec.tasks() : 1;
+    int together = spec.isCoScheduled() ? spec.tasks() : 1;
     if (team.cpusMax() > 0 && spec.cpus() * together > team.cpusMax()
         || team.gpusMax() > 0 && spec.gpus() * together > team.gpusMax()) {
       return "needs more than the team's limit";
@@ -324,7 +325,7 @@
     if (context.stateCache().job(id) == null) {
       status(id, reply, true);
     } else {
-      reply.accept(new Http.Response(201, UserProtocol.accepted(id, Stage.QUEUED)));
+      reply.accept(new Http.Response(201, UserProtocol.writeAccepted(id, JobStage.QUEUED)));
     }
   }
 
@@ -348,7 +349,7 @@
     FinishedJobRecord end = ended.remembered(id);
     if (end != null) {
       reply.accept(finalAnswer(id, end, brief));
-    } else if (!UserProtocol.validId(id)) {
+    } else if (!UserProtocol.isValidJobId(id)) {
       reply.accept(refuse(404, "no such job"));
     } else if (hopeless()) {
       reply.accept(unanswered(Unanswered.STATE_SERVICE_SILENT));
@@ -426,18 +427,21 @@
   private Http.Response liveAnswer(String id, ActiveJob job, boolean brief) {
     int runs = running.of(id);
     int done = job.doneTasks();
-    Stage stage = runs > 0 || done > 0 ? Stage.RUNNING : Stage.QUEUED;
+    JobStage stage = runs > 0 || done > 0 ? JobStage.RUNNING : JobStage.QUEUED;
     return new Http.Response(
-        200, brief ? UserProtocol.accepted(id, stage) : UserProtocol.status(id, stage, done, runs));
+        200,
+        brief
+            ? UserProtocol.writeAccepted(id, stage)
+            : UserProtocol.writeStatus(id, stage, done, runs));
   }
 
   private static Http.Response finalAnswer(String id, FinishedJobRecord end, boolean brief) {
-    Stage stage = end.done() ? Stage.DONE : Stage.CANCELLED;
+    JobStage stage = end.done() ? JobStage.DONE : JobStage.CANCELLED;
     return new Http.Response(
         200,
         brief
-            ? UserProtocol.accepted(id, stage)
-            : UserProtocol.status(id, stage, end.doneTasks(), 0));
+            ? UserProtocol.writeAccepted(id, stage)
+            : UserProtocol.writeStatus(id, stage, end.doneTasks(), 0));
   }
 
   // ---- cancellations
--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -7,6 +7,10 @@
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.protocol.CloudProtocol;
 import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.protocol.ListedMachine;
+import org.fieldtrestle.protocol.MachinePage;
+import org.fieldtrestle.protocol.MachineType;
+import org.fieldtrestle.protocol.MalformedJsonException;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 import org.slf4j.Logger;
@@ -28,7 +32,7 @@
   private final ArrayDeque<Runnable> looks = new ArrayDeque<>();
   private long nextAt;
   private boolean scheduled;
-  private List<CloudProtocol.MachineType> types = List.of();
+  private List<MachineType> types = List.of();
 
   public CloudClient(Reactor reactor, Http.Caller caller, Settings settings) {
     this.reactor = reactor;
@@ -39,7 +43,7 @@
   }
 
   /** The machine types; empty until the cloud has told. */
-  public List<CloudProtocol.MachineType> types() {
+  public List<MachineType> types() {
     return types;
   }
 
@@ -47,13 +51,13 @@
   public void start() {
     call(
         "GET",
-        CloudProtocol.TYPES,
+        CloudProtocol.TYPES_PATH,
         Http.Response.EMPTY,
         outcome -> {
           if (outcome instanceof Http.Answer answer && answer.status() == 200) {
             try {
               types = CloudProtocol.readTypes(answer.body());
-            } catch (Json.MalformedJsonException e) {
+            } catch (MalformedJsonException e) {
               LOG.warn("machine types are not as agreed: {}", e.getMessage());
             }
           }
@@ -78,8 +82,8 @@
       String request, String type, String zone, boolean spot, int count, Consumer<Rent> done) {
     call(
         "POST",
-        CloudProtocol.MACHINES,
-        CloudProtocol.rent(request, type, zone, spot, count),
+        CloudProtocol.MACHINES_PATH,
+        CloudProtocol.writeRental(request, type, zone, spot, count),
         outcome -> done.accept(rent(outcome)));
   }
 
@@ -87,8 +91,8 @@
     if (outcome instanceof Http.Answer answer) {
       if (answer.status() == 200) {
         try {
-          return new Rented(CloudProtocol.readRented(answer.body()));
-        } catch (Json.MalformedJsonException e) {
+          return new Rented(CloudProtocol.readRentedMachines(answer.body()));
+        } catch (MalformedJsonException e) {
           return new Again();
         }
       }
@@ -107,18 +111,17 @@
   public void terminate(List<String> machines, Consumer<Boolean> done) {
     call(
         "POST",
-        CloudProtocol.RETURN,
-        CloudProtocol.terminate(machines),
+        CloudProtocol.RETURN_PATH,
+        CloudProtocol.writeReturn(machines),
         outcome -> done.accept(outcome instanceof Http.Answer answer && answer.status() == 200));
   }
 
   /** Reads the whole machine list; null where that failed. */
-  public void list(Consumer<List<CloudProtocol.Listed>> done) {
+  public void list(Consumer<List<ListedMachine>> done) {
     page("", new ArrayList<>(), done);
   }
 
-  private void page(
-      String after, List<CloudProtocol.Listed> sofar, Consumer<List<CloudProtocol.Listed>> done) {
+  private void page(String after, List<ListedMachine> sofar, Consumer<List<ListedMachine>> done) {
     call(
         "GET",
         CloudProtocol.listPath(after),
@@ -126,7 +129,7 @@
         outcome -> {
           if (outcome instanceof Http.Answer answer && answer.status() == 200) {
             try {
-              CloudProtocol.Page page = CloudProtocol.readPage(answer.body());
+              MachinePage page = CloudProtocol.readPage(answer.body());
               sofar.addAll(page.machines());
               if (page.more() && !page.machines().isEmpty()) {
                 page(page.machines().get(page.machines().size() - 1).machine(), sofar, done);
@@ -134,7 +137,7 @@
                 done.accept(sofar);
               }
               return;
-            } catch (Json.MalformedJsonException e) {
+            } catch (MalformedJsonException e) {
               LOG.warn("machine list is not as agreed: {}", e.getMessage());
             }
           }
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -19,8 +19,12 @@
 import org.fieldtrestle.leadership.LeadershipTransfer;
 import org.fieldtrestle.leadership.Membership;
 import org.fieldtrestle.metrics.ControllerMetrics;
-import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.protocol.Heartbeat;
 import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.protocol.MalformedFrameException;
+import org.fieldtrestle.protocol.MalformedJsonException;
+import org.fieldtrestle.protocol.PeerFrame;
+import org.fieldtrestle.protocol.PeerMessage;
 import org.fieldtrestle.protocol.PeerProtocol;
 import org.fieldtrestle.protocol.UserProtocol;
 import org.fieldtrestle.protocol.WorkerProtocol;
@@ -206,7 +210,7 @@
     return (address, method, path, body, timeoutMs, done) -> {
       Work work = Work.WORKER_COMMAND_ANSWER;
       if (address.equals(settings.stateAddress())) {
-        work = path.startsWith(KeyValueProtocol.WATCH) ? Work.STATE_WATCH : Work.STATE_ANSWER;
+        work = path.startsWith(KeyValueProtocol.WATCH_PATH) ? Work.STATE_WATCH : Work.STATE_ANSWER;
       } else if (address.equals(settings.cloudAddress())) {
         work = Work.CLOUD_ANSWER;
       }
@@ -284,7 +288,7 @@
     ByteBuffer pulse =
         PeerProtocol.encode(
             reactor.wall(),
-            new PeerProtocol.Liveness(
+            new PeerMessage.Liveness(
                 context.settings().label(),
                 stateCache.isReady() && context.store().unavailableForMs() == 0));
     context
@@ -300,7 +304,7 @@
     if (context.mayAct()) {
       for (ShardLeader shard : shards.values()) {
         if (shard.isActive()) {
-          PeerProtocol.ShardLoad load = shard.load();
+          PeerMessage.ShardLoad load = shard.load();
           loads.heard(load);
           ByteBuffer frame = PeerProtocol.encode(reactor.wall(), load);
           context.settings().peers().forEach(p -> peers.send(p.address(), frame.duplicate()));
@@ -316,26 +320,26 @@
 
   private void read(ByteBuffer frame) {
     try {
-      PeerProtocol.Frame read = PeerProtocol.decode(frame);
+      PeerFrame read = PeerProtocol.decode(frame);
       if (read.message()
-          instanceof PeerProtocol.JobCancelled cancelled) { // final, and true at any age
+          instanceof PeerMessage.JobCancelled cancelled) { // final, and true at any age
         context.cancellations().heard(cancelled.job());
         shards.values().forEach(shard -> shard.tell(new ShardLeader.Cancelled(cancelled.job())));
         return;
       }
-      long age = Math.abs(reactor.wall() - read.sentWall());
+      long age = Math.abs(reactor.wall() - read.sentWallMs());
       if (age > context.heartbeatIntervalsMs(0.8) + 2 * context.settings().clockOffMs()) {
         return; // held by a cut: what it says was so then
       }
-      PeerProtocol.Message message = read.message();
-      if (message instanceof PeerProtocol.ShardLoad load && !shards.containsKey(load.shard())) {
+      PeerMessage message = read.message();
+      if (message instanceof PeerMessage.ShardLoad load && !shards.containsKey(load.shard())) {
         loads.heard(load);
-      } else if (message instanceof PeerProtocol.Liveness pulse) {
-        pulses.put(pulse.sender(), new Heard(reactor.now(), pulse.served()));
-      } else if (message instanceof PeerProtocol.RedirectCount sent) {
+      } else if (message instanceof PeerMessage.Liveness pulse) {
+        pulses.put(pulse.sender(), new Heard(reactor.now(), pulse.storeAvailable()));
+      } else if (message instanceof PeerMessage.RedirectCount sent) {
         leadershipTransfer.heard(sent);
       }
-    } catch (PeerProtocol.MalformedFrameException e) {
+    } catch (MalformedFrameException e) {
       LOG.warn("peer frame refused: {}", e.getMessage());
     }
   }
@@ -347,7 +351,7 @@
   private void sayCancelled(String job) {
     ByteBuffer frame =
         PeerProtocol.encode(
-            reactor.wall(), new PeerProtocol.JobCancelled(context.settings().label(), job));
+            reactor.wall(), new PeerMessage.JobCancelled(context.settings().label(), job));
     context.settings().peers().forEach(p -> peers.send(p.address(), frame.duplicate()));
   }
 
@@ -410,33 +414,35 @@
   @Override
   public void handle(Http.Request request, Consumer<Http.Response> reply) {
     Work work =
-        request.path().equals(WorkerProtocol.REPORT) ? Work.WORKER_REPORT : Work.OTHER_REQUEST;
+        request.path().equals(WorkerProtocol.HEARTBEAT_PATH)
+            ? Work.WORKER_REPORT
+            : Work.OTHER_REQUEST;
     meter.run(work, () -> dispatch(request, reply));
   }
 
   private void dispatch(Http.Request request, Consumer<Http.Response> reply) {
     String path = request.path();
-    if (path.equals(WorkerProtocol.REPORT)) {
+    if (path.equals(WorkerProtocol.HEARTBEAT_PATH)) {
       if (request.method().equals("POST")) {
         report(request.body(), reply);
       } else {
         reply.accept(new Http.Response(405, Http.Response.EMPTY));
       }
-    } else if (path.equals(UserProtocol.READY)) {
+    } else if (path.equals(UserProtocol.READY_PATH)) {
       reply.accept(
           gateway.ready()
               ? new Http.Response(200, Http.Response.EMPTY)
               : new Http.Response(503, Http.Response.EMPTY, 1));
-    } else if (path.equals(UserProtocol.STATS) && request.method().equals("GET")) {
+    } else if (path.equals(UserProtocol.STATS_PATH) && request.method().equals("GET")) {
       reply.accept(new Http.Response(200, StatsPage.render(context, shards.values())));
-    } else if (path.equals(UserProtocol.JOBS)) {
+    } else if (path.equals(UserProtocol.JOBS_PATH)) {
       if (request.method().equals("POST")) {
         gateway.tell(new UserApi.Submit(request.body(), reply));
       } else {
         reply.accept(new Http.Response(405, Http.Response.EMPTY));
       }
-    } else if (path.startsWith(UserProtocol.JOBS + "/")) {
-      job(request, path.substring(UserProtocol.JOBS.length() + 1), reply);
+    } else if (path.startsWith(UserProtocol.JOBS_PATH + "/")) {
+      job(request, path.substring(UserProtocol.JOBS_PATH.length() + 1), reply);
     } else {
       reply.accept(new Http.Response(404, Http.Response.EMPTY));
     }
@@ -446,7 +452,7 @@
     int slash = rest.indexOf('/');
     if (slash < 0 && request.method().equals("GET")) {
       gateway.tell(new UserApi.Poll(rest, reply));
-    } else if (slash >= 0 && rest.substring(slash + 1).equals(UserProtocol.CANCEL)) {
+    } else if (slash >= 0 && rest.substring(slash + 1).equals(UserProtocol.CANCEL_SEGMENT)) {
       if (request.method().equals("POST")) {
         gateway.tell(new UserApi.Cancel(rest.substring(0, slash), reply));
       } else {
@@ -460,11 +466,11 @@
   }
 
   private void report(byte[] body, Consumer<Http.Response> reply) {
-    WorkerProtocol.Heartbeat report;
+    Heartbeat report;
     try {
       report = WorkerProtocol.readHeartbeat(body);
-    } catch (Json.MalformedJsonException e) {
-      reply.accept(new Http.Response(400, UserProtocol.error(e.getMessage())));
+    } catch (MalformedJsonException e) {
+      reply.accept(new Http.Response(400, UserProtocol.writeError(e.getMessage())));
       return;
     }
     if (!stateCache.isReady()) {
@@ -489,14 +495,14 @@
     }
     reply.accept(
         new Http.Response(
-            421, WorkerProtocol.redirect(context.settings().label().equals(to) ? null : to)));
+            421, WorkerProtocol.writeRedirect(context.settings().label().equals(to) ? null : to)));
   }
 
   /**
    * A machine without a record reports: it becomes ours once it answers, as a report may be a late
    * copy of one from a machine that was returned long ago.
    */
-  private void adopt(WorkerProtocol.Heartbeat report) {
+  private void adopt(Heartbeat report) {
     ShardLeader shard = shards.get(context.settings().label());
     String id = report.machine();
     if (shard == null || !shard.isLeading() || gone.get(id) != null || !adopting.add(id)) {
@@ -507,9 +513,9 @@
         .call(
             report.address(),
             "GET",
-            WorkerProtocol.INSPECT,
+            WorkerProtocol.INSPECT_PATH,
             Http.Response.EMPTY,
-            WorkerProtocol.ANSWER_WITHIN_MS,
+            WorkerProtocol.HEARTBEAT_TIMEOUT_MS,
             outcome -> {
               if (!shard.isLeading() || !answersAs(id, outcome)) {
                 reactor.schedule(context.heartbeatIntervalsMs(1), () -> adopting.remove(id));
@@ -532,7 +538,7 @@
     if (outcome instanceof Http.Answer answer && answer.status() == 200) {
       try {
         return WorkerProtocol.readHeartbeat(answer.body()).machine().equals(machine);
-      } catch (Json.MalformedJsonException e) {
+      } catch (MalformedJsonException e) {
         return false;
       }
     }
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.fieldtrestle.config.Settings;
-import org.fieldtrestle.protocol.PeerProtocol;
+import org.fieldtrestle.protocol.PeerMessage;
 import org.fieldtrestle.transport.Reactor;
 
 /**
@@ -78,11 +78,11 @@
   }
 
   /** How many machines were lately sent on to a controller. */
-  public PeerProtocol.RedirectCount frame(String to) {
-    return new PeerProtocol.RedirectCount(settings.label(), to, sentTo(to).size());
+  public PeerMessage.RedirectCount frame(String to) {
+    return new PeerMessage.RedirectCount(settings.label(), to, sentTo(to).size());
   }
 
-  public void heard(PeerProtocol.RedirectCount frame) {
+  public void heard(PeerMessage.RedirectCount frame) {
     if (frame.to().equals(settings.label())) {
       told.put(frame.sender(), new Told(reactor.now(), frame.machines()));
     }
--- a/src/main/java/org/fieldtrestle/protocol/CloudProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/CloudProtocol.java
@@ -6,98 +6,67 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The cloud's interface. */
+/** The cloud's interface: machine types, rentals, returns and the list of rented machines. */
 public final class CloudProtocol {
-  public static final String TYPES = "/flavors";
-  public static final String MACHINES = "/machines";
-  public static final String RETURN = "/machines/return";
-  public static final int MAX_RENT = 50;
-  public static final int MAX_RETURN = 100;
-  public static final int PAGE = 500;
-  private static final double MAX_TASKS_PER_MACHINE = 10_000;
-
-  private CloudProtocol() {}
+  /** Where machine types are read. */
+  public static final String TYPES_PATH = "/flavors";
 
-  public record MachineType(
-      String name,
-      double cpus,
-      double gpus,
-      double memoryGb,
-      double cacheGb,
-      double fetchGbPerS,
-      double price,
-      double spotPrice,
-      double bootS,
-      List<String> zones) {
-    public boolean fits(JobSpec spec) {
-      return cpus >= spec.cpus() && gpus >= spec.gpus() && memoryGb >= spec.memoryGb();
-    }
+  /** Where machines are rented and listed. */
+  public static final String MACHINES_PATH = "/machines";
 
-    /** How many tasks of a job fit on an empty machine; at least 1. */
-    public int tasksPerMachine(JobSpec spec) {
-      double most = MAX_TASKS_PER_MACHINE;
-      if (spec.cpus() > 0) {
-        most = Math.min(most, cpus / spec.cpus());
-      }
-      if (spec.gpus() > 0) {
-        most = Math.min(most, gpus / spec.gpus());
-      }
-      if (spec.memoryGb() > 0) {
-        most = Math.min(most, memoryGb / spec.memoryGb());
-      }
-      return Math.max(1, (int) Math.floor(most + 1e-6));
-    }
+  /** Where machines are returned. */
+  public static final String RETURN_PATH = "/machines/return";
 
-    /** How long the image of a job takes to fetch by itself, in seconds. */
-    public double imageFetchS(JobSpec spec) {
-      return fetchGbPerS > 0 ? spec.imageGb() / fetchGbPerS : 0;
-    }
+  /** The most machines that one request rents. */
+  public static final int MAX_RENT = 50;
 
-    public boolean allowedFor(JobSpec spec) {
-      return (spec.types().isEmpty() || spec.types().contains(name))
-          && (spec.zone() == null || zones.contains(spec.zone()))
-          && fits(spec);
-    }
-  }
+  /** The most machines that one request returns. */
+  public static final int MAX_RETURN = 100;
 
-  /** A line of the machine list. */
-  public record Listed(
-      String machine,
-      String address,
-      String type,
-      String zone,
-      boolean spot,
-      boolean starting,
-      boolean failed,
-      double ageS) {}
+  /** How many machines are listed at once. */
+  public static final int PAGE_SIZE = 500;
 
-  public record Page(List<Listed> machines, boolean more) {}
+  private CloudProtocol() {}
 
-  public static List<MachineType> readTypes(byte[] body) throws Json.MalformedJsonException {
+  /**
+   * Reads the machine types, of which there is at least one.
+   *
+   * @throws MalformedJsonException if the body breaks the protocol
+   */
+  public static List<MachineType> readTypes(byte[] body) throws MalformedJsonException {
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode context : Json.parse(body).path("rigs")) {
-      List<String> zones = new ArrayList<>();
-      context.path("yards").forEach(zone -> zones.add(zone.asText()));
-      types.add(
-          new MachineType(
-              Json.text(context, "name"),
-              Json.amount(context, "cpus"),
-              context.path("gpus").asDouble(0),
-              Json.amount(context, "memoryGb"),
-              context.path("cacheGb").asDouble(0),
-              context.path("pullGbPerS").asDouble(0),
-              Json.amount(context, "hourly"),
-              context.path("lowPrice").asDouble(0),
-              Json.amount(context, "readyS"),
-              List.copyOf(zones)));
+    for (JsonNode type : Json.parse(body).path("rigs")) {
+      types.add(readType(type));
     }
     if (types.isEmpty()) {
-      throw new Json.MalformedJsonException("rigs");
+      throw new MalformedJsonException("rigs");
     }
     return List.copyOf(types);
   }
 
-  public static byte[] rent(String request, String type, String zone, boolean spot, int count) {
+  private static MachineType readType(JsonNode json) throws MalformedJsonException {
+    List<String> zones = new ArrayList<>();
+    json.path("yards").forEach(zone -> zones.add(zone.asText()));
+    return new MachineType(
+        Json.text(json, "name"),
+        Json.amount(json, "cpus"),
+        json.path("gpus").asDouble(0),
+        Json.amount(json, "memoryGb"),
+        json.path("cacheGb").asDouble(0),
+        json.path("pullGbPerS").asDouble(0),
+        Json.amount(json, "hourly"),
+        json.path("lowPrice").asDouble(0),
+        Json.amount(json, "readyS"),
+        List.copyOf(zones));
+  }
+
+  /**
+   * Writes a request for machines.
+   *
+   * @param request an id; a request that is repeated under it rents nothing more
+   */
+  public static byte[] writeRental(
+      String request, String type, String zone, boolean spot, int count) {
     return Json.bytes(
         Json.object()
             .put("hire", request)
@@ -107,43 +76,58 @@
             .put("count", count));
   }
 
-  public static List<String> readRented(byte[] body) throws Json.MalformedJsonException {
-    JsonNode list = Json.parse(body).path("benches");
-    if (!list.isArray()) {
-      throw new Json.MalformedJsonException("benches");
+  /**
+   * Reads the names of the machines that were rented.
+   *
+   * @throws MalformedJsonException if the body breaks the protocol
+   */
+  public static List<String> readRentedMachines(byte[] body) throws MalformedJsonException {
+    JsonNode benches = Json.parse(body).path("benches");
+    if (!benches.isArray()) {
+      throw new MalformedJsonException("benches");
     }
     List<String> names = new ArrayList<>();
-    list.forEach(name -> names.add(name.asText()));
+    benches.forEach(name -> names.add(name.asText()));
     return names;
   }
 
-  public static byte[] terminate(List<String> machines) {
-    ObjectNode context = Json.object();
-    ArrayNode names = context.putArray("benches");
+  /** Writes a request to return machines. */
+  public static byte[] writeReturn(List<String> machines) {
+    ObjectNode json = Json.object();
+    ArrayNode names = json.putArray("benches");
     machines.forEach(names::add);
-    return Json.bytes(context);
+    return Json.bytes(json);
   }
 
+  /** The path of the page after a machine's name, or of the first one where that is empty. */
   public static String listPath(String after) {
-    return MACHINES + "?most=" + PAGE + (after.isEmpty() ? "" : "&from=" + after);
+    return MACHINES_PATH + "?most=" + PAGE_SIZE + (after.isEmpty() ? "" : "&from=" + after);
   }
 
-  public static Page readPage(byte[] body) throws Json.MalformedJsonException {
-    JsonNode context = Json.parse(body);
-    List<Listed> all = new ArrayList<>();
-    for (JsonNode item : context.path("benches")) {
-      String state = item.path("stage").asText("");
-      all.add(
-          new Listed(
-              Json.text(item, "uid"),
-              item.path("address").asText(""),
-              Json.text(item, "rig"),
-              Json.text(item, "yard"),
-              item.path("loaners").asBoolean(false),
-              state.equals("starting"),
-              state.equals("failed"),
-              item.path("heldS").asDouble(0)));
+  /**
+   * Reads a page of the machine list.
+   *
+   * @throws MalformedJsonException if the body breaks the protocol
+   */
+  public static MachinePage readPage(byte[] body) throws MalformedJsonException {
+    JsonNode json = Json.parse(body);
+    List<ListedMachine> machines = new ArrayList<>();
+    for (JsonNode item : json.path("benches")) {
+      machines.add(readListedMachine(item));
     }
-    return new Page(all, context.path("more").asBoolean(false));
+    return new MachinePage(machines, json.path("more").asBoolean(false));
+  }
+
+  private static ListedMachine readListedMachine(JsonNode json) throws MalformedJsonException {
+    String stage = json.path("stage").asText("");
+    return new ListedMachine(
+        Json.text(json, "uid"),
+        json.path("address").asText(""),
+        Json.text(json, "rig"),
+        Json.text(json, "yard"),
+        json.path("loaners").asBoolean(false),
+        stage.equals("starting"),
+        stage.equals("failed"),
+        json.path("heldS").asDouble(0));
   }
 }
--- a/src/main/java/org/fieldtrestle/protocol/HeartbeatReader.java
+++ b/src/main/java/org/fieldtrestle/protocol/HeartbeatReader.java
@@ -6,20 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import org.fieldtrestle.protocol.WorkerProtocol.Cause;
-import org.fieldtrestle.protocol.WorkerProtocol.Heartbeat;
-import org.fieldtrestle.protocol.WorkerProtocol.ReportedTask;
-import org.fieldtrestle.protocol.WorkerProtocol.TaskState;
 
 /**
- * Reads workers' reports token by token: they are most of what a controller receives, and a tree of
- * each would cost several times as much.
+ * Reads heartbeats token by token: they are most of what a controller receives, and a tree of each
+ * would cost several times as much. One reader reads one heartbeat.
  */
 final class HeartbeatReader {
   private static final Pattern MACHINE = Pattern.compile("[A-Za-z0-9._-]{1,100}");
   private static final Pattern ADDRESS = Pattern.compile("[0-9.]{7,15}:[0-9]{1,5}");
 
-  /** More tasks than any machine could hold; a report with more is absurd. */
+  /** More tasks than any machine can hold. */
   private static final int MAX_TASKS = 10_000;
 
   private static final long ABSENT = -1;
@@ -30,27 +26,27 @@
   private String type;
   private String zone;
   private Boolean spot;
-  private long session = ABSENT;
+  private long incarnation = ABSENT;
   private long sequence = ABSENT;
-  private long token = ABSENT;
-  private double noticeS = ABSENT;
-  private List<ReportedTask> tasks = List.of();
+  private long fencingToken = ABSENT;
+  private double spotNoticeS = ABSENT;
+  private List<TaskStatus> tasks = List.of();
 
   private HeartbeatReader(JsonParser parser) {
     this.parser = parser;
   }
 
-  static Heartbeat read(byte[] body) throws Json.MalformedJsonException {
+  static Heartbeat read(byte[] body) throws MalformedJsonException {
     try (JsonParser parser = Json.parser(body)) {
-      return new HeartbeatReader(parser).report();
+      return new HeartbeatReader(parser).heartbeat();
     } catch (IOException e) {
-      throw new Json.MalformedJsonException("not JSON");
+      throw new MalformedJsonException("not JSON");
     }
   }
 
-  private Heartbeat report() throws IOException, Json.MalformedJsonException {
+  private Heartbeat heartbeat() throws IOException, MalformedJsonException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
-      throw new Json.MalformedJsonException("not an object");
+      throw new MalformedJsonException("not an object");
     }
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String field = parser.currentName();
@@ -58,7 +54,7 @@
       read(field);
     }
     if (parser.nextToken() != null) {
-      throw new Json.MalformedJsonException("not JSON");
+      throw new MalformedJsonException("not JSON");
     }
     return new Heartbeat(
         matching(MACHINE, machine, "bench"),
@@ -66,48 +62,48 @@
         present(type, "rig"),
         present(zone, "yard"),
         present(spot, "loaners"),
-        present(session, "shift"),
+        present(incarnation, "shift"),
         present(sequence, "tally"),
-        present(token, "warrant"),
-        noticeS,
+        present(fencingToken, "warrant"),
+        spotNoticeS,
         tasks);
   }
 
-  private void read(String field) throws IOException, Json.MalformedJsonException {
+  private void read(String field) throws IOException, MalformedJsonException {
     switch (field) {
       case "bench" -> machine = text(field);
       case "address" -> address = text(field);
       case "rig" -> type = text(field);
       case "yard" -> zone = text(field);
       case "loaners" -> spot = flag(field);
-      case "shift" -> session = count(field);
+      case "shift" -> incarnation = count(field);
       case "tally" -> sequence = count(field);
-      case "warrant" -> token = count(field);
-      case "recallS" -> noticeS = isNull() ? ABSENT : amount(field);
-      case "boards" -> tasks = isNull() ? List.of() : tasks();
+      case "warrant" -> fencingToken = count(field);
+      case "recallS" -> spotNoticeS = isNull() ? ABSENT : amount(field);
+      case "boards" -> tasks = isNull() ? List.of() : taskList();
       default -> parser.skipChildren();
     }
   }
 
-  private List<ReportedTask> tasks() throws IOException, Json.MalformedJsonException {
+  private List<TaskStatus> taskList() throws IOException, MalformedJsonException {
     if (parser.currentToken() != JsonToken.START_ARRAY) {
-      throw new Json.MalformedJsonException("boards");
+      throw new MalformedJsonException("boards");
     }
-    List<ReportedTask> all = new ArrayList<>();
+    List<TaskStatus> list = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      if (all.size() == MAX_TASKS || parser.currentToken() != JsonToken.START_OBJECT) {
-        throw new Json.MalformedJsonException("boards");
+      if (list.size() == MAX_TASKS || parser.currentToken() != JsonToken.START_OBJECT) {
+        throw new MalformedJsonException("boards");
       }
-      all.add(task());
+      list.add(task());
     }
-    return all;
+    return list;
   }
 
-  private ReportedTask task() throws IOException, Json.MalformedJsonException {
+  private TaskStatus task() throws IOException, MalformedJsonException {
     String id = null;
     long attempt = ABSENT;
     TaskState state = null;
-    Cause cause = Cause.NONE;
+    ExitCause cause = ExitCause.NONE;
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String field = parser.currentName();
       parser.nextToken();
@@ -119,7 +115,7 @@
         default -> parser.skipChildren();
       }
     }
-    return new ReportedTask(
+    return new TaskStatus(
         TaskId.parse(present(id, "board")),
         present(attempt, "try"),
         present(state, "stage"),
@@ -131,88 +127,86 @@
       case "running" -> TaskState.RUNNING;
       case "saving" -> TaskState.SAVING;
       case "exited" -> TaskState.EXITED;
-      // "fetching", a gang's "waiting" for its peers, and whatever a later worker may call a task
-      // that is not running yet
+      // "fetching", "waiting" of a gang's task, and what a later worker may call a task that does
+      // not run yet
       default -> TaskState.FETCHING;
     };
   }
 
-  private Cause cause() throws IOException {
+  private ExitCause cause() throws IOException {
     if (parser.currentToken().isStructStart()) {
       parser.skipChildren();
-      return Cause.NONE;
+      return ExitCause.NONE;
     }
     return switch (parser.getValueAsString("")) {
-      case "done" -> Cause.DONE;
-      // The latter two: a gang's task whose peers did not come, or went.
-      case "halted", "peers", "alone" -> Cause.STOPPED;
-      case "full" -> Cause.NO_ROOM;
-      case "in_use" -> Cause.BUSY;
-      case "unknown" -> Cause.UNKNOWN;
-      case "" -> Cause.NONE;
-      default -> Cause.ERROR;
+      case "done" -> ExitCause.DONE;
+      // The latter two: the other tasks of the gang did not start, or have ended.
+      case "halted", "peers", "alone" -> ExitCause.STOPPED;
+      case "full" -> ExitCause.NO_ROOM;
+      case "in_use" -> ExitCause.BUSY;
+      case "unknown" -> ExitCause.UNKNOWN;
+      case "" -> ExitCause.NONE;
+      default -> ExitCause.ERROR;
     };
   }
 
-  // ---- values
-
   private boolean isNull() {
     return parser.currentToken() == JsonToken.VALUE_NULL;
   }
 
-  private String text(String field) throws IOException, Json.MalformedJsonException {
+  private String text(String field) throws IOException, MalformedJsonException {
     if (parser.currentToken() != JsonToken.VALUE_STRING) {
-      throw new Json.MalformedJsonException(field);
+      throw new MalformedJsonException(field);
     }
     return parser.getText();
   }
 
-  private boolean flag(String field) throws IOException, Json.MalformedJsonException {
+  private boolean flag(String field) throws IOException, MalformedJsonException {
     if (!parser.currentToken().isBoolean()) {
-      throw new Json.MalformedJsonException(field);
+      throw new MalformedJsonException(field);
     }
     return parser.getBooleanValue();
   }
 
-  /** A count; those beyond a signed long, though allowed on the wire, are never sent to us. */
-  private long count(String field) throws IOException, Json.MalformedJsonException {
+  /** A count; those beyond a signed long, though the protocol allows them, are refused. */
+  private long count(String field) throws IOException, MalformedJsonException {
     if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT
         || parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
         || parser.getLongValue() < 0) {
-      throw new Json.MalformedJsonException(field);
+      throw new MalformedJsonException(field);
     }
     return parser.getLongValue();
   }
 
-  private double amount(String field) throws IOException, Json.MalformedJsonException {
+  private double amount(String field) throws IOException, MalformedJsonException {
     if (!parser.currentToken().isNumeric()) {
-      throw new Json.MalformedJsonException(field);
+      throw new MalformedJsonException(field);
     }
     double value = parser.getDoubleValue();
     if (!Double.isFinite(value) || value < 0) {
-      throw new Json.MalformedJsonException(field);
+      throw new MalformedJsonException(field);
     }
     return value;
   }
 
-  private static <T> T present(T value, String field) throws Json.MalformedJsonException {
+  private static <T> T present(T value, String field) throws MalformedJsonException {
     if (value == null) {
-      throw new Json.MalformedJsonException(field);
+      throw new MalformedJsonException(field);
     }
     return value;
   }
 
-  private static long present(long value, String field) throws Json.MalformedJsonException {
+  private static long present(long value, String field) throws MalformedJsonException {
     if (value == ABSENT) {
-      throw new Json.MalformedJsonException(field);
+      throw new MalformedJsonException(field);
     }
     return value;
   }
 
   private static String matching(Pattern pattern, String text, String field)
-      throws Json.MalformedJsonException {
+      throws MalformedJsonException {
     if (text == null || !pattern.matcher(text).matches()) {
-      throw new Json.MalformedJsonException(field);
+      throw new MalformedJsonException(field);
     }
     return text;
   }
--- a/src/main/java/org/fieldtrestle/protocol/JobSpec.java
+++ b/src/main/java/org/fieldtrestle/protocol/JobSpec.java
@@ -3,8 +3,26 @@
 import java.util.List;
 
 /**
- * A job as its user submitted it. {@code types} is empty and {@code zone} null where any will do; a
- * {@code deadlineS} below 0 is none.
+ * A job as its user submitted it.
+ *
+ * @param id unique id, chosen by the user
+ * @param jobClass names the class of jobs that service-level objectives are set for
+ * @param team the team whose quota and guaranteed share apply
+ * @param tasks how many tasks it has, numbered from 0
+ * @param cpus CPUs of one task
+ * @param gpus GPUs of one task
+ * @param memoryGb memory of one task
+ * @param image the image that a machine must have before a task can start
+ * @param imageGb size of the image
+ * @param types names of the allowed machine types; empty where any will do
+ * @param zone the only allowed zone; null where any will do
+ * @param oneZone whether all tasks must be in the same zone
+ * @param spread whether at most half of the tasks, rounded up, may be in one zone
+ * @param spot whether spot machines will do
+ * @param estimateS the owner's estimate of a task's run time in seconds, often wrong
+ * @param checkpointS interval in seconds after which a task saves a checkpoint; 0: it never does
+ * @param saveS seconds that a task needs to save when it is stopped
+ * @param deadlineS seconds from its submission until it should be done; below 0: no deadline
  */
 public record JobSpec(
     String id,
@@ -39,10 +57,11 @@
   }
 
   /** Whether all tasks need their room at the same time. */
-  public boolean whole() {
+  public boolean isCoScheduled() {
     return kind != Kind.ARRAY;
   }
 
+  /** Whether a task that is stopped can keep its progress. */
   public boolean hasCheckpoints() {
     return checkpointS > 0;
   }
--- a/src/main/java/org/fieldtrestle/protocol/Json.java
+++ b/src/main/java/org/fieldtrestle/protocol/Json.java
@@ -11,34 +11,28 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The one factory of JSON parsers, and the checks that all readers of foreign JSON share. */
+/** Reads and writes JSON, and checks the fields of foreign JSON. May be used by every thread. */
 public final class Json {
-  /** What most bodies that are written field by field take at the most. */
-  private static final int USUAL_BYTES = 256;
+  /** Enough for most bodies that are written field by field. */
+  private static final int INITIAL_BYTES = 256;
 
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private Json() {}
 
-  /** Foreign JSON that breaks its protocol. */
-  public static final class MalformedJsonException extends Exception {
-    private static final long serialVersionUID = 1;
-
-    public MalformedJsonException(String message) {
-      super(message);
-    }
-  }
-
+  /** A new object without fields. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
+  /** A new array without items. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  public static byte[] bytes(JsonNode context) {
-    return generated(out -> JsonTree.write(out, context));
+  /** Writes a tree as UTF-8. */
+  public static byte[] bytes(JsonNode json) {
+    return generated(out -> JsonTree.write(out, json));
   }
 
   /** Writes the fields of an object. */
@@ -57,7 +51,7 @@
   }
 
   private static byte[] generated(FieldWriter content) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_BYTES);
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
     try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
       content.write(out);
     } catch (IOException e) {
@@ -71,20 +65,25 @@
     return FACTORY.createParser(body);
   }
 
+  /**
+   * Reads a body that must be one object.
+   *
+   * @throws MalformedJsonException if it is not
+   */
   public static JsonNode parse(byte[] body) throws MalformedJsonException {
-    JsonNode context;
+    JsonNode json;
     try (JsonParser parser = FACTORY.createParser(body)) {
-      context = JsonTree.readSingle(parser);
+      json = JsonTree.readSingle(parser);
     } catch (IOException e) {
       throw new MalformedJsonException("not JSON");
     }
-    if (context == null || !context.isObject()) {
+    if (json == null || !json.isObject()) {
       throw new MalformedJsonException("not an object");
     }
-    return context;
+    return json;
   }
 
-  /** Like {@link #parse}, for an answer whose body is not worth an error of its own. */
+  /** Like {@link #parse}, but an empty object where the body is malformed. */
   public static JsonNode parseOrEmpty(byte[] body) {
     try {
       return parse(body);
@@ -93,38 +92,59 @@
     }
   }
 
-  static boolean absent(JsonNode context, String field) {
-    JsonNode value = context.get(field);
+  /** Whether a field is missing or null, which mean the same. */
+  static boolean absent(JsonNode json, String field) {
+    JsonNode value = json.get(field);
     return value == null || value.isNull();
   }
 
-  public static String text(JsonNode context, String field) throws MalformedJsonException {
-    JsonNode value = context.path(field);
+  /**
+   * A required text.
+   *
+   * @throws MalformedJsonException if the field is missing or no text
+   */
+  public static String text(JsonNode json, String field) throws MalformedJsonException {
+    JsonNode value = json.path(field);
     if (!value.isTextual()) {
       throw new MalformedJsonException(field);
     }
     return value.textValue();
   }
 
-  static boolean flag(JsonNode context, String field) throws MalformedJsonException {
-    JsonNode value = context.path(field);
+  /**
+   * A required boolean.
+   *
+   * @throws MalformedJsonException if the field is missing or no boolean
+   */
+  static boolean flag(JsonNode json, String field) throws MalformedJsonException {
+    JsonNode value = json.path(field);
     if (!value.isBoolean()) {
       throw new MalformedJsonException(field);
     }
     return value.booleanValue();
   }
 
-  static double amount(JsonNode context, String field) throws MalformedJsonException {
-    JsonNode value = context.path(field);
+  /**
+   * A required amount: a finite number from 0.
+   *
+   * @throws MalformedJsonException if the field is missing or no such number
+   */
+  static double amount(JsonNode json, String field) throws MalformedJsonException {
+    JsonNode value = json.path(field);
     if (!value.isNumber() || !Double.isFinite(value.doubleValue()) || value.doubleValue() < 0) {
       throw new MalformedJsonException(field);
     }
     return value.doubleValue();
   }
 
-  /** A count; those beyond a signed long, though allowed on the wire, are never sent to us. */
-  public static long count(JsonNode context, String field) throws MalformedJsonException {
-    JsonNode value = context.path(field);
+  /**
+   * A required count: a whole number from 0. Those beyond a signed long, though the protocols allow
+   * them, are refused.
+   *
+   * @throws MalformedJsonException if the field is missing or no such number
+   */
+  public static long count(JsonNode json, String field) throws MalformedJsonException {
+    JsonNode value = json.path(field);
     if (!value.isIntegralNumber() || !value.canConvertToLong() || value.longValue() < 0) {
       throw new MalformedJsonException(field);
     }
--- a/src/main/java/org/fieldtrestle/protocol/JsonTree.java
+++ b/src/main/java/org/fieldtrestle/protocol/JsonTree.java
@@ -75,20 +75,20 @@
   }
 
   /** Writes a value with all that is in it. */
-  static void write(JsonGenerator out, JsonNode context) throws IOException {
-    switch (context.getNodeType()) {
-      case OBJECT -> writeObject(out, context);
-      case ARRAY -> writeArray(out, context);
-      case STRING -> out.writeString(context.textValue());
-      case BOOLEAN -> out.writeBoolean(context.booleanValue());
-      case NUMBER -> writeNumber(out, context);
+  static void write(JsonGenerator out, JsonNode tree) throws IOException {
+    switch (tree.getNodeType()) {
+      case OBJECT -> writeObject(out, tree);
+      case ARRAY -> writeArray(out, tree);
+      case STRING -> out.writeString(tree.textValue());
+      case BOOLEAN -> out.writeBoolean(tree.booleanValue());
+      case NUMBER -> writeNumber(out, tree);
       default -> out.writeNull();
     }
   }
 
-  private static void writeObject(JsonGenerator out, JsonNode context) throws IOException {
+  private static void writeObject(JsonGenerator out, JsonNode tree) throws IOException {
     out.writeStartObject();
-    Iterator<Map.Entry<String, JsonNode>> fields = context.fields();
+    Iterator<Map.Entry<String, JsonNode>> fields = tree.fields();
     while (fields.hasNext()) {
       Map.Entry<String, JsonNode> field = fields.next();
       out.writeFieldName(field.getKey());
@@ -97,22 +97,22 @@
     out.writeEndObject();
   }
 
-  private static void writeArray(JsonGenerator out, JsonNode context) throws IOException {
+  private static void writeArray(JsonGenerator out, JsonNode tree) throws IOException {
     out.writeStartArray();
-    for (JsonNode item : context) {
+    for (JsonNode item : tree) {
       write(out, item);
     }
     out.writeEndArray();
   }
 
-  private static void writeNumber(JsonGenerator out, JsonNode context) throws IOException {
-    switch (context.numberType()) {
-      case INT -> out.writeNumber(context.intValue());
-      case LONG -> out.writeNumber(context.longValue());
-      case BIG_INTEGER -> out.writeNumber(context.bigIntegerValue());
-      case FLOAT -> out.writeNumber(context.floatValue());
-      case DOUBLE -> out.writeNumber(context.doubleValue());
-      case BIG_DECIMAL -> out.writeNumber(context.decimalValue());
+  private static void writeNumber(JsonGenerator out, JsonNode tree) throws IOException {
+    switch (tree.numberType()) {
+      case INT -> out.writeNumber(tree.intValue());
+      case LONG -> out.writeNumber(tree.longValue());
+      case BIG_INTEGER -> out.writeNumber(tree.bigIntegerValue());
+      case FLOAT -> out.writeNumber(tree.floatValue());
+      case DOUBLE -> out.writeNumber(tree.doubleValue());
+      case BIG_DECIMAL -> out.writeNumber(tree.decimalValue());
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
@@ -6,62 +6,83 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The state service's interface. */
+/** The key-value store's interface: transactions, leases, listings and watches. */
 public final class KeyValueProtocol {
-  public static final String KEYS = "/kv";
-  public static final String COMMIT = "/commit";
-  public static final String LEASES = "/leases";
-  public static final String WATCH = "/watch";
+  /** Where keys are listed. */
+  public static final String KEYS_PATH = "/kv";
+
+  /** Where transactions are sent. */
+  public static final String COMMIT_PATH = "/commit";
+
+  /** Where leases are taken. */
+  public static final String LEASES_PATH = "/leases";
+
+  /** Where changes are watched. */
+  public static final String WATCH_PATH = "/watch";
+
+  private static final long NO_LEASE = 0;
 
   private KeyValueProtocol() {}
 
-  /** A key that must still have this version; 0: must not exist. */
+  /** A key that must have this version still; version 0: that must not exist. */
   public record Condition(String key, long version) {}
 
   /** A change of one key. */
   public sealed interface Change {
+    /** The key. */
     String key();
   }
 
-  /** Sets a key; {@code lease} 0 attaches it to none. */
+  /** Sets a key; it is deleted when the lease ends. Lease 0 is none. */
   public record Put(String key, JsonNode value, long lease) implements Change {}
 
+  /** Deletes a key. */
   public record Delete(String key) implements Change {}
 
-  /** A key as read; a null value is a key that does not exist. */
+  /** A key at a version; a null value means that it was deleted there. */
   public record Entry(String key, JsonNode value, long version) {}
 
+  /** A page of keys at a revision; {@code more} tells whether others follow. */
   public record Listing(List<Entry> entries, boolean more, long revision) {}
 
-  /** Changes in order; those with a null value are removals. */
+  /** All changes up to a revision, in their order. */
   public record Events(List<Entry> events, long revision) {}
 
-  public static byte[] commit(List<Condition> conditions, List<Change> changes) {
-    ObjectNode context = Json.object();
-    ArrayNode when = context.putArray("when");
+  /** Writes a transaction; one without changes compares only. */
+  public static byte[] writeTransaction(List<Condition> conditions, List<Change> changes) {
+    ObjectNode json = Json.object();
+    ArrayNode when = json.putArray("when");
     for (Condition condition : conditions) {
       when.addObject().put("key", condition.key()).put("entry", condition.version());
     }
     if (!changes.isEmpty()) {
-      ArrayNode apply = context.putArray("apply");
+      ArrayNode apply = json.putArray("apply");
       for (Change change : changes) {
-        ObjectNode op = apply.addObject();
-        if (change instanceof Put put) {
-          op.put("write", put.key());
-          op.set("v", put.value());
-          if (put.lease() != 0) {
-            op.put("permit", put.lease());
-          }
-        } else {
-          op.put("remove", change.key());
-        }
+        writeChange(apply.addObject(), change);
+      }
+    }
+    return Json.bytes(json);
+  }
+
+  private static void writeChange(ObjectNode json, Change change) {
+    if (change instanceof Put put) {
+      json.put("write", put.key());
+      json.set("v", put.value());
+      if (put.lease() != NO_LEASE) {
+        json.put("permit", put.lease());
       }
+    } else {
+      json.put("remove", change.key());
     }
-    return Json.bytes(context);
   }
 
+  /**
+   * The path of a page of keys.
+   *
+   * @param after the key before the first one; empty to begin with the first of the prefix
+   */
   public static String listPath(String prefix, String after, int limit) {
-    return KEYS
+    return KEYS_PATH
         + "?prefix="
         + prefix
         + (after.isEmpty() ? "" : "&from=" + after)
@@ -69,57 +90,79 @@
         + limit;
   }
 
+  /** The path of a watch for changes after a revision, which waits so long for the first one. */
   public static String watchPath(String prefix, long after, long waitMs) {
-    return WATCH + "?prefix=" + prefix + "&from=" + after + "&blockMs=" + waitMs;
+    return WATCH_PATH + "?prefix=" + prefix + "&from=" + after + "&blockMs=" + waitMs;
   }
 
+  /** The path under which a lease is renewed. */
   public static String renewPath(long lease) {
-    return LEASES + "/" + lease + "/extend";
+    return LEASES_PATH + "/" + lease + "/extend";
   }
 
-  public static byte[] ttl(long ms) {
-    return Json.bytes(Json.object().put("lifeMs", ms));
+  /** Writes a request for a lease of a duration. */
+  public static byte[] writeLeaseRequest(long ttlMs) {
+    return Json.bytes(Json.object().put("lifeMs", ttlMs));
   }
 
-  public static long readLease(byte[] body) throws Json.MalformedJsonException {
+  /**
+   * Reads the id of a lease that was granted.
+   *
+   * @throws MalformedJsonException if the body breaks the protocol
+   */
+  public static long readLease(byte[] body) throws MalformedJsonException {
     return Json.count(Json.parse(body), "permit");
   }
 
-  public static long readRevision(byte[] body) throws Json.MalformedJsonException {
+  /**
+   * Reads the revision of an answer to a transaction.
+   *
+   * @throws MalformedJsonException if the body breaks the protocol
+   */
+  public static long readRevision(byte[] body) throws MalformedJsonException {
     return Json.count(Json.parse(body), "ledger");
   }
 
-  public static List<String> readFailed(byte[] body) {
+  /** Reads the keys whose conditions failed; empty where the answer does not name them. */
+  public static List<String> readConflictingKeys(byte[] body) {
     List<String> keys = new ArrayList<>();
     Json.parseOrEmpty(body).path("failed").forEach(key -> keys.add(key.asText()));
     return keys;
   }
 
-  private static Entry entry(JsonNode context) throws Json.MalformedJsonException {
-    return new Entry(Json.text(context, "key"), context.path("v"), Json.count(context, "entry"));
-  }
-
-  public static Listing readListing(byte[] body) throws Json.MalformedJsonException {
-    JsonNode context = Json.parse(body);
+  /**
+   * Reads a page of keys.
+   *
+   * @throws MalformedJsonException if the body breaks the protocol
+   */
+  public static Listing readListing(byte[] body) throws MalformedJsonException {
+    JsonNode json = Json.parse(body);
     List<Entry> entries = new ArrayList<>();
-    for (JsonNode item : context.path("items")) {
-      entries.add(entry(item));
+    for (JsonNode item : json.path("items")) {
+      entries.add(new Entry(Json.text(item, "key"), item.path("v"), Json.count(item, "entry")));
     }
-    return new Listing(
-        entries, context.path("more").asBoolean(false), Json.count(context, "ledger"));
+    return new Listing(entries, json.path("more").asBoolean(false), Json.count(json, "ledger"));
   }
 
-  public static Events readEvents(byte[] body) throws Json.MalformedJsonException {
-    JsonNode context = Json.parse(body);
+  /**
+   * Reads the answer to a watch.
+   *
+   * @throws MalformedJsonException if the body breaks the protocol
+   */
+  public static Events readEvents(byte[] body) throws MalformedJsonException {
+    JsonNode json = Json.parse(body);
     List<Entry> events = new ArrayList<>();
-    for (JsonNode item : context.path("log")) {
-      boolean removal = item.has("remove");
-      events.add(
-          new Entry(
-              Json.text(item, removal ? "remove" : "write"),
-              removal ? null : item.path("v"),
-              Json.count(item, "entry")));
+    for (JsonNode item : json.path("log")) {
+      events.add(readEvent(item));
     }
-    return new Events(events, Json.count(context, "ledger"));
+    return new Events(events, Json.count(json, "ledger"));
+  }
+
+  private static Entry readEvent(JsonNode json) throws MalformedJsonException {
+    boolean deletion = json.has("remove");
+    return new Entry(
+        Json.text(json, deletion ? "remove" : "write"),
+        deletion ? null : json.path("v"),
+        Json.count(json, "entry"));
   }
 }
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/protocol/MachinePage.java
@@ -0,0 +1,6 @@
+package org.fieldtrestle.protocol;
+
+import java.util.List;
+
+/** A page of the cloud's list of rented machines; {@code more} tells whether others follow. */
+public record MachinePage(List<ListedMachine> machines, boolean more) {}
--- a/src/main/java/org/fieldtrestle/protocol/PeerProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/PeerProtocol.java
@@ -7,119 +7,81 @@
 import java.util.List;
 
 /**
- * What controllers say to each other. A frame is a length (4 bytes, of what follows), a magic and
- * version (2 + 1), a kind (1), the sender's time of day (8) and a body. Nothing that a rule depends
- * on travels here: a lost, late or repeated frame costs time only.
+ * The protocol between controllers. A frame is a length (4 bytes, of what follows), a magic number
+ * (2) and version (1), a kind (1), the sender's time of day in ms (8) and a body. No rule depends
+ * on these messages: a lost, late or repeated frame costs time only.
  */
 public final class PeerProtocol {
-  public static final int MAX_FRAME = 16 * 1024;
+  /** Largest frame, with its length. */
+  public static final int MAX_FRAME_BYTES = 16 * 1024;
+
   private static final short MAGIC = 0x4654;
   private static final byte VERSION = 2;
-  private static final byte LOAD = 1;
-  private static final byte PULSE = 2;
-  private static final byte SENT_ON = 3;
-  private static final byte CANCELLED = 4;
+  private static final byte SHARD_LOAD = 1;
+  private static final byte LIVENESS = 2;
+  private static final byte REDIRECT_COUNT = 3;
+  private static final byte JOB_CANCELLED = 4;
   private static final int MAX_ITEMS = 64;
+  private static final int MAX_TEXT_BYTES = 100;
 
   private PeerProtocol() {}
 
-  public sealed interface Message {}
-
-  /** A message and the sender's time of day: what a cut has held for long says nothing of now. */
-  public record Frame(long sentWall, Message message) {}
-
-  /** Room of one kind in a zone at one shard. */
-  public record FreeCapacity(String zone, double cpus, double gpus, double memoryGb) {}
-
-  /**
-   * How one shard stands: its free room by zone, the CPUs that wait for room, and those of all its
-   * machines, booting ones too.
-   */
-  public record ShardLoad(
-      String sender,
-      String shard,
-      long epoch,
-      double waitingCpus,
-      double capacityCpus,
-      List<FreeCapacity> rooms)
-      implements Message {}
-
-  /** That a controller is there, and whether the state service answers it. */
-  public record Liveness(String sender, boolean served) implements Message {}
-
-  /**
-   * How many machines have lately reported to the sender and been sent on to another controller:
-   * where that one hears nothing of them, it is cut off from its workers.
-   */
-  public record RedirectCount(String sender, String to, int machines) implements Message {}
-
-  /** That a job is cancelled for good, once that is durable. */
-  public record JobCancelled(String sender, String job) implements Message {}
-
-  /** A frame that is not ours or was damaged. */
-  public static final class MalformedFrameException extends Exception {
-    private static final long serialVersionUID = 1;
-
-    public MalformedFrameException(String message) {
-      super(message);
-    }
-  }
-
-  public static ByteBuffer encode(long wall, Message message) {
-    ByteBuffer out = ByteBuffer.allocate(MAX_FRAME);
-    out.putInt(0).putShort(MAGIC).put(VERSION).put(kind(message)).putLong(wall);
-    if (message instanceof ShardLoad load) {
-      putText(out, load.sender());
-      putText(out, load.shard());
-      out.putLong(load.epoch()).putDouble(load.waitingCpus()).putDouble(load.capacityCpus());
-      int count = Math.min(load.rooms().size(), MAX_ITEMS);
-      out.put((byte) count);
-      for (FreeCapacity room : load.rooms().subList(0, count)) {
-        putText(out, room.zone());
-        out.putDouble(room.cpus()).putDouble(room.gpus()).putDouble(room.memoryGb());
-      }
-    }
-    if (message instanceof Liveness pulse) {
-      putText(out, pulse.sender());
-      out.put((byte) (pulse.served() ? 1 : 0));
-    }
-    if (message instanceof RedirectCount sent) {
-      putText(out, sent.sender());
-      putText(out, sent.to());
-      out.putInt(sent.machines());
-    }
-    if (message instanceof JobCancelled cancelled) {
+  /** Writes a frame with its length, ready to be read from the buffer. */
+  public static ByteBuffer encode(long sentWallMs, PeerMessage message) {
+    ByteBuffer out = ByteBuffer.allocate(MAX_FRAME_BYTES);
+    out.putInt(0).putShort(MAGIC).put(VERSION).put(kind(message)).putLong(sentWallMs);
+    if (message instanceof PeerMessage.ShardLoad load) {
+      putShardLoad(out, load);
+    } else if (message instanceof PeerMessage.Liveness liveness) {
+      putText(out, liveness.sender());
+      out.put((byte) (liveness.storeAvailable() ? 1 : 0));
+    } else if (message instanceof PeerMessage.RedirectCount redirects) {
+      putText(out, redirects.sender());
+      putText(out, redirects.to());
+      out.putInt(redirects.machines());
+    } else if (message instanceof PeerMessage.JobCancelled cancelled) {
       putText(out, cancelled.sender());
       putText(out, cancelled.job());
     }
-    out.putInt(0, out.position() - 4);
+    out.putInt(0, out.position() - Integer.BYTES);
     return out.flip();
   }
 
-  private static byte kind(Message message) {
-    if (message instanceof ShardLoad) {
-      return LOAD;
+  private static byte kind(PeerMessage message) {
+    if (message instanceof PeerMessage.ShardLoad) {
+      return SHARD_LOAD;
     }
-    if (message instanceof Liveness) {
-      return PULSE;
+    if (message instanceof PeerMessage.Liveness) {
+      return LIVENESS;
+    }
+    return message instanceof PeerMessage.RedirectCount ? REDIRECT_COUNT : JOB_CANCELLED;
+  }
+
+  private static void putShardLoad(ByteBuffer out, PeerMessage.ShardLoad load) {
+    putText(out, load.sender());
+    putText(out, load.shard());
+    out.putLong(load.epoch()).putDouble(load.waitingCpus()).putDouble(load.capacityCpus());
+    int count = Math.min(load.freeCapacity().size(), MAX_ITEMS);
+    out.put((byte) count);
+    for (FreeCapacity free : load.freeCapacity().subList(0, count)) {
+      putText(out, free.zone());
+      out.putDouble(free.cpus()).putDouble(free.gpus()).putDouble(free.memoryGb());
     }
-    return message instanceof RedirectCount ? SENT_ON : CANCELLED;
   }
 
   private static void putText(ByteBuffer out, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    int length = Math.min(bytes.length, 100);
+    int length = Math.min(bytes.length, MAX_TEXT_BYTES);
     out.put((byte) length).put(bytes, 0, length);
   }
 
-  private static String getText(ByteBuffer in) {
-    byte[] bytes = new byte[in.get() & 0xff];
-    in.get(bytes);
-    return new String(bytes, StandardCharsets.UTF_8);
-  }
-
-  /** Reads the body of one frame, without its length. */
-  public static Frame decode(ByteBuffer in) throws MalformedFrameException {
+  /**
+   * Reads a frame.
+   *
+   * @param in the frame without its length
+   * @throws MalformedFrameException if it is damaged or of another version
+   */
+  public static PeerFrame decode(ByteBuffer in) throws MalformedFrameException {
     try {
       if (in.getShort() != MAGIC) {
         throw new MalformedFrameException("magic");
@@ -129,42 +91,52 @@
         throw new MalformedFrameException("version " + version);
       }
       byte kind = in.get();
-      long wall = in.getLong();
-      Message message =
-          switch (kind) {
-            case LOAD -> readLoad(in);
-            case PULSE -> new Liveness(getText(in), in.get() != 0);
-            case SENT_ON -> new RedirectCount(getText(in), getText(in), count(in));
-            case CANCELLED -> new JobCancelled(getText(in), getText(in));
-            default -> throw new MalformedFrameException("kind " + kind);
-          };
+      long sentWallMs = in.getLong();
+      PeerMessage message = readMessage(kind, in);
       if (in.hasRemaining()) {
         throw new MalformedFrameException("trailing bytes");
       }
-      return new Frame(wall, message);
+      return new PeerFrame(sentWallMs, message);
     } catch (BufferUnderflowException e) {
       throw new MalformedFrameException("short");
     }
   }
 
-  private static ShardLoad readLoad(ByteBuffer in) throws MalformedFrameException {
+  private static PeerMessage readMessage(byte kind, ByteBuffer in) throws MalformedFrameException {
+    return switch (kind) {
+      case SHARD_LOAD -> readShardLoad(in);
+      case LIVENESS -> new PeerMessage.Liveness(getText(in), in.get() != 0);
+      case REDIRECT_COUNT -> new PeerMessage.RedirectCount(getText(in), getText(in), getCount(in));
+      case JOB_CANCELLED -> new PeerMessage.JobCancelled(getText(in), getText(in));
+      default -> throw new MalformedFrameException("kind " + kind);
+    };
+  }
+
+  private static PeerMessage.ShardLoad readShardLoad(ByteBuffer in) throws MalformedFrameException {
     String sender = getText(in);
     String shard = getText(in);
     long epoch = in.getLong();
-    double waiting = amount(in);
-    double capacity = amount(in);
+    double waitingCpus = getAmount(in);
+    double capacityCpus = getAmount(in);
     int count = in.get();
     if (count < 0 || count > MAX_ITEMS) {
       throw new MalformedFrameException("count " + count);
     }
-    List<FreeCapacity> rooms = new ArrayList<>();
+    List<FreeCapacity> free = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      rooms.add(new FreeCapacity(getText(in), amount(in), amount(in), amount(in)));
+      free.add(new FreeCapacity(getText(in), getAmount(in), getAmount(in), getAmount(in)));
     }
-    return new ShardLoad(sender, shard, epoch, waiting, capacity, List.copyOf(rooms));
+    return new PeerMessage.ShardLoad(
+        sender, shard, epoch, waitingCpus, capacityCpus, List.copyOf(free));
+  }
+
+  private static String getText(ByteBuffer in) {
+    byte[] bytes = new byte[Byte.toUnsignedInt(in.get())];
+    in.get(bytes);
+    return new String(bytes, StandardCharsets.UTF_8);
   }
 
-  private static int count(ByteBuffer in) throws MalformedFrameException {
+  private static int getCount(ByteBuffer in) throws MalformedFrameException {
     int value = in.getInt();
     if (value < 0) {
       throw new MalformedFrameException("count " + value);
@@ -172,7 +144,7 @@
     return value;
   }
 
-  private static double amount(ByteBuffer in) throws MalformedFrameException {
+  private static double getAmount(ByteBuffer in) throws MalformedFrameException {
     double value = in.getDouble();
     if (!Double.isFinite(value) || value < 0) {
       throw new MalformedFrameException("amount");
--- a/src/main/java/org/fieldtrestle/protocol/Priority.java
+++ b/src/main/java/org/fieldtrestle/protocol/Priority.java
@@ -1,13 +1,14 @@
 package org.fieldtrestle.protocol;
 
-/** The four urgencies, the highest first. */
+/** The four priorities of jobs, the highest first. */
 public enum Priority {
   CRITICAL,
   URGENT,
   NORMAL,
   LOW;
 
-  public boolean above(Priority other) {
-    return ordinal() < other.ordinal();
+  /** Whether work of this priority goes before work of the other. */
+  public boolean isHigherThan(Priority other) {
+    return compareTo(other) < 0;
   }
 }
--- a/src/main/java/org/fieldtrestle/protocol/TaskId.java
+++ b/src/main/java/org/fieldtrestle/protocol/TaskId.java
@@ -1,8 +1,31 @@
 package org.fieldtrestle.protocol;
 
-/** One task of a job. */
+/** One task of a job; {@code index} numbers the tasks of the job from 0. */
 public record TaskId(String job, int index) {
-  /** Written out, as those that records are given cost several times as much. */
+  private static final int MAX_INDEX_DIGITS = 6;
+
+  /**
+   * Reads the form that {@link #toString} writes, such as {@code job-000412/3}.
+   *
+   * @throws MalformedJsonException if the text has another form
+   */
+  public static TaskId parse(String text) throws MalformedJsonException {
+    int slash = text.lastIndexOf('/');
+    if (slash < 1 || text.length() - slash - 1 > MAX_INDEX_DIGITS) {
+      throw new MalformedJsonException("task");
+    }
+    try {
+      int index = Integer.parseInt(text.substring(slash + 1));
+      if (index < 0) {
+        throw new MalformedJsonException("task");
+      }
+      return new TaskId(text.substring(0, slash), index);
+    } catch (NumberFormatException e) {
+      throw new MalformedJsonException("task");
+    }
+  }
+
+  /** Written out, as the generated method of a record costs several times as much. */
   @Override
   public boolean equals(Object other) {
     return other instanceof TaskId that && index == that.index && job.equals(that.job);
@@ -17,20 +40,4 @@
   public String toString() {
     return job + "/" + index;
   }
-
-  public static TaskId parse(String text) throws Json.MalformedJsonException {
-    int slash = text.lastIndexOf('/');
-    if (slash < 1 || text.length() - slash > 7) {
-      throw new Json.MalformedJsonException("task");
-    }
-    try {
-      int index = Integer.parseInt(text.substring(slash + 1));
-      if (index < 0) {
-        throw new Json.MalformedJsonException("task");
-      }
-      return new TaskId(text.substring(0, slash), index);
-    } catch (NumberFormatException e) {
-      throw new Json.MalformedJsonException("task");
-    }
-  }
 }
--- a/src/main/java/org/fieldtrestle/protocol/WorkerProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/WorkerProtocol.java
@@ -5,82 +5,61 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The workers' interface: reports, commands and answers. */
+/** The workers' interface: paths, heartbeats, commands and answers. */
 public final class WorkerProtocol {
-  public static final String REPORT = "/hello";
-  public static final String COMMANDS = "/commands";
-  public static final String INSPECT = "/inspect";
+  /** Where workers send heartbeats. */
+  public static final String HEARTBEAT_PATH = "/hello";
 
-  /** A worker waits so long for the answer to a report. */
-  public static final long ANSWER_WITHIN_MS = 4000;
+  /** Where a worker takes direct commands. */
+  public static final String COMMANDS_PATH = "/commands";
 
-  private WorkerProtocol() {}
-
-  /** Where a task on a machine stands. */
-  public enum TaskState {
-    FETCHING,
-    RUNNING,
-    SAVING,
-    EXITED
-  }
+  /** Where a worker answers with a heartbeat. */
+  public static final String INSPECT_PATH = "/inspect";
 
-  /** Why a task exited. */
-  public enum Cause {
-    NONE,
-    DONE,
-    STOPPED,
-    ERROR,
-    NO_ROOM,
-    BUSY,
-    UNKNOWN
-  }
+  /** A worker waits so long for the answer to a heartbeat. */
+  public static final long HEARTBEAT_TIMEOUT_MS = 4000;
 
-  public record ReportedTask(TaskId task, long attempt, TaskState state, Cause cause) {}
+  private WorkerProtocol() {}
 
-  /** A worker's report; {@code noticeS} below 0 is none. */
-  public record Heartbeat(
-      String machine,
-      String address,
-      String type,
-      String zone,
-      boolean spot,
-      long session,
-      long seq,
-      long token,
-      double noticeS,
-      List<ReportedTask> tasks) {
-    public boolean newerThan(long otherSession, long otherSeq) {
-      return session > otherSession || (session == otherSession && seq > otherSeq);
-    }
+  /**
+   * Reads a heartbeat.
+   *
+   * @throws MalformedJsonException if it breaks the protocol
+   */
+  public static Heartbeat readHeartbeat(byte[] body) throws MalformedJsonException {
+    return HeartbeatReader.read(body);
   }
 
-  /** An order to a worker. */
-  public sealed interface Command {
-    TaskId task();
-
-    long attempt();
+  /** Writes the answer to a heartbeat. */
+  public static byte[] writeHeartbeatAnswer(long fencingToken, List<WorkerCommand> commands) {
+    return Json.write(
+        out -> {
+          out.writeNumberField("warrant", fencingToken);
+          writeCommandList(out, commands);
+        });
   }
 
-  public record Start(TaskId task, long attempt) implements Command {}
-
-  public record Stop(TaskId task, long attempt, double graceS) implements Command {}
-
-  public record Clear(TaskId task, long attempt) implements Command {}
-
-  /** Reads a worker's report. */
-  public static Heartbeat readHeartbeat(byte[] body) throws Json.MalformedJsonException {
-    return HeartbeatReader.read(body);
+  /** Writes direct commands, which a worker executes in this incarnation alone. */
+  public static byte[] writeCommands(
+      long fencingToken, long incarnation, List<WorkerCommand> commands) {
+    return Json.write(
+        out -> {
+          out.writeNumberField("warrant", fencingToken);
+          out.writeNumberField("shift", incarnation);
+          writeCommandList(out, commands);
+        });
   }
 
-  private static void writeOrders(JsonGenerator out, List<Command> commands) throws IOException {
+  private static void writeCommandList(JsonGenerator out, List<WorkerCommand> commands)
+      throws IOException {
     out.writeArrayFieldStart("orders");
-    for (Command command : commands) {
+    for (WorkerCommand command : commands) {
       out.writeStartObject();
-      if (command instanceof Start) {
+      if (command instanceof WorkerCommand.Start) {
         out.writeStringField("order", "start");
-      } else if (command instanceof Stop stop) {
+      } else if (command instanceof WorkerCommand.Stop stop) {
         out.writeStringField("order", "stop");
-        out.writeNumberField("windupS", stop.graceS());
+        out.writeNumberField("windupS", stop.gracePeriodS());
       } else {
         out.writeStringField("order", "clear");
       }
@@ -91,31 +70,14 @@
     out.writeEndArray();
   }
 
-  /** The answer to a report. */
-  public static byte[] answer(long token, List<Command> commands) {
-    return Json.write(
-        out -> {
-          out.writeNumberField("warrant", token);
-          writeOrders(out, commands);
-        });
-  }
-
-  /** Commands sent straight to a worker. */
-  public static byte[] commands(long token, long session, List<Command> commands) {
-    return Json.write(
-        out -> {
-          out.writeNumberField("warrant", token);
-          out.writeNumberField("shift", session);
-          writeOrders(out, commands);
-        });
-  }
-
-  /** Sends a worker on to another node; null where we cannot say to which. */
-  public static byte[] redirect(String label) {
-    ObjectNode context = Json.object();
-    if (label != null) {
-      context.put("foreman", label);
+  /**
+   * Writes a redirection of a worker to another controller; null where it is not known to which.
+   */
+  public static byte[] writeRedirect(String controller) {
+    ObjectNode json = Json.object();
+    if (controller != null) {
+      json.put("foreman", controller);
     }
-    return Json.bytes(context);
+    return Json.bytes(json);
   }
 }
--- a/src/main/java/org/fieldtrestle/routing/ShardLoads.java
+++ b/src/main/java/org/fieldtrestle/routing/ShardLoads.java
@@ -4,14 +4,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.fieldtrestle.protocol.FreeCapacity;
 import org.fieldtrestle.protocol.JobSpec;
-import org.fieldtrestle.protocol.PeerProtocol;
+import org.fieldtrestle.protocol.PeerMessage;
 import org.fieldtrestle.transport.Reactor;
 
 /** How the shards stand, as far as their controllers have told lately. */
 public final class ShardLoads {
   private static final class Known {
-    PeerProtocol.ShardLoad load;
+    PeerMessage.ShardLoad load;
     long at;
     double cpusTaken;
   }
@@ -31,7 +32,7 @@
   }
 
   /** An older epoch's or a repeated frame costs nothing: the next replaces it. */
-  public void heard(PeerProtocol.ShardLoad load) {
+  public void heard(PeerMessage.ShardLoad load) {
     Known one = known.computeIfAbsent(load.shard(), m -> new Known());
     if (one.load != null && load.epoch() < one.load.epoch()) {
       return;
@@ -54,7 +55,7 @@
         continue;
       }
       int free = 0;
-      for (PeerProtocol.FreeCapacity room : one.load.rooms()) {
+      for (FreeCapacity room : one.load.freeCapacity()) {
         if ((zone == null || zone.equals(room.zone()))
             && (spec.zone() == null || spec.zone().equals(room.zone()))) {
           free += tasksIn(room, spec, one.cpusTaken);
@@ -73,7 +74,7 @@
     return all;
   }
 
-  private static int tasksIn(PeerProtocol.FreeCapacity room, JobSpec spec, double taken) {
+  private static int tasksIn(FreeCapacity room, JobSpec spec, double taken) {
     double most = 1e6;
     if (spec.cpus() > 0) {
       most = Math.min(most, (room.cpus() - taken) / spec.cpus());
@@ -129,7 +130,7 @@
     Map<String, Double> free = new TreeMap<>();
     for (Known one : known.values()) {
       if (fresh(one)) {
-        one.load.rooms().forEach(room -> free.merge(room.zone(), room.cpus(), Double::sum));
+        one.load.freeCapacity().forEach(room -> free.merge(room.zone(), room.cpus(), Double::sum));
       }
     }
     String best = zones.get(0);
--- a/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -13,8 +13,9 @@
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.protocol.CloudProtocol;
-import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.protocol.ListedMachine;
+import org.fieldtrestle.protocol.MachineType;
 import org.fieldtrestle.worker.FailureTracker;
 import org.fieldtrestle.worker.LeadershipTerm;
 import org.fieldtrestle.worker.TaskAttempt;
@@ -347,9 +348,9 @@
             });
   }
 
-  private void compare(List<CloudProtocol.Listed> machines, long now) {
+  private void compare(List<ListedMachine> machines, long now) {
     Set<String> listed = new HashSet<>();
-    for (CloudProtocol.Listed one : machines) {
+    for (ListedMachine one : machines) {
       listed.add(one.machine());
       Worker worker = workers.get(one.machine());
       if (worker != null && one.failed() && !worker.isTerminating()) {
@@ -379,7 +380,7 @@
   }
 
   /** A machine that nobody has a record of: a late rental, or one whose renter died. */
-  private void stranger(CloudProtocol.Listed one, long now) {
+  private void stranger(ListedMachine one, long now) {
     long since = strangers.computeIfAbsent(one.machine(), m -> now);
     if (!context.membership().isFirst()
         || !term.shard().equals(context.membership().self())
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import org.fieldtrestle.context.ControllerContext;
-import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.protocol.MachineType;
 import org.fieldtrestle.scheduling.TaskPlacer.Group;
 import org.fieldtrestle.worker.FailureTracker;
 import org.fieldtrestle.worker.FreeResources;
@@ -199,7 +199,7 @@
           && task.range() != null
           && task.range().spec() != null
           && !task.isSpared()
-          && !task.range().spec().whole()) { // gangs and services are spared
+          && !task.range().spec().isCoScheduled()) { // gangs and services are spared
         JobSpec other = task.range().spec();
         running.add(
             new SelectivePreemption.Running<>(
--- a/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
+++ b/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
@@ -37,7 +37,7 @@
   public <T> Waiting<T> next(List<Waiting<T>> waiting) {
     Priority highest = null;
     for (Waiting<T> one : waiting) {
-      if (one.count() > 0 && (highest == null || one.priority().above(highest))) {
+      if (one.count() > 0 && (highest == null || one.priority().isHigherThan(highest))) {
         highest = one.priority();
       }
     }
@@ -166,7 +166,7 @@
       k += other.count();
       if (other == one) {
         less += other.count() - 1;
-      } else if (one.priority().above(other.priority())
+      } else if (one.priority().isHigherThan(other.priority())
           || one.priority() == other.priority() && other.score() < one.score()) {
         less += other.count();
       }
@@ -220,7 +220,7 @@
   public <T, U> List<Running<U>> victims(Waiting<T> one, List<Running<U>> running) {
     List<Running<U>> all = new ArrayList<>();
     for (Running<U> victim : running) {
-      if ((one.priority().above(victim.priority()) || victim.owed())
+      if ((one.priority().isHigherThan(victim.priority()) || victim.owed())
           && one.score() > victim.score() + operatorSettings.margin()
           && victim.elapsedS() <= operatorSettings.victimShare() * victim.estimateS()) {
         all.add(victim);
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -9,9 +9,12 @@
 import org.fieldtrestle.leadership.LeadershipFence;
 import org.fieldtrestle.leadership.LeadershipTransfer;
 import org.fieldtrestle.metrics.ControllerMetrics;
-import org.fieldtrestle.protocol.CloudProtocol.MachineType;
-import org.fieldtrestle.protocol.PeerProtocol;
+import org.fieldtrestle.protocol.FreeCapacity;
+import org.fieldtrestle.protocol.Heartbeat;
+import org.fieldtrestle.protocol.MachineType;
+import org.fieldtrestle.protocol.PeerMessage;
 import org.fieldtrestle.protocol.TaskId;
+import org.fieldtrestle.protocol.WorkerCommand;
 import org.fieldtrestle.protocol.WorkerProtocol;
 import org.fieldtrestle.scaling.Autoscaler;
 import org.fieldtrestle.scaling.MachineInventory;
@@ -50,8 +53,7 @@
   public sealed interface Message {}
 
   /** A worker of its machines reports. */
-  public record Reported(WorkerProtocol.Heartbeat report, Consumer<Http.Response> reply)
-      implements Message {}
+  public record Reported(Heartbeat report, Consumer<Http.Response> reply) implements Message {}
 
   /** A key that it may care for has changed. */
   public record Changed(StateKey key) implements Message {}
@@ -331,7 +333,7 @@
     reply.accept(new Http.Response(503, Http.Response.EMPTY));
   }
 
-  private void reported(WorkerProtocol.Heartbeat report, Consumer<Http.Response> reply) {
+  private void reported(Heartbeat report, Consumer<Http.Response> reply) {
     Worker worker = workers.get(report.machine());
     if (worker == null || worker.isTerminating() || !term.isLeading()) {
       refuse(reply);
@@ -356,8 +358,9 @@
       refuse(reply);
       return;
     }
-    List<WorkerProtocol.Command> orders = workers.answer(worker);
-    reply.accept(new Http.Response(200, WorkerProtocol.answer(worker.fencingToken(), orders)));
+    List<WorkerCommand> orders = workers.answer(worker);
+    reply.accept(
+        new Http.Response(200, WorkerProtocol.writeHeartbeatAnswer(worker.fencingToken(), orders)));
   }
 
   private void answerAll() {
@@ -472,7 +475,7 @@
   // ---- what others ask
 
   /** Free room by zone and CPUs that wait, for whoever splits jobs. */
-  public PeerProtocol.ShardLoad load() {
+  public PeerMessage.ShardLoad load() {
     Map<String, double[]> rooms = new TreeMap<>();
     for (FreeResources free : workers.rooms(context.now())) {
       double[] room = rooms.computeIfAbsent(free.worker().zone(), z -> new double[3]);
@@ -480,9 +483,9 @@
       room[1] += free.gpus();
       room[2] += free.memoryGb();
     }
-    List<PeerProtocol.FreeCapacity> all = new ArrayList<>();
-    rooms.forEach((zone, r) -> all.add(new PeerProtocol.FreeCapacity(zone, r[0], r[1], r[2])));
-    return new PeerProtocol.ShardLoad(
+    List<FreeCapacity> all = new ArrayList<>();
+    rooms.forEach((zone, r) -> all.add(new FreeCapacity(zone, r[0], r[1], r[2])));
+    return new PeerMessage.ShardLoad(
         context.membership().self(),
         name(),
         epoch(),
--- a/src/main/java/org/fieldtrestle/state/InventoryForm.java
+++ b/src/main/java/org/fieldtrestle/state/InventoryForm.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.Json.MalformedJsonException;
+import org.fieldtrestle.protocol.MalformedJsonException;
 import org.fieldtrestle.state.StateKey.InventoryKey;
 
 /**
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import org.fieldtrestle.config.Settings;
-import org.fieldtrestle.protocol.Json.MalformedJsonException;
 import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.protocol.MalformedJsonException;
 import org.fieldtrestle.protocol.UserProtocol;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
@@ -104,8 +104,8 @@
   private void send(Transaction transaction, Consumer<CommitResult> done) {
     call(
         "POST",
-        KeyValueProtocol.COMMIT,
-        KeyValueProtocol.commit(transaction.conditions(), transaction.changes()),
+        KeyValueProtocol.COMMIT_PATH,
+        KeyValueProtocol.writeTransaction(transaction.conditions(), transaction.changes()),
         timeoutMs,
         outcome -> done.accept(commitResult(outcome)));
   }
@@ -122,7 +122,7 @@
         case STATUS_OK -> new CommitResult.Committed(KeyValueProtocol.readRevision(answer.body()));
         case 409 ->
             new CommitResult.Conflict(
-                KeyValueProtocol.readFailed(answer.body()),
+                KeyValueProtocol.readConflictingKeys(answer.body()),
                 KeyValueProtocol.readRevision(answer.body()));
         case 400, STATUS_NOT_FOUND, 413, STATUS_TOO_MANY_REQUESTS, 503 ->
             new CommitResult.Refused(answer.status());
@@ -221,8 +221,8 @@
     queue.sentDirectly();
     call(
         "POST",
-        KeyValueProtocol.LEASES,
-        KeyValueProtocol.ttl(ttlMs),
+        KeyValueProtocol.LEASES_PATH,
+        KeyValueProtocol.writeLeaseRequest(ttlMs),
         timeoutMs,
         outcome -> done.accept(leaseGrant(outcome)));
   }
--- a/src/main/java/org/fieldtrestle/state/RecordCodec.java
+++ b/src/main/java/org/fieldtrestle/state/RecordCodec.java
@@ -7,8 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.fieldtrestle.protocol.JobSpecCodec;
 import org.fieldtrestle.protocol.Json;
-import org.fieldtrestle.protocol.Json.MalformedJsonException;
+import org.fieldtrestle.protocol.MalformedJsonException;
 import org.fieldtrestle.protocol.UserProtocol;
 import org.fieldtrestle.state.StateKey.InventoryKey;
 
@@ -54,7 +55,7 @@
   /** Writes a job. */
   public static JsonNode encode(JobRecord job) {
     ObjectNode json = form(JOB_FORM);
-    json.set("job", UserProtocol.writeJob(job.spec()));
+    json.set("job", JobSpecCodec.write(job.spec()));
     json.put("at", job.acceptedWallMs());
     if (job.zone() != null) {
       json.put("zone", job.zone());
@@ -81,7 +82,7 @@
         value,
         JOB_FORM,
         json -> {
-          var spec = UserProtocol.readJob(json.path("job"));
+          var spec = JobSpecCodec.read(json.path("job"));
           List<InitialRange> ranges = new ArrayList<>();
           for (JsonNode part : json.path("parts")) {
             ranges.add(decodeInitialRange(part, spec.tasks()));
--- a/src/main/java/org/fieldtrestle/worker/FreeResources.java
+++ b/src/main/java/org/fieldtrestle/worker/FreeResources.java
@@ -1,7 +1,7 @@
 package org.fieldtrestle.worker;
 
-import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.protocol.MachineType;
 
 /** A machine's free amounts during one placement pass. */
 public final class FreeResources {
--- a/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
@@ -1,7 +1,7 @@
 package org.fieldtrestle.worker;
 
+import org.fieldtrestle.protocol.ExitCause;
 import org.fieldtrestle.protocol.TaskId;
-import org.fieldtrestle.protocol.WorkerProtocol.Cause;
 
 /** A task that is, or may be, on a machine. */
 public final class TaskAttempt {
@@ -41,7 +41,7 @@
   /** Changed by its host alone, which keeps sums of it. */
   private State state = State.STARTING;
 
-  Cause cause = Cause.NONE;
+  ExitCause cause = ExitCause.NONE;
 
   /** Its start has gone out at least once, so that it may be there. */
   boolean startSent;
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.ExitCause;
 import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.protocol.TaskId;
-import org.fieldtrestle.protocol.WorkerProtocol;
 import org.fieldtrestle.state.ActiveJob;
 import org.fieldtrestle.state.RangeRecord;
 import org.fieldtrestle.state.RecordCodec;
@@ -263,7 +263,7 @@
       return;
     }
     int offset = task.offset();
-    if (task.cause == WorkerProtocol.Cause.DONE) {
+    if (task.cause == ExitCause.DONE) {
       range.finish(offset);
       failures.succeeded(task, now);
       if (range.ended || range.isDone(offset)) {
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -9,9 +9,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.fieldtrestle.protocol.CloudProtocol.MachineType;
+import org.fieldtrestle.protocol.MachineType;
 import org.fieldtrestle.protocol.TaskId;
-import org.fieldtrestle.protocol.WorkerProtocol;
+import org.fieldtrestle.protocol.TaskState;
+import org.fieldtrestle.protocol.TaskStatus;
+import org.fieldtrestle.protocol.WorkerCommand;
 
 /** A machine of this shard's, and everything that is or may be on it. */
 public final class Worker {
@@ -95,7 +97,7 @@
   private double usedMemory;
 
   /** Reported tasks that no range of ours knows: only to be stopped and cleared. */
-  final List<WorkerProtocol.ReportedTask> unknownTasks = new ArrayList<>();
+  final List<TaskStatus> unknownTasks = new ArrayList<>();
 
   /** Images that it should have, the least recently used first, with their sizes. */
   private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
@@ -150,7 +152,7 @@
         && now < claimUntil
         && claim.spec != null
         && claim.waiting() > 0
-        && !range.spec.priority().above(claim.spec.priority());
+        && !range.spec.priority().isHigherThan(claim.spec.priority());
   }
 
   /** Nothing that we sent can still be executed late. */
@@ -268,13 +270,13 @@
   }
 
   /** What the machine is to do now; starts only those tasks that may be. */
-  List<WorkerProtocol.Command> orders(Predicate<TaskAttempt> startable, int most) {
-    List<WorkerProtocol.Command> orders = new ArrayList<>();
-    for (WorkerProtocol.ReportedTask ghost : unknownTasks) {
-      if (ghost.state() != WorkerProtocol.TaskState.EXITED) {
-        orders.add(new WorkerProtocol.Stop(ghost.task(), ghost.attempt(), 0));
+  List<WorkerCommand> orders(Predicate<TaskAttempt> startable, int most) {
+    List<WorkerCommand> orders = new ArrayList<>();
+    for (TaskStatus ghost : unknownTasks) {
+      if (ghost.state() != TaskState.EXITED) {
+        orders.add(new WorkerCommand.Stop(ghost.task(), ghost.attempt(), 0));
       } else if (hasNoCommandInFlight()) {
-        orders.add(new WorkerProtocol.Clear(ghost.task(), ghost.attempt()));
+        orders.add(new WorkerCommand.Clear(ghost.task(), ghost.attempt()));
       }
     }
     for (TaskAttempt task : attempts.values()) {
@@ -282,23 +284,23 @@
         // After a clear the worker no longer knows the attempt, so that a late copy of its start
         // would run it again: only where no such copy can be under way.
         if (task.clearable && hasNoCommandInFlight()) {
-          orders.add(new WorkerProtocol.Clear(task.task, task.attempt));
+          orders.add(new WorkerCommand.Clear(task.task, task.attempt));
         }
       } else if (task.stop) {
-        orders.add(new WorkerProtocol.Stop(task.task, task.attempt, task.graceS));
+        orders.add(new WorkerCommand.Stop(task.task, task.attempt, task.graceS));
       }
     }
     for (TaskAttempt task : attempts.values()) {
       if (task.state() == TaskAttempt.State.STARTING && !task.stop && startable.test(task)) {
-        orders.add(new WorkerProtocol.Start(task.task, task.attempt));
+        orders.add(new WorkerCommand.Start(task.task, task.attempt));
       }
     }
-    List<WorkerProtocol.Command> sent = orders.size() > most ? orders.subList(0, most) : orders;
-    for (WorkerProtocol.Command order : sent) {
+    List<WorkerCommand> sent = orders.size() > most ? orders.subList(0, most) : orders;
+    for (WorkerCommand order : sent) {
       TaskAttempt task = attempts.get(order.task());
-      if (order instanceof WorkerProtocol.Start) {
+      if (order instanceof WorkerCommand.Start) {
         task.startSent = true;
-      } else if (order instanceof WorkerProtocol.Stop && task != null) {
+      } else if (order instanceof WorkerCommand.Stop && task != null) {
         task.stopSent = true;
       }
     }
--- a/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
@@ -6,7 +6,9 @@
 import java.util.List;
 import java.util.Set;
 import org.fieldtrestle.context.ControllerContext;
-import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.protocol.Heartbeat;
+import org.fieldtrestle.protocol.MalformedJsonException;
+import org.fieldtrestle.protocol.WorkerCommand;
 import org.fieldtrestle.protocol.WorkerProtocol;
 import org.fieldtrestle.transport.Http;
 import org.slf4j.Logger;
@@ -46,7 +48,7 @@
   }
 
   /** What a machine is to do now, by what is known at this moment. */
-  List<WorkerProtocol.Command> ordersFor(Worker worker) {
+  List<WorkerCommand> ordersFor(Worker worker) {
     if (worker.attempts().stream().anyMatch(this::mustStop)) {
       worker.copyOfAttempts().stream().filter(this::mustStop).forEach(task -> stop(task, 0));
     }
@@ -124,8 +126,8 @@
 
   private void direct(Worker worker) {
     // The clears are left for the next report's answer, which is never executed late.
-    List<WorkerProtocol.Command> orders = new ArrayList<>(ordersFor(worker));
-    orders.removeIf(order -> order instanceof WorkerProtocol.Clear);
+    List<WorkerCommand> orders = new ArrayList<>(ordersFor(worker));
+    orders.removeIf(order -> order instanceof WorkerCommand.Clear);
     if (orders.isEmpty()) {
       return;
     }
@@ -136,8 +138,8 @@
         .call(
             worker.address,
             "POST",
-            WorkerProtocol.COMMANDS,
-            WorkerProtocol.commands(worker.fencingToken, sentSession, orders),
+            WorkerProtocol.COMMANDS_PATH,
+            WorkerProtocol.writeCommands(worker.fencingToken, sentSession, orders),
             context.heartbeatIntervalsMs(0.8),
             outcome -> answered(worker, outcome));
   }
@@ -150,14 +152,14 @@
     if (outcome instanceof Http.Answer answer
         && (answer.status() == 200 || answer.status() == 409)) {
       try {
-        WorkerProtocol.Heartbeat report = WorkerProtocol.readHeartbeat(answer.body());
+        Heartbeat report = WorkerProtocol.readHeartbeat(answer.body());
         if (!term.isOver()
             && machines.get(worker.id) == worker
             && report.machine().equals(worker.id)) {
           machines.learn(worker, report);
         }
         return;
-      } catch (Json.MalformedJsonException e) {
+      } catch (MalformedJsonException e) {
         LOG.warn("machine {} answered a command out of form: {}", worker.id, e.getMessage());
       }
     }
--- a/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
@@ -9,9 +9,14 @@
 import java.util.TreeMap;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.context.ControllerContext;
-import org.fieldtrestle.protocol.CloudProtocol.MachineType;
+import org.fieldtrestle.protocol.ExitCause;
+import org.fieldtrestle.protocol.Heartbeat;
 import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.protocol.MachineType;
 import org.fieldtrestle.protocol.TaskId;
+import org.fieldtrestle.protocol.TaskState;
+import org.fieldtrestle.protocol.TaskStatus;
+import org.fieldtrestle.protocol.WorkerCommand;
 import org.fieldtrestle.protocol.WorkerProtocol;
 import org.fieldtrestle.state.MachineRecord;
 import org.slf4j.Logger;
@@ -257,27 +262,27 @@
   }
 
   /** A worker reports. */
-  public Heard reported(Worker worker, WorkerProtocol.Heartbeat report) {
+  public Heard reported(Worker worker, Heartbeat report) {
     long now = context.now();
-    if (report.token() > worker.fencingToken) {
-      LOG.warn("machine {} has seen token {}, above ours", worker.id, report.token());
-      if (report.token() >= term.firstTokenOfNextEpoch()) {
+    if (report.fencingToken() > worker.fencingToken) {
+      LOG.warn("machine {} has seen token {}, above ours", worker.id, report.fencingToken());
+      if (report.fencingToken() >= term.firstTokenOfNextEpoch()) {
         return Heard.REFUSED;
       }
-      worker.fencingToken = report.token();
+      worker.fencingToken = report.fencingToken();
     }
-    if (report.session() == worker.incarnation
-        ? report.seq() <= worker.heartbeatSequence
-            || report.seq() < worker.sequence
-                && now - worker.lastHeartbeatAt > WorkerProtocol.ANSWER_WITHIN_MS
-        : report.session() < worker.incarnation) {
+    if (report.incarnation() == worker.incarnation
+        ? report.sequence() <= worker.heartbeatSequence
+            || report.sequence() < worker.sequence
+                && now - worker.lastHeartbeatAt > WorkerProtocol.HEARTBEAT_TIMEOUT_MS
+        : report.incarnation() < worker.incarnation) {
       // A copy of one that came before, or so late that its worker no longer waits for an answer:
       // a 200 would make us count a lease that the worker does not.
       return Heard.REFUSED;
     }
     boolean changed = learn(worker, report);
     listen(worker, report, now);
-    worker.heartbeatSequence = Math.max(worker.heartbeatSequence, report.seq());
+    worker.heartbeatSequence = Math.max(worker.heartbeatSequence, report.sequence());
     markUp(worker);
     return changed ? Heard.CHANGED : Heard.STEADY;
   }
@@ -287,15 +292,15 @@
   }
 
   /** The orders in the answer to a report, which renews the machine's lease. */
-  public List<WorkerProtocol.Command> answer(Worker worker) {
+  public List<WorkerCommand> answer(Worker worker) {
     worker.leaseRenewedAt = Math.max(worker.leaseRenewedAt, context.now());
     if (!resolvedNow(worker)) {
       return List.of();
     }
-    List<WorkerProtocol.Command> orders = commands.ordersFor(worker);
-    for (WorkerProtocol.Command order : orders) {
+    List<WorkerCommand> orders = commands.ordersFor(worker);
+    for (WorkerCommand order : orders) {
       TaskAttempt task = worker.attempt(order.task());
-      if (task != null && order instanceof WorkerProtocol.Start) {
+      if (task != null && order instanceof WorkerCommand.Start) {
         task.answeredSeq = worker.sequence;
       }
     }
@@ -303,35 +308,35 @@
   }
 
   /** Takes in a report, or the report in the answer to a direct command. */
-  boolean learn(Worker worker, WorkerProtocol.Heartbeat report) {
+  boolean learn(Worker worker, Heartbeat report) {
     long now = context.now();
     if (!report.newerThan(worker.incarnation, worker.sequence)) {
       return false;
     }
-    if (worker.leaseExpired && report.session() == worker.incarnation) {
+    if (worker.leaseExpired && report.incarnation() == worker.incarnation) {
       return false; // sent before its lease ran out, and late
     }
     boolean changed = worker.leaseExpired;
     worker.lastHeartbeatAt = now;
     worker.leaseExpired = false;
-    worker.sequence = report.seq();
+    worker.sequence = report.sequence();
     worker.address = report.address();
-    worker.seenFencingToken = Math.max(worker.seenFencingToken, report.token());
-    notice(worker, report.noticeS());
-    if (report.session() != worker.incarnation) {
+    worker.seenFencingToken = Math.max(worker.seenFencingToken, report.fencingToken());
+    notice(worker, report.spotNoticeS());
+    if (report.incarnation() != worker.incarnation) {
       changed = true;
       worker.heartbeatSequence = -1;
       if (worker.incarnation >= 0) {
-        LOG.info("machine {} is in session {} now", worker.id, report.session());
-        worker.incarnation = report.session();
+        LOG.info("machine {} is in session {} now", worker.id, report.incarnation());
+        worker.incarnation = report.incarnation();
         loseTasks(worker, "its lease ran out");
       }
-      worker.incarnation = report.session();
+      worker.incarnation = report.incarnation();
       // A session's lease runs from when it began, which may be just now, whoever answers: what is
       // given to it by a direct command must not be taken for lost with the session before.
       worker.leaseRenewedAt = Math.max(worker.leaseRenewedAt, now);
     }
-    if (report.token() < term.firstToken()) {
+    if (report.fencingToken() < term.firstToken()) {
       return false; // may still be given commands of an earlier epoch
     }
     if (!worker.reconciled) {
@@ -354,11 +359,11 @@
    * they were to start, it gets a higher token to show, and no more tasks until it does. A worker
    * reports again only once the answer before has come or been given up.
    */
-  private void listen(Worker worker, WorkerProtocol.Heartbeat report, long now) {
+  private void listen(Worker worker, Heartbeat report, long now) {
     boolean lacks = false;
     boolean has = false;
     for (TaskAttempt task : worker.attempts()) {
-      if (task.answeredSeq >= 0 && task.answeredSeq < report.seq()) {
+      if (task.answeredSeq >= 0 && task.answeredSeq < report.sequence()) {
         lacks |= task.state() == TaskAttempt.State.STARTING;
         has |= task.state() != TaskAttempt.State.STARTING;
         task.answeredSeq = -1;
@@ -380,12 +385,12 @@
     }
   }
 
-  private boolean reconcile(Worker worker, WorkerProtocol.Heartbeat report) {
+  private boolean reconcile(Worker worker, Heartbeat report) {
     boolean changed = false;
     int shown = 0;
     worker.unknownTasks.clear();
     duplicates.values().removeIf(holder -> holder == worker);
-    for (WorkerProtocol.ReportedTask reported : report.tasks()) {
+    for (TaskStatus reported : report.tasks()) {
       TaskAttempt task = worker.attempt(reported.task());
       if (task == null || task.attempt != reported.attempt()) {
         task = found(worker, reported, task);
@@ -395,8 +400,8 @@
         worker.unknownTasks.add(reported);
         noteDuplicate(worker, reported);
       } else {
-        shown += task.shownIn == report.seq() ? 0 : 1;
-        task.shownIn = report.seq();
+        shown += task.shownIn == report.sequence() ? 0 : 1;
+        task.shownIn = report.sequence();
         changed |= follow(task, reported);
       }
     }
@@ -404,7 +409,7 @@
       return changed;
     }
     for (TaskAttempt task : worker.copyOfAttempts()) {
-      if (task.shownIn == report.seq()) {
+      if (task.shownIn == report.sequence()) {
         continue;
       }
       if (!task.live()) {
@@ -421,10 +426,10 @@
     return changed;
   }
 
-  private void noteDuplicate(Worker worker, WorkerProtocol.ReportedTask reported) {
+  private void noteDuplicate(Worker worker, TaskStatus reported) {
     TaskRange range = ranges.of(reported.task());
     if (range != null
-        && reported.state() != WorkerProtocol.TaskState.EXITED
+        && reported.state() != TaskState.EXITED
         && !range.isDone(reported.task().index() - range.record.from())) {
       duplicates.put(reported.task(), worker);
     }
@@ -437,10 +442,9 @@
   }
 
   /** A task on a machine that we have not placed there in this epoch, or not as this attempt. */
-  private TaskAttempt found(
-      Worker worker, WorkerProtocol.ReportedTask reported, TaskAttempt expected) {
+  private TaskAttempt found(Worker worker, TaskStatus reported, TaskAttempt expected) {
     TaskRange range = ranges.of(reported.task());
-    boolean exited = reported.state() == WorkerProtocol.TaskState.EXITED;
+    boolean exited = reported.state() == TaskState.EXITED;
     if (range == null) {
       return null;
     }
@@ -451,7 +455,7 @@
       }
       return null;
     }
-    if (exited && reported.cause() == WorkerProtocol.Cause.DONE) {
+    if (exited && reported.cause() == ExitCause.DONE) {
       if (expected != null) {
         worker.remove(expected);
       }
@@ -488,7 +492,7 @@
   }
 
   /** Takes over a task's reported state; true where it has ended by that. */
-  private boolean follow(TaskAttempt task, WorkerProtocol.ReportedTask reported) {
+  private boolean follow(TaskAttempt task, TaskStatus reported) {
     long now = context.now();
     Worker worker = task.worker;
     task.startSent = true;
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -31,7 +31,7 @@
   private Http.Caller lateCommits() {
     Http.Caller prompt = network.caller();
     return (address, method, path, body, timeoutMs, done) -> {
-      long late = path.equals(KeyValueProtocol.COMMIT) ? LATE_MS : 0;
+      long late = path.equals(KeyValueProtocol.COMMIT_PATH) ? LATE_MS : 0;
       prompt.call(
           address,
           method,
--- a/src/test/java/org/fieldtrestle/protocol/JsonTreeTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/JsonTreeTest.java
@@ -32,7 +32,7 @@
 
   @Property(tries = 500, seed = "1")
   void treesAreReadAndWrittenAsTheMapperDoes(@ForAll("objects") ObjectNode tree)
-      throws JsonProcessingException, Json.MalformedJsonException {
+      throws JsonProcessingException, MalformedJsonException {
     byte[] expected = MAPPER.writeValueAsBytes(tree);
     assertEquals(text(expected), text(Json.bytes(tree)));
     assertEquals(tree, Json.parse(expected));
@@ -91,11 +91,11 @@
       })
   void whatIsNotOneObjectIsRefused(String body) {
     assertThrows(
-        Json.MalformedJsonException.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
+        MalformedJsonException.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  void theLastOfTwoFieldsOfTheSameNameCounts() throws Json.MalformedJsonException {
+  void theLastOfTwoFieldsOfTheSameNameCounts() throws MalformedJsonException {
     assertEquals(
         2, Json.parse("{\"a\":1,\"a\":2}".getBytes(StandardCharsets.UTF_8)).path("a").asInt());
   }
@@ -116,7 +116,7 @@
   void deeperNestingThanJacksonAllowsIsRefused() {
     String body = "{\"a\":" + "[".repeat(2 * DEEP) + "]".repeat(2 * DEEP) + "}";
     assertThrows(
-        Json.MalformedJsonException.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
+        MalformedJsonException.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
   }
 
   private static String text(byte[] bytes) {
--- a/src/test/java/org/fieldtrestle/protocol/ProtocolCompatibilityTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/ProtocolCompatibilityTest.java
@@ -16,39 +16,36 @@
   private static final long SENT_WALL_MS = 1_790_000_000_123L;
   private static final TaskId TASK = new TaskId("job-000412", 4);
 
-  private static Map<String, PeerProtocol.Message> peerMessages() {
-    Map<String, PeerProtocol.Message> all = new LinkedHashMap<>();
+  private static Map<String, PeerMessage> peerMessages() {
+    Map<String, PeerMessage> all = new LinkedHashMap<>();
     all.put(
         "shard-load",
-        new PeerProtocol.ShardLoad(
+        new PeerMessage.ShardLoad(
             "trestle-0",
             "trestle-1",
             41,
             12.5,
             960,
-            List.of(
-                new PeerProtocol.FreeCapacity("a", 8, 1, 64),
-                new PeerProtocol.FreeCapacity("b", 0.5, 0, 2.25))));
+            List.of(new FreeCapacity("a", 8, 1, 64), new FreeCapacity("b", 0.5, 0, 2.25))));
     all.put(
         "shard-load-without-room",
-        new PeerProtocol.ShardLoad("trestle-0", "trestle-0", 1, 0, 0, List.of()));
-    all.put("liveness-served", new PeerProtocol.Liveness("trestle-2", true));
-    all.put("liveness-not-served", new PeerProtocol.Liveness("trestle-2", false));
-    all.put("redirect-count", new PeerProtocol.RedirectCount("trestle-2", "trestle-0", 2078));
-    all.put("job-cancelled", new PeerProtocol.JobCancelled("trestle-2", "job-000412"));
+        new PeerMessage.ShardLoad("trestle-0", "trestle-0", 1, 0, 0, List.of()));
+    all.put("liveness-served", new PeerMessage.Liveness("trestle-2", true));
+    all.put("liveness-not-served", new PeerMessage.Liveness("trestle-2", false));
+    all.put("redirect-count", new PeerMessage.RedirectCount("trestle-2", "trestle-0", 2078));
+    all.put("job-cancelled", new PeerMessage.JobCancelled("trestle-2", "job-000412"));
     return all;
   }
 
   @Test
   void peerFramesAreReadAndWrittenAsBefore() throws Exception {
     Map<String, String> frames = CompatibilityFixture.read("peer-frames.txt");
-    Map<String, PeerProtocol.Message> messages = peerMessages();
+    Map<String, PeerMessage> messages = peerMessages();
     assertEquals(frames.keySet(), messages.keySet());
-    for (Map.Entry<String, PeerProtocol.Message> expected : messages.entrySet()) {
+    for (Map.Entry<String, PeerMessage> expected : messages.entrySet()) {
       byte[] frame = HexFormat.of().parseHex(frames.get(expected.getKey()));
       ByteBuffer body = ByteBuffer.wrap(frame, Integer.BYTES, frame.length - Integer.BYTES);
-      assertEquals(
-          new PeerProtocol.Frame(SENT_WALL_MS, expected.getValue()), PeerProtocol.decode(body));
+      assertEquals(new PeerFrame(SENT_WALL_MS, expected.getValue()), PeerProtocol.decode(body));
       ByteBuffer written = PeerProtocol.encode(SENT_WALL_MS, expected.getValue());
       assertEquals(ByteBuffer.wrap(frame), written, expected.getKey());
     }
@@ -65,17 +62,19 @@
   }
 
   private static void putWorkerMessages(Map<String, String> written) {
-    List<WorkerProtocol.Command> commands =
+    List<WorkerCommand> commands =
         List.of(
-            new WorkerProtocol.Start(TASK, 2),
-            new WorkerProtocol.Stop(new TaskId("job-000377", 1), 1, 10),
-            new WorkerProtocol.Stop(new TaskId("job-000377", 2), 1, 0),
-            new WorkerProtocol.Clear(new TaskId("job-000398", 0), 1));
-    written.put("heartbeat-answer", text(WorkerProtocol.answer(41, commands)));
-    written.put("heartbeat-answer-without-commands", text(WorkerProtocol.answer(41, List.of())));
-    written.put("commands", text(WorkerProtocol.commands(41, 3, commands)));
-    written.put("redirect", text(WorkerProtocol.redirect("trestle-2")));
-    written.put("redirect-unknown", text(WorkerProtocol.redirect(null)));
+            new WorkerCommand.Start(TASK, 2),
+            new WorkerCommand.Stop(new TaskId("job-000377", 1), 1, 10),
+            new WorkerCommand.Stop(new TaskId("job-000377", 2), 1, 0),
+            new WorkerCommand.Clear(new TaskId("job-000398", 0), 1));
+    written.put("heartbeat-answer", text(WorkerProtocol.writeHeartbeatAnswer(41, commands)));
+    written.put(
+        "heartbeat-answer-without-commands",
+        text(WorkerProtocol.writeHeartbeatAnswer(41, List.of())));
+    written.put("commands", text(WorkerProtocol.writeCommands(41, 3, commands)));
+    written.put("redirect", text(WorkerProtocol.writeRedirect("trestle-2")));
+    written.put("redirect-unknown", text(WorkerProtocol.writeRedirect(null)));
   }
 
   private static void putStoreMessages(Map<String, String> written) {
@@ -88,9 +87,12 @@
             new KeyValueProtocol.Put("ft/live/member/trestle-0", Json.object().put("f", 1), 99),
             new KeyValueProtocol.Put("ft/live/quota/a", Json.object().put("f", 1), 0),
             new KeyValueProtocol.Delete("ft/live/job/job-000412"));
-    written.put("store-commit", text(KeyValueProtocol.commit(List.of(atVersion, absent), changes)));
-    written.put("store-compare", text(KeyValueProtocol.commit(List.of(atVersion), List.of())));
-    written.put("store-lease", text(KeyValueProtocol.ttl(9000)));
+    written.put(
+        "store-commit",
+        text(KeyValueProtocol.writeTransaction(List.of(atVersion, absent), changes)));
+    written.put(
+        "store-compare", text(KeyValueProtocol.writeTransaction(List.of(atVersion), List.of())));
+    written.put("store-lease", text(KeyValueProtocol.writeLeaseRequest(9000)));
     written.put("store-list-path", KeyValueProtocol.listPath("ft/live/", "", 1000));
     written.put(
         "store-list-path-after",
@@ -100,17 +102,16 @@
   }
 
   private static void putUserMessages(Map<String, String> written) {
+    written.put("user-accepted", text(UserProtocol.writeAccepted("job-000412", JobStage.QUEUED)));
     written.put(
-        "user-accepted", text(UserProtocol.accepted("job-000412", UserProtocol.Stage.QUEUED)));
-    written.put(
-        "user-status", text(UserProtocol.status("job-000412", UserProtocol.Stage.RUNNING, 3, 13)));
-    written.put("user-error", text(UserProtocol.error("crew")));
+        "user-status", text(UserProtocol.writeStatus("job-000412", JobStage.RUNNING, 3, 13)));
+    written.put("user-error", text(UserProtocol.writeError("crew")));
   }
 
   private static void putCloudMessages(Map<String, String> written) {
-    written.put("cloud-rent", text(CloudProtocol.rent("req-1", "g8", "a", true, 3)));
+    written.put("cloud-rent", text(CloudProtocol.writeRental("req-1", "g8", "a", true, 3)));
     written.put(
-        "cloud-return", text(CloudProtocol.terminate(List.of("host-000001", "host-000002"))));
+        "cloud-return", text(CloudProtocol.writeReturn(List.of("host-000001", "host-000002"))));
     written.put("cloud-list-path", CloudProtocol.listPath(""));
     written.put("cloud-list-path-after", CloudProtocol.listPath("host-000002"));
   }
--- a/src/test/java/org/fieldtrestle/protocol/ProtocolsTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/ProtocolsTest.java
@@ -19,6 +19,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
+/** Messages of users and workers and peer frames: what is read, and what is refused by name. */
 class ProtocolsTest {
   private static ObjectNode job() {
     return Json.object()
@@ -46,7 +47,7 @@
   }
 
   @Test
-  void everyRequiredFieldIsRequiredAndNamed() throws Json.MalformedJsonException {
+  void everyRequiredFieldIsRequiredAndNamed() throws MalformedJsonException {
     assertEquals(16, UserProtocol.readJob(Json.bytes(job())).tasks());
     job()
         .fieldNames()
@@ -54,9 +55,9 @@
             field -> {
               ObjectNode without = job();
               without.remove(field);
-              Json.MalformedJsonException error =
+              MalformedJsonException error =
                   assertThrows(
-                      Json.MalformedJsonException.class,
+                      MalformedJsonException.class,
                       () -> UserProtocol.readJob(Json.bytes(without)),
                       field);
               assertEquals(field, error.getMessage());
@@ -64,7 +65,7 @@
                 ObjectNode wrong = job();
                 wrong.putPOJO(field, bad);
                 assertThrows(
-                    Json.MalformedJsonException.class,
+                    MalformedJsonException.class,
                     () -> UserProtocol.readJob(Json.bytes(wrong)),
                     field + " " + bad);
               }
@@ -72,12 +73,12 @@
   }
 
   @Test
-  void nullMeansAbsentAndUnknownFieldsAreIgnored() throws Json.MalformedJsonException {
+  void nullMeansAbsentAndUnknownFieldsAreIgnored() throws MalformedJsonException {
     ObjectNode node = job().putNull("rigs").putNull("yard").putNull("dueS").put("extra", 5);
     JobSpec spec = UserProtocol.readJob(Json.bytes(node));
     assertEquals(List.of(), spec.types());
     assertEquals(-1, spec.deadlineS());
-    assertEquals(spec, UserProtocol.readJob(Json.bytes(UserProtocol.writeJob(spec))));
+    assertEquals(spec, UserProtocol.readJob(Json.bytes(JobSpecCodec.write(spec))));
   }
 
   @Test
@@ -86,15 +87,14 @@
       String text =
           new String(Json.bytes(job()), StandardCharsets.UTF_8)
               .replace("\"boards\":16", "\"boards\":" + boards);
-      assertThrows(
-          Json.MalformedJsonException.class, () -> UserProtocol.readJob(utf8(text)), boards);
+      assertThrows(MalformedJsonException.class, () -> UserProtocol.readJob(utf8(text)), boards);
     }
     String endless =
         new String(Json.bytes(job()), StandardCharsets.UTF_8)
             .replace("\"cpus\":8.0", "\"cpus\":1e400");
-    assertThrows(Json.MalformedJsonException.class, () -> UserProtocol.readJob(utf8(endless)));
+    assertThrows(MalformedJsonException.class, () -> UserProtocol.readJob(utf8(endless)));
     for (String body : new String[] {"", "[]", "7", "{", "{}x", "null", "\"a\"", "{\"uid\":"}) {
-      assertThrows(Json.MalformedJsonException.class, () -> UserProtocol.readJob(utf8(body)), body);
+      assertThrows(MalformedJsonException.class, () -> UserProtocol.readJob(utf8(body)), body);
     }
   }
 
@@ -102,17 +102,17 @@
   void noBytesMakeAReaderFailOtherwiseThanByName(@ForAll byte[] noise) {
     try {
       UserProtocol.readJob(noise);
-    } catch (Json.MalformedJsonException e) {
+    } catch (MalformedJsonException e) {
       assertTrue(e.getMessage() != null);
     }
     try {
       WorkerProtocol.readHeartbeat(noise);
-    } catch (Json.MalformedJsonException e) {
+    } catch (MalformedJsonException e) {
       assertTrue(e.getMessage() != null);
     }
     try {
       PeerProtocol.decode(ByteBuffer.wrap(noise));
-    } catch (PeerProtocol.MalformedFrameException e) {
+    } catch (MalformedFrameException e) {
       assertTrue(e.getMessage() != null);
     }
   }
@@ -123,42 +123,41 @@
       @ForAll @LongRange(min = 0) long epoch,
       @ForAll @DoubleRange(min = 0, max = 1e9) double amount,
       @ForAll @IntRange(max = 10) int rooms)
-      throws PeerProtocol.MalformedFrameException {
-    List<PeerProtocol.FreeCapacity> all = new ArrayList<>();
+      throws MalformedFrameException {
+    List<FreeCapacity> all = new ArrayList<>();
     for (int i = 0; i < rooms; i++) {
-      all.add(new PeerProtocol.FreeCapacity("zone-" + i, amount, i, amount / 2));
+      all.add(new FreeCapacity("zone-" + i, amount, i, amount / 2));
     }
-    PeerProtocol.ShardLoad load =
-        new PeerProtocol.ShardLoad(sender, "m", epoch, amount, amount * 2, all);
+    PeerMessage.ShardLoad load =
+        new PeerMessage.ShardLoad(sender, "m", epoch, amount, amount * 2, all);
     ByteBuffer frame = PeerProtocol.encode(epoch / 3, load);
     assertEquals(frame.remaining() - 4, frame.getInt());
     byte[] body = new byte[frame.remaining()];
     frame.get(body);
-    assertEquals(
-        new PeerProtocol.Frame(epoch / 3, load), PeerProtocol.decode(ByteBuffer.wrap(body)));
+    assertEquals(new PeerFrame(epoch / 3, load), PeerProtocol.decode(ByteBuffer.wrap(body)));
     for (int cut = 0; cut < body.length; cut++) {
       ByteBuffer shorter = ByteBuffer.wrap(body, 0, cut);
-      assertThrows(PeerProtocol.MalformedFrameException.class, () -> PeerProtocol.decode(shorter));
+      assertThrows(MalformedFrameException.class, () -> PeerProtocol.decode(shorter));
     }
   }
 
   @Test
-  void smallFramesAreReadAsTheyWereSent() throws PeerProtocol.MalformedFrameException {
-    for (PeerProtocol.Message message :
+  void smallFramesAreReadAsTheyWereSent() throws MalformedFrameException {
+    for (PeerMessage message :
         List.of(
-            new PeerProtocol.Liveness("trestle-2", true),
-            new PeerProtocol.Liveness("trestle-2", false),
-            new PeerProtocol.JobCancelled("trestle-2", "job-000412"),
-            new PeerProtocol.RedirectCount("trestle-2", "trestle-0", 0),
-            new PeerProtocol.RedirectCount("trestle-2", "trestle-0", 2078))) {
+            new PeerMessage.Liveness("trestle-2", true),
+            new PeerMessage.Liveness("trestle-2", false),
+            new PeerMessage.JobCancelled("trestle-2", "job-000412"),
+            new PeerMessage.RedirectCount("trestle-2", "trestle-0", 0),
+            new PeerMessage.RedirectCount("trestle-2", "trestle-0", 2078))) {
       ByteBuffer frame = PeerProtocol.encode(17, message);
       assertEquals(frame.remaining() - 4, frame.getInt());
-      assertEquals(new PeerProtocol.Frame(17, message), PeerProtocol.decode(frame));
+      assertEquals(new PeerFrame(17, message), PeerProtocol.decode(frame));
     }
     ByteBuffer wrong =
-        PeerProtocol.encode(17, new PeerProtocol.RedirectCount("trestle-2", "trestle-0", -1));
+        PeerProtocol.encode(17, new PeerMessage.RedirectCount("trestle-2", "trestle-0", -1));
     wrong.getInt();
-    assertThrows(PeerProtocol.MalformedFrameException.class, () -> PeerProtocol.decode(wrong));
+    assertThrows(MalformedFrameException.class, () -> PeerProtocol.decode(wrong));
   }
 
   private static final String REPORT =
@@ -168,12 +167,12 @@
       "board":"job-1/2","try":3,"stage":"exited","cause":"done"}]}""";
 
   @Test
-  void aReportThatIsCutOffOrDamagedIsRefusedByName() throws Json.MalformedJsonException {
+  void aReportThatIsCutOffOrDamagedIsRefusedByName() throws MalformedJsonException {
     assertEquals(1, WorkerProtocol.readHeartbeat(utf8(REPORT)).tasks().size());
     for (int cut = 0; cut < REPORT.length(); cut++) {
       byte[] shorter = utf8(REPORT.substring(0, cut));
       assertThrows(
-          Json.MalformedJsonException.class,
+          MalformedJsonException.class,
           () -> WorkerProtocol.readHeartbeat(shorter),
           "cut at " + cut);
     }
@@ -194,26 +193,24 @@
     };
     for (String[] damage : damages) {
       String text = REPORT.replace(damage[0], damage[1]);
-      Json.MalformedJsonException refused =
+      MalformedJsonException refused =
           assertThrows(
-              Json.MalformedJsonException.class,
-              () -> WorkerProtocol.readHeartbeat(utf8(text)),
-              text);
+              MalformedJsonException.class, () -> WorkerProtocol.readHeartbeat(utf8(text)), text);
       assertEquals(damage[2], refused.getMessage(), text);
     }
     assertThrows(
-        Json.MalformedJsonException.class, () -> WorkerProtocol.readHeartbeat(utf8(REPORT + "x")));
-    WorkerProtocol.Heartbeat odd =
+        MalformedJsonException.class, () -> WorkerProtocol.readHeartbeat(utf8(REPORT + "x")));
+    Heartbeat odd =
         WorkerProtocol.readHeartbeat(
             utf8(REPORT.replace("\"cause\":\"done\"", "\"cause\":{\"a\":[1]}")));
-    assertEquals(WorkerProtocol.Cause.NONE, odd.tasks().get(0).cause());
+    assertEquals(ExitCause.NONE, odd.tasks().get(0).cause());
   }
 
   @Property(tries = 200, seed = "43")
   void reportsAreReadWithAllTheirTasks(
       @ForAll @LongRange(min = 0, max = 1L << 60) long token,
       @ForAll @Size(max = 20) List<@IntRange(max = 99_999) Integer> indexes)
-      throws Json.MalformedJsonException {
+      throws MalformedJsonException {
     ObjectNode report =
         Json.object()
             .put("bench", "host-000231")
@@ -233,9 +230,9 @@
           .put("stage", "exited")
           .put("cause", "done");
     }
-    WorkerProtocol.Heartbeat read = WorkerProtocol.readHeartbeat(Json.bytes(report));
-    assertEquals(token, read.token());
+    Heartbeat read = WorkerProtocol.readHeartbeat(Json.bytes(report));
+    assertEquals(token, read.fencingToken());
     assertEquals(indexes, read.tasks().stream().map(t -> t.task().index()).toList());
-    assertTrue(read.tasks().stream().allMatch(t -> t.cause() == WorkerProtocol.Cause.DONE));
+    assertTrue(read.tasks().stream().allMatch(t -> t.cause() == ExitCause.DONE));
   }
 }
--- a/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
+++ b/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
@@ -80,7 +80,7 @@
     for (int i = 0; i < scores.size(); i++) {
       Priority priority = priorities.get(i % priorities.size());
       queue.add(new SelectivePreemption.Waiting<>("t" + i, priority, scores.get(i), 1 + i % 4));
-      highest = priority.above(highest) ? priority : highest;
+      highest = priority.isHigherThan(highest) ? priority : highest;
     }
     assertEquals(highest, falcon.next(queue).priority());
   }
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -14,11 +14,14 @@
 import org.fieldtrestle.leadership.CancellationNotices;
 import org.fieldtrestle.leadership.Membership;
 import org.fieldtrestle.metrics.ControllerMetrics;
+import org.fieldtrestle.protocol.ExitCause;
+import org.fieldtrestle.protocol.Heartbeat;
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.protocol.Priority;
 import org.fieldtrestle.protocol.TaskId;
-import org.fieldtrestle.protocol.WorkerProtocol;
+import org.fieldtrestle.protocol.TaskState;
+import org.fieldtrestle.protocol.TaskStatus;
 import org.fieldtrestle.routing.ShardLoads;
 import org.fieldtrestle.simulation.SimulatedNetwork;
 import org.fieldtrestle.state.InitialRange;
@@ -207,18 +210,14 @@
         range().placed().values().stream()
             .map(
                 task ->
-                    new WorkerProtocol.ReportedTask(
-                        task.task(),
-                        task.attempt(),
-                        WorkerProtocol.TaskState.RUNNING,
-                        WorkerProtocol.Cause.NONE))
+                    new TaskStatus(task.task(), task.attempt(), TaskState.RUNNING, ExitCause.NONE))
             .toList());
   }
 
-  private Http.Response report(List<WorkerProtocol.ReportedTask> tasks) {
+  private Http.Response report(List<TaskStatus> tasks) {
     List<Http.Response> answers = new ArrayList<>();
-    WorkerProtocol.Heartbeat report =
-        new WorkerProtocol.Heartbeat(
+    Heartbeat report =
+        new Heartbeat(
             MACHINE, WORKER_ADDRESS, "big", "a", true, 1, ++reports, shownToken, -1, tasks);
     shard.tell(new ShardLeader.Reported(report, answers::add));
     network.runFor(STEP_MS);
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -145,7 +145,7 @@
     StateCache view = new StateCache(reactor, store, settings);
     service =
         path ->
-            path.startsWith(KeyValueProtocol.WATCH)
+            path.startsWith(KeyValueProtocol.WATCH_PATH)
                 ? answer(200, "{\"ledger\":10,\"log\":[]}")
                 : answer(200, page(10, false));
     view.start();
@@ -160,7 +160,7 @@
     // As long as it is asked for what came after 10, the answer never gets here whole.
     service =
         path -> {
-          if (!path.startsWith(KeyValueProtocol.WATCH)) {
+          if (!path.startsWith(KeyValueProtocol.WATCH_PATH)) {
             return answer(200, page(5000, false));
           }
           return path.contains("from=10&")
@@ -181,7 +181,8 @@
     service = path -> answer(200, "{\"ledger\":10,\"log\":[]}");
     time.runUntil(65_000);
     assertTrue(
-        sent.stream().allMatch(path -> path.startsWith(KeyValueProtocol.WATCH)), sent.toString());
+        sent.stream().allMatch(path -> path.startsWith(KeyValueProtocol.WATCH_PATH)),
+        sent.toString());
     assertTrue(view.freshAsOf() > 60_000, "it is followed again");
   }
 
@@ -191,7 +192,7 @@
     int[] failures = {0};
     service =
         path -> {
-          if (path.startsWith(KeyValueProtocol.WATCH)) {
+          if (path.startsWith(KeyValueProtocol.WATCH_PATH)) {
             return null;
           }
           if (!path.contains("&from=")) {
--- a/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
+++ b/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
@@ -12,6 +12,7 @@
 import org.fieldtrestle.protocol.CompatibilityFixture;
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.protocol.MalformedJsonException;
 import org.fieldtrestle.protocol.Priority;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -102,7 +103,7 @@
     return line.substring(line.indexOf(' ') + 1);
   }
 
-  private JsonNode value(String name) throws Json.MalformedJsonException {
+  private JsonNode value(String name) throws MalformedJsonException {
     return Json.parse(json(name).getBytes(StandardCharsets.UTF_8));
   }
 
