--- a/src/main/java/org/fieldtrestle/ControllerMain.java
+++ b/src/main/java/org/fieldtrestle/ControllerMain.java
@@ -3,8 +3,10 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.concurrent.ExecutionException;
+import org.fieldtrestle.config.InvalidSettingException;
 import org.fieldtrestle.config.OperatorSettings;
 import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.config.SettingsChecks;
 import org.fieldtrestle.config.SettingsParser;
 import org.fieldtrestle.transport.HttpClient;
 
@@ -34,7 +36,7 @@
       Settings settings = SettingsParser.read(Path.of(args[0]));
       warn(settings);
       run(settings, OperatorSettings.DEFAULT);
-    } catch (Settings.InvalidSettingException e) {
+    } catch (InvalidSettingException e) {
       System.err.println("fieldtrestle: " + e.getMessage());
       System.exit(EXIT_INVALID);
     }
@@ -43,7 +45,7 @@
   /** Tells on standard error of figures that are too small for a cluster. */
   static void warn(Settings settings) {
     double heapMb = Runtime.getRuntime().maxMemory() / BYTES_PER_MB;
-    for (String line : settings.warnings(heapMb)) {
+    for (String line : SettingsChecks.warnings(settings, heapMb)) {
       System.err.println("fieldtrestle: warning: " + line);
     }
   }
--- a/src/main/java/org/fieldtrestle/Main.java
+++ b/src/main/java/org/fieldtrestle/Main.java
@@ -2,6 +2,7 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import org.fieldtrestle.config.InvalidSettingException;
 import org.fieldtrestle.config.OperatorSettings;
 import org.fieldtrestle.config.OperatorSettingsParser;
 import org.fieldtrestle.config.Settings;
@@ -56,7 +57,7 @@
     try {
       settings = SettingsParser.read(config);
       tuning = operator == null ? OperatorSettings.DEFAULT : OperatorSettingsParser.read(operator);
-    } catch (Settings.InvalidSettingException e) {
+    } catch (InvalidSettingException e) {
       System.err.println("fieldtrestle: " + e.getMessage());
       return ControllerMain.EXIT_INVALID;
     }
--- a/src/main/java/org/fieldtrestle/WarmUp.java
+++ b/src/main/java/org/fieldtrestle/WarmUp.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
+import org.fieldtrestle.config.InvalidSettingException;
 import org.fieldtrestle.config.OperatorSettings;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.config.SettingsParser;
@@ -44,7 +45,7 @@
       status = 0;
     } catch (IOException
         | InterruptedException
-        | Settings.InvalidSettingException
+        | InvalidSettingException
         | ClassNotFoundException
         | ExecutionException
         | RuntimeException e) {
@@ -57,7 +58,7 @@
   private static void run(String jar)
       throws IOException,
           InterruptedException,
-          Settings.InvalidSettingException,
+          InvalidSettingException,
           ClassNotFoundException,
           ExecutionException {
     LibrarySettings.apply();
@@ -95,7 +96,7 @@
   }
 
   /** The settings are read from a file, as a controller's are. */
-  static Settings settings(int port) throws IOException, Settings.InvalidSettingException {
+  static Settings settings(int port) throws IOException, InvalidSettingException {
     Path file = Files.createTempFile("fieldtrestle-warm-up", ".toml");
     try (InputStream in = WarmUp.class.getResourceAsStream("/warm-up.toml")) {
       String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
--- a/src/main/java/org/fieldtrestle/config/OperatorSettings.java
+++ b/src/main/java/org/fieldtrestle/config/OperatorSettings.java
@@ -1,16 +1,16 @@
 package org.fieldtrestle.config;
 
 /**
- * The open figures of the design, with their defaults. Those of time are ratios to the platform's
- * figures where one fits.
+ * The operators' own settings: parameters that the design leaves open. Times are in seconds, shares
+ * from 0 to 1.
  *
  * @param remainingWeight weight of 1/remaining time in a score (the paper's omega 1)
  * @param waitingWeight weight of waiting time in a score (the paper's omega 2)
  * @param floorS least remaining time that a score assumes
- * @param delta share of the waiting tasks that a preempting one has to outscore
+ * @param delta share of the waiting tasks that a preempting task has to outscore
  * @param margin how much a victim's score has to be exceeded by
- * @param evictWaitS wait without free room before a task may evict
- * @param victimShare a victim may have run at most this share of its estimate
+ * @param preemptionWaitS how long a task waits without free room before it may preempt
+ * @param victimShare a victim may have run at most this share of its estimated run time
  * @param reserve room kept for classes that are to start within some time, in jobs of their size
  */
 public record OperatorSettings(
@@ -19,9 +19,10 @@
     double floorS,
     double delta,
     double margin,
-    double evictWaitS,
+    double preemptionWaitS,
     double victimShare,
     double reserve) {
+  /** The settings where the file does not set others. */
   public static final OperatorSettings DEFAULT =
       new OperatorSettings(0.5, 0.5, 1, 0.9, 0.5, 10, 0.3, 1);
 }
--- a/src/main/java/org/fieldtrestle/config/OperatorSettingsParser.java
+++ b/src/main/java/org/fieldtrestle/config/OperatorSettingsParser.java
@@ -8,96 +8,119 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads the operators' own settings: the open figures of the design, each with a default. */
+/** Reads the operators' own settings file (HCL); every setting has a default. */
 public final class OperatorSettingsParser {
+  private static final double MAX_FLOOR_S = 3600;
+  private static final double MAX_WAIT_S = 86_400;
+  private static final double MAX_MARGIN = 1e6;
+  private static final double MAX_RESERVED_JOBS = 100;
+
+  /** Least value of settings that must be above 0. */
+  private static final double ABOVE_ZERO = 0.001;
+
+  /** Rounding error of the sum of the weights. */
+  private static final double WEIGHT_ROUNDING = 1e-6;
+
   private OperatorSettingsParser() {}
 
-  public static OperatorSettings read(Path file) throws Settings.InvalidSettingException {
+  /**
+   * Reads a file.
+   *
+   * @throws InvalidSettingException if it cannot be read, or a setting is unknown or invalid
+   */
+  public static OperatorSettings read(Path file) throws InvalidSettingException {
     try {
       return parse(Files.readString(file));
     } catch (IOException e) {
-      throw new Settings.InvalidSettingException("--operator", "cannot read " + file);
+      throw new InvalidSettingException("--operator", "cannot read " + file);
     }
   }
 
-  public static OperatorSettings parse(String text) throws Settings.InvalidSettingException {
-    Map<String, Object> root;
-    try {
-      root = new HCLParser().parse(text);
-    } catch (HCLParserException | IOException | RuntimeException e) {
-      throw new Settings.InvalidSettingException(
-          "operator file", "not HCL: " + String.valueOf(e.getMessage()).replaceAll("\\s+", " "));
-    }
-    // The parser forgives an unfinished block by losing its name, and a typing error would
-    // silently leave a default in force: whatever is not ours is refused.
-    known("", root, Set.of("falcon", "eviction", "reserve"));
-    OperatorSettings d = OperatorSettings.DEFAULT;
-    Fields falcon = Fields.of(root, "falcon");
-    Fields eviction = Fields.of(root, "eviction");
-    known(
+  /**
+   * Reads the text of a file.
+   *
+   * @throws InvalidSettingException if a setting is unknown or invalid
+   */
+  public static OperatorSettings parse(String text) throws InvalidSettingException {
+    Map<String, Object> root = tree(text);
+    // The parser loses the name of an unfinished block, and a misspelt setting would leave its
+    // default in force: unknown names are refused.
+    requireKnown("", root, Set.of("falcon", "eviction", "reserve"));
+    Block falcon = Block.of(root, "falcon");
+    Block eviction = Block.of(root, "eviction");
+    requireKnown(
         "falcon.",
-        falcon.block(),
+        falcon.fields(),
         Set.of("remaining_weight", "waiting_weight", "floor_s", "delta"));
-    known("eviction.", eviction.block(), Set.of("margin", "wait_s", "victim_share"));
+    requireKnown("eviction.", eviction.fields(), Set.of("margin", "wait_s", "victim_share"));
+    OperatorSettings defaults = OperatorSettings.DEFAULT;
     OperatorSettings read =
         new OperatorSettings(
-            falcon.number("remaining_weight", d.remainingWeight(), 0, 1),
-            falcon.number("waiting_weight", d.waitingWeight(), 0, 1),
-            falcon.number("floor_s", d.floorS(), 0.001, 3600),
-            falcon.number("delta", d.delta(), 0.001, 1),
-            eviction.number("margin", d.margin(), 0, 1e6),
-            eviction.number("wait_s", d.evictWaitS(), 0, 86_400),
-            eviction.number("victim_share", d.victimShare(), 0, 1),
-            number(root.get("reserve"), "reserve", d.reserve(), 0, 100));
+            falcon.number("remaining_weight", defaults.remainingWeight(), 0, 1),
+            falcon.number("waiting_weight", defaults.waitingWeight(), 0, 1),
+            falcon.number("floor_s", defaults.floorS(), ABOVE_ZERO, MAX_FLOOR_S),
+            falcon.number("delta", defaults.delta(), ABOVE_ZERO, 1),
+            eviction.number("margin", defaults.margin(), 0, MAX_MARGIN),
+            eviction.number("wait_s", defaults.preemptionWaitS(), 0, MAX_WAIT_S),
+            eviction.number("victim_share", defaults.victimShare(), 0, 1),
+            number(root.get("reserve"), "reserve", defaults.reserve(), 0, MAX_RESERVED_JOBS));
     // The paper's weights sum to 1: other sums would only scale the margin.
-    if (Math.abs(read.remainingWeight() + read.waitingWeight() - 1) > 1e-6) {
-      throw new Settings.InvalidSettingException(
+    if (Math.abs(read.remainingWeight() + read.waitingWeight() - 1) > WEIGHT_ROUNDING) {
+      throw new InvalidSettingException(
           "falcon.waiting_weight", "remaining_weight and waiting_weight must sum to 1");
     }
     return read;
   }
 
-  private static void known(String at, Map<?, ?> block, Set<String> names)
-      throws Settings.InvalidSettingException {
-    for (Object name : block.keySet()) {
+  private static Map<String, Object> tree(String text) throws InvalidSettingException {
+    try {
+      return new HCLParser().parse(text);
+    } catch (HCLParserException | IOException | RuntimeException e) {
+      throw new InvalidSettingException(
+          "operator file", "not HCL: " + String.valueOf(e.getMessage()).replaceAll("\\s+", " "));
+    }
+  }
+
+  private static void requireKnown(String prefix, Map<?, ?> fields, Set<String> names)
+      throws InvalidSettingException {
+    for (Object name : fields.keySet()) {
       if (!names.contains(String.valueOf(name))) {
-        throw new Settings.InvalidSettingException(at + name, "not one of the settings");
+        throw new InvalidSettingException(prefix + name, "not one of the settings");
       }
     }
   }
 
-  private record Fields(Map<?, ?> block, String name) {
-    static Fields of(Map<String, Object> root, String name)
-        throws Settings.InvalidSettingException {
+  /** The settings of one block; none where the block is missing. */
+  private record Block(Map<?, ?> fields, String name) {
+    static Block of(Map<String, Object> root, String name) throws InvalidSettingException {
       Object value = root.get(name);
       if (value == null) {
-        return new Fields(Map.of(), name);
+        return new Block(Map.of(), name);
       }
       if (value instanceof Map<?, ?> map) {
-        return new Fields(map, name);
+        return new Block(map, name);
       }
-      throw new Settings.InvalidSettingException(name, "must be one block");
+      throw new InvalidSettingException(name, "must be one block");
     }
 
-    double number(String field, double otherwise, double least, double most)
-        throws Settings.InvalidSettingException {
+    double number(String field, double otherwise, double min, double max)
+        throws InvalidSettingException {
       return OperatorSettingsParser.number(
-          block.get(field), name + "." + field, otherwise, least, most);
+          fields.get(field), name + "." + field, otherwise, min, max);
     }
   }
 
-  private static double number(
-      Object value, String field, double otherwise, double least, double most)
-      throws Settings.InvalidSettingException {
+  private static double number(Object value, String field, double otherwise, double min, double max)
+      throws InvalidSettingException {
     if (value == null) {
       return otherwise;
     }
     if (!(value instanceof Number number)) {
-      throw new Settings.InvalidSettingException(field, "not a number");
+      throw new InvalidSettingException(field, "not a number");
     }
     double read = number.doubleValue();
-    if (!(read >= least && read <= most)) {
-      throw new Settings.InvalidSettingException(field, "must be from " + least + " to " + most);
+    if (!(read >= min && read <= max)) {
+      throw new InvalidSettingException(field, "must be from " + min + " to " + max);
     }
     return read;
   }
--- a/src/main/java/org/fieldtrestle/config/Settings.java
+++ b/src/main/java/org/fieldtrestle/config/Settings.java
@@ -1,9 +1,26 @@
 package org.fieldtrestle.config;
 
-import java.util.ArrayList;
 import java.util.List;
 
-/** What a controller is told by the platform's file, in this project's terms. */
+/**
+ * The platform's settings of one controller.
+ *
+ * @param label the controller's name; its shard has the same
+ * @param zone the zone that it runs in
+ * @param userAddress host and port for users, workers and health checks
+ * @param peerAddress host and port for the other controllers
+ * @param peers the other controllers
+ * @param cloudAddress host and port of the cloud's interface
+ * @param stateAddress host and port of the key-value store
+ * @param zones all zones of the cluster
+ * @param maxClockErrorMs bound of the difference between the time of day and true time
+ * @param teams all teams that may submit jobs
+ * @param objectives the service-level objectives
+ * @param workers the workers' intervals and leases
+ * @param state limits of the key-value store
+ * @param cloud limits of the cloud's interface
+ * @param limits limits of this process
+ */
 public record Settings(
     String label,
     String zone,
@@ -13,7 +30,7 @@
     String cloudAddress,
     String stateAddress,
     List<String> zones,
-    double clockOffMs,
+    double maxClockErrorMs,
     List<Team> teams,
     List<Objective> objectives,
     Workers workers,
@@ -21,51 +38,105 @@
     Cloud cloud,
     Limits limits) {
 
-  /** Another controller. */
+  /** Steady clocks of two machines differ by no more than this share; doubled for safety. */
+  public static final double CLOCK_DRIFT = 0.001;
+
+  /** Share of a cancellation's time that leases may take; the rest is for processing. */
+  private static final double CANCELLATION_LEASES_SHARE = 0.95;
+
+  private static final double MS_PER_S = 1000;
+
+  /**
+   * Another controller.
+   *
+   * @param address host and port for the other controllers
+   */
   public record Peer(String label, String zone, String address) {}
 
-  /** A team; a limit of 0 is none. */
+  /**
+   * A team and its quota.
+   *
+   * @param cpus CPUs of the guaranteed share
+   * @param cpusMax the most CPUs that its tasks may use; 0: no limit
+   * @param gpus GPUs of the guaranteed share
+   * @param gpusMax the most GPUs that its tasks may use; 0: no limit
+   */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-  /** An aim for a class of jobs; it steers nothing that a rule decides. */
+  /**
+   * A service-level objective of a class of jobs; it steers scheduling and scaling, never a rule.
+   *
+   * @param kind what is measured, such as {@code wait} or {@code deadline}
+   * @param share of the jobs that should meet it, from 0 to 1
+   * @param times how many times the deadline a job may take
+   * @param withinS seconds within which a job should start; 0 where the objective has none
+   */
   public record Objective(
       String kind, String jobClass, double share, double times, double withinS) {}
 
+  /**
+   * Timing of the workers.
+   *
+   * @param heartbeatIntervalS seconds between two heartbeats of a worker, give or take a quarter
+   * @param leaseS seconds after which a worker that gets no answer ends its tasks
+   * @param cancelS seconds within which all tasks of a cancelled job must be gone
+   */
   public record Workers(double heartbeatIntervalS, double leaseS, double cancelS) {}
 
+  /**
+   * Limits of the key-value store, which all controllers have together where they are rates.
+   *
+   * @param rps requests per second
+   * @param writeRps changed keys per second
+   * @param valueKb size of a value in KiB
+   * @param txnOps changes in a transaction
+   */
   public record State(double rps, double writeRps, double valueKb, int txnOps) {}
 
+  /**
+   * Limits of the cloud's interface.
+   *
+   * @param rps requests per second of all controllers together
+   * @param listLagS seconds by which the list of machines may lag
+   */
   public record Cloud(double rps, double listLagS) {}
 
+  /**
+   * Limits of this process.
+   *
+   * @param cpuShare share of one core
+   * @param memoryMb memory, with what is kept in {@code /tmp}
+   * @param maxConnections open sockets
+   */
   public record Limits(double cpuShare, double memoryMb, int maxConnections) {}
 
-  /** Steady clocks of two machines differ by no more than this share; doubled for safety. */
-  public static final double DRIFT = 0.001;
-
   /**
-   * How long a controller may act on one renewal of its lease at the state service. Whatever it
-   * last told a worker is over by then plus the worker's lease, and that has to be within the time
-   * a cancellation has; a twentieth of it is kept for processing and drift.
+   * How long a controller may act on one renewal of its lease at the key-value store, in ms. The
+   * last fencing token that it gave to a worker may be used for that time plus the worker's lease,
+   * which has to be within the time of a cancellation.
    */
   public long stateLeaseMs() {
+    double leasesS = workers.cancelS() * CANCELLATION_LEASES_SHARE;
     return Math.round(
-        (workers.cancelS() * 0.95 - workers.leaseS() * (1 + DRIFT)) * 1000 * (1 - DRIFT));
+        (leasesS - workers.leaseS() * (1 + CLOCK_DRIFT)) * MS_PER_S * (1 - CLOCK_DRIFT));
   }
 
   /** So many heartbeat intervals of the workers, in ms. */
   public long heartbeatIntervalsMs(double count) {
-    return Math.round(workers.heartbeatIntervalS() * 1000 * count);
+    return Math.round(workers.heartbeatIntervalS() * MS_PER_S * count);
   }
 
+  /** The lease of a worker, in ms. */
   public long workerLeaseMs() {
-    return Math.round(workers.leaseS() * 1000);
+    return Math.round(workers.leaseS() * MS_PER_S);
   }
 
-  /** Every controller's share of a limit that all of them have together. */
+  /** This controller's equal share of a limit that all controllers have together. */
   public double share(double total) {
     return total / (peers.size() + 1);
   }
 
+  /** The team of a name; null where there is none. */
   public Team team(String name) {
     for (Team team : teams) {
       if (team.name().equals(name)) {
@@ -74,49 +145,4 @@
     }
     return null;
   }
-
-  /** What is short of what a cluster needs, though nothing of it is refused; a line each. */
-  public List<String> warnings(double heapMb) {
-    List<String> all = new ArrayList<>();
-    if (share(state.writeRps()) < LEAST_WRITES) {
-      all.add(
-          "cluster.state.write_rps: leaves each controller under "
-              + LEAST_WRITES
-              + " changes a second; jobs will be accepted and finished slowly");
-    }
-    if (share(state.rps()) < LEAST_REQUESTS) {
-      all.add(
-          "cluster.state.rps: leaves each controller under "
-              + LEAST_REQUESTS
-              + " requests a second; answers will be late");
-    }
-    if (limits.memoryMb() < heapMb + BESIDE_HEAP_MB) {
-      all.add(
-          "cluster.machine_limits.mem_mb: the JVM's heap of "
-              + Math.round(heapMb)
-              + " MB and what it needs beside that do not fit");
-    }
-    if (workers.leaseS() < 3 * workers.heartbeatIntervalS()) {
-      all.add("cluster.workers.lease_s: under three reports; a lost one or two end a lease");
-    }
-    return all;
-  }
-
-  /** A job takes three changes or more, a machine's coming and going shares one with others. */
-  private static final int LEAST_WRITES = 3;
-
-  /** A quarter goes to following changes and a quarter to what users ask. */
-  private static final int LEAST_REQUESTS = 10;
-
-  /** Code, threads, buffers. */
-  private static final int BESIDE_HEAP_MB = 60;
-
-  /** A setting that cannot be used: which field, and why. */
-  public static final class InvalidSettingException extends Exception {
-    private static final long serialVersionUID = 1;
-
-    public InvalidSettingException(String field, String reason) {
-      super(field + ": " + reason);
-    }
-  }
 }
--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -102,7 +102,7 @@
    * than a part of the time within which it is to start.
    */
   public double preemptionDelayS(JobSpec spec, boolean guaranteed) {
-    double wait = Math.min(operatorSettings.evictWaitS(), waitWithinS(spec) / EVICT_AFTER);
+    double wait = Math.min(operatorSettings.preemptionWaitS(), waitWithinS(spec) / EVICT_AFTER);
     if (isLatencySensitive(spec) && spec.deadlineS() >= 0) {
       wait = Math.min(wait, Math.max(0, spec.deadlineS() - spec.estimateS()) / EVICT_AFTER);
     }
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -328,7 +328,7 @@
         return;
       }
       long age = Math.abs(reactor.wall() - read.sentWallMs());
-      if (age > context.heartbeatIntervalsMs(0.8) + 2 * context.settings().clockOffMs()) {
+      if (age > context.heartbeatIntervalsMs(0.8) + 2 * context.settings().maxClockErrorMs()) {
         return; // held by a cut: what it says was so then
       }
       PeerMessage message = read.message();
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
@@ -36,7 +36,7 @@
   LeadershipFence(Reactor reactor, StateCache stateCache, long leaseMs) {
     this.reactor = reactor;
     this.stateCache = stateCache;
-    this.usableMs = Math.round(leaseMs * (1 - Settings.DRIFT)) - TURN_MS;
+    this.usableMs = Math.round(leaseMs * (1 - Settings.CLOCK_DRIFT)) - TURN_MS;
   }
 
   /** The lease less what clocks may drift apart and a turn of the event loop may take, in ms. */
--- a/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
@@ -127,7 +127,7 @@
 
   /** After so long without an answer of ours, nothing is on a machine any more. */
   private long leaseMs() {
-    return Math.round(context.settings().workerLeaseMs() * (1 + Settings.DRIFT))
+    return Math.round(context.settings().workerLeaseMs() * (1 + Settings.CLOCK_DRIFT))
         + context.heartbeatIntervalsMs(0.2);
   }
 
--- a/src/test/java/org/fieldtrestle/WarmUpServicesTest.java
+++ b/src/test/java/org/fieldtrestle/WarmUpServicesTest.java
@@ -4,8 +4,8 @@
 
 import java.io.IOException;
 import java.util.SplittableRandom;
+import org.fieldtrestle.config.InvalidSettingException;
 import org.fieldtrestle.config.OperatorSettings;
-import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.controller.Controller;
 import org.fieldtrestle.simulation.SimulatedNetwork;
 import org.fieldtrestle.transport.EventLoopMeter;
@@ -23,7 +23,7 @@
   private static final long LONGEST_RUN_MS = 10_000;
 
   @Test
-  void theWarmUpRunIsServedToItsEnd() throws IOException, Settings.InvalidSettingException {
+  void theWarmUpRunIsServedToItsEnd() throws IOException, InvalidSettingException {
     boolean[] served = {false};
     SimulatedNetwork network = new SimulatedNetwork();
     WarmUpServices services =
--- a/src/test/java/org/fieldtrestle/config/OperatorSettingsParserTest.java
+++ b/src/test/java/org/fieldtrestle/config/OperatorSettingsParserTest.java
@@ -5,24 +5,28 @@
 
 import org.junit.jupiter.api.Test;
 
+/** The operators' settings: defaults, and what is refused by name. */
 class OperatorSettingsParserTest {
   @Test
-  void whatIsNotSaidHasItsDefault() throws Settings.InvalidSettingException {
+  void whatIsNotSaidHasItsDefault() throws InvalidSettingException {
     assertEquals(OperatorSettings.DEFAULT, OperatorSettingsParser.parse(""));
     OperatorSettings read =
         OperatorSettingsParser.parse(
             "falcon {\n  delta = 0.5\n}\neviction {\n  wait_s = 4\n}\nreserve = 2\n");
     assertEquals(0.5, read.delta());
-    assertEquals(4, read.evictWaitS());
+    assertEquals(4, read.preemptionWaitS());
     assertEquals(2, read.reserve());
     assertEquals(OperatorSettings.DEFAULT.margin(), read.margin());
   }
 
+  private static String fieldOf(InvalidSettingException error) {
+    return error.getMessage().substring(0, error.getMessage().indexOf(":"));
+  }
+
   private static void refused(String text, String field) {
-    Settings.InvalidSettingException error =
-        assertThrows(
-            Settings.InvalidSettingException.class, () -> OperatorSettingsParser.parse(text));
-    assertEquals(field, error.getMessage().split(":")[0]);
+    InvalidSettingException error =
+        assertThrows(InvalidSettingException.class, () -> OperatorSettingsParser.parse(text));
+    assertEquals(field, fieldOf(error));
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/config/SettingsParserTest.java
+++ b/src/test/java/org/fieldtrestle/config/SettingsParserTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The platform's settings: what is read, refused by name, or warned of. */
 class SettingsParserTest {
   private static final String GOOD =
       """
@@ -55,7 +56,7 @@
       """;
 
   @Test
-  void aGoodFileIsRead() throws Settings.InvalidSettingException {
+  void aGoodFileIsRead() throws InvalidSettingException {
     Settings settings = SettingsParser.parse(GOOD);
     assertEquals("n-1", settings.peers().get(0).label());
     assertEquals(10, settings.team("t").cpusMax());
@@ -64,13 +65,16 @@
     assertTrue(settings.stateLeaseMs() > 25_000, "outages are ridden out");
   }
 
+  private static String fieldOf(InvalidSettingException error) {
+    return error.getMessage().substring(0, error.getMessage().indexOf(": "));
+  }
+
   private static void refused(String from, String to, String field) {
     assertTrue(GOOD.contains(from), from);
-    Settings.InvalidSettingException error =
+    InvalidSettingException error =
         assertThrows(
-            Settings.InvalidSettingException.class,
-            () -> SettingsParser.parse(GOOD.replace(from, to)));
-    assertEquals(field, error.getMessage().split(": ")[0]);
+            InvalidSettingException.class, () -> SettingsParser.parse(GOOD.replace(from, to)));
+    assertEquals(field, fieldOf(error));
     assertEquals(1, error.getMessage().lines().count());
   }
 
@@ -89,17 +93,17 @@
     refused("label = \"n-0\"", "label = ", "file");
   }
 
-  private static void warned(String from, String to, String field)
-      throws Settings.InvalidSettingException {
+  private static void warned(String from, String to, String field) throws InvalidSettingException {
     assertTrue(GOOD.contains(from), from);
-    List<String> warnings = SettingsParser.parse(GOOD.replace(from, to)).warnings(80);
+    List<String> warnings =
+        SettingsChecks.warnings(SettingsParser.parse(GOOD.replace(from, to)), 80);
     assertEquals(1, warnings.size(), warnings.toString());
     assertTrue(warnings.get(0).startsWith(field + ": "), warnings.get(0));
   }
 
   @Test
-  void figuresThatAreTooSmallAreServedWithAWarning() throws Settings.InvalidSettingException {
-    assertEquals(List.of(), SettingsParser.parse(GOOD).warnings(80));
+  void figuresThatAreTooSmallAreServedWithAWarning() throws InvalidSettingException {
+    assertEquals(List.of(), SettingsChecks.warnings(SettingsParser.parse(GOOD), 80));
     warned("write_rps = 40.0", "write_rps = 4.0", "cluster.state.write_rps");
     warned("\nrps = 200.0", "\nrps = 12.0", "cluster.state.rps");
     warned("mem_mb = 263.0", "mem_mb = 100.0", "cluster.machine_limits.mem_mb");
