--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -1,11 +1,11 @@
 package org.fieldtrestle.controller;
 
 import java.nio.ByteBuffer;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -178,7 +178,7 @@
                         context, name, epoch, formerLeaderMayAct, Controller.this::listenOnce);
                 ShardLeader old = shards.put(name, shard);
                 if (old != null) {
-                  old.tell(new ShardLeader.Ended());
+                  old.tell(new ShardLeader.TermEnded());
                 }
                 shard.tell(new ShardLeader.Tick());
               }
@@ -187,7 +187,7 @@
               public void ended(String name) {
                 ShardLeader old = shards.remove(name);
                 if (old != null) {
-                  old.tell(new ShardLeader.Ended());
+                  old.tell(new ShardLeader.TermEnded());
                 }
               }
             });
@@ -314,7 +314,7 @@
       if (read.message()
           instanceof PeerProtocol.JobCancelled cancelled) { // final, and true at any age
         context.cancellations().heard(cancelled.job());
-        shards.values().forEach(shard -> shard.tell(new ShardLeader.Cancelled(cancelled.job())));
+        shards.values().forEach(shard -> shard.tell(new ShardLeader.JobCancelled(cancelled.job())));
         return;
       }
       long age = Math.abs(reactor.wall() - read.sentWall());
@@ -361,7 +361,7 @@
         gone.put(k.machine(), true);
       }
     }
-    shards.values().forEach(shard -> shard.tell(new ShardLeader.Changed(key)));
+    shards.values().forEach(shard -> shard.tell(new ShardLeader.KeyChanged(key)));
   }
 
   /** Two shards that complete a job's last ranges at once may both miss that it is over. */
@@ -381,19 +381,18 @@
   }
 
   private void finish(String job) {
-    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    if (!JobCompletion.whole(context, job, conditions, changes)) {
+    Optional<KeyValueClient.Transaction> ending = JobCompletion.ofCompleteJob(context, job);
+    if (ending.isEmpty()) {
       return;
     }
     finishing.add(job);
     context
         .store()
         .commit(
-            new KeyValueClient.Transaction(conditions, changes),
+            ending.get(),
             result -> {
               if (result instanceof KeyValueClient.Committed committed) {
-                stateCache.committed(changes, committed.revision());
+                stateCache.committed(ending.get().changes(), committed.revision());
               }
               reactor.schedule(context.heartbeatIntervalsMs(0.2), () -> finishing.remove(job));
             });
@@ -473,7 +472,7 @@
     }
     ShardLeader shard = shards.get(record.shard());
     if (shard != null) {
-      shard.tell(new ShardLeader.Reported(report, reply));
+      shard.tell(new ShardLeader.HeartbeatReceived(report, reply));
       return;
     }
     StateCache.Versioned<Records.Shard> holder = stateCache.shard(record.shard());
--- a/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -150,10 +150,10 @@
     }
     for (TaskAttempt task : worker.attempts()) {
       if (task.state() == TaskAttempt.State.RUNNING) {
-        failures.crawled(task, now);
+        failures.checkRunTime(task, now);
       }
     }
-    if (worker.lastHeartbeatAt() < 0 && !worker.isUp() && worker.ageMs(now) > type.bootS() * 3500) {
+    if (!worker.hasReported() && !worker.isUp() && worker.ageMs(now) > type.bootS() * 3500) {
       drain(worker, "never came up");
       return;
     }
@@ -187,11 +187,11 @@
   /** Whether a machine that reports has shown for long that our answers do not come through. */
   private boolean deaf(Worker worker, long now) {
     long lease = context.settings().workerLeaseMs();
-    if (worker.unresponsiveSince() >= 0) {
+    if (worker.isUnresponsive()) {
       return workers.listenedFor(worker.unresponsiveSince(), now) > lease / 2;
     }
     return !worker.isReconciled()
-        && worker.lastHeartbeatAt() >= 0
+        && worker.hasReported()
         && workers.listenedFor(worker.since(), now) > lease + context.heartbeatIntervalsMs(4);
   }
 
@@ -221,7 +221,7 @@
       }
       if (worker.isCordoned()) {
         closed.add(worker);
-      } else if (workers.usable(worker, context.now())) {
+      } else if (workers.isUsable(worker, context.now())) {
         open.add(worker);
         surplus += type.cpus() - worker.usedCpus();
       }
@@ -304,7 +304,7 @@
   }
 
   private boolean mayGo(Worker worker, long now) {
-    if (worker.spotNoticeUntil() >= 0) {
+    if (worker.hasSpotNotice()) {
       // Charged until it is taken; it may finish what it has until then.
       return worker.empty()
           || now > worker.spotNoticeUntil() + context.heartbeatIntervalsMs(1)
@@ -324,7 +324,7 @@
     }
     context.metrics().returned++;
     worker.markTerminated();
-    workers.loseTasks(worker, "returned (" + worker.drainReason() + ")");
+    ranges.outcomes().workerLost(worker, "returned (" + worker.drainReason() + ")");
     inventory.remove(id);
   }
 
@@ -366,7 +366,7 @@
       if (listed.contains(worker.id()) || worker.ageMs(now) < 4 * lagMs()) {
         missing.remove(worker.id());
       } else if (missing.merge(worker.id(), 1, Integer::sum) >= 3
-          && (worker.lastHeartbeatAt() < 0 || silent(worker, now))) {
+          && (!worker.hasReported() || silent(worker, now))) {
         // One that this epoch has never heard of holds up its team's limit and inherited tasks, for
         // the former holder's lease and its own; several changes of hands in a row begin anew.
         if (!worker.isDraining()) {
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -64,9 +64,9 @@
                         .reversed()))
         .forEach(one -> unmet.put(one, one.count()));
     for (Worker worker : machines.all()) {
-      if (machines.usable(worker, now)) {
+      if (machines.isUsable(worker, now)) {
         for (TaskAttempt task : worker.attempts()) {
-          if (task.live() && task.isStop()) {
+          if (task.live() && task.isStopping()) {
             meet(unmet, task.cpus());
           }
         }
@@ -76,7 +76,7 @@
     for (Worker worker : machines.all()) {
       MachineType type = context.type(worker.machineType());
       if (type == null
-          || !machines.usable(worker, now)
+          || !machines.isUsable(worker, now)
           || stopping(worker)
           || !young(worker, now)) {
         continue;
@@ -154,7 +154,7 @@
   private boolean young(Worker worker, long now) {
     for (TaskAttempt task : worker.attempts()) {
       if (task.live()
-          && !task.isSpared()
+          && !task.isExemptFromPreemption()
           && task.range() != null
           && task.range().spec() != null
           && (now - task.placedAt()) / 1000.0
@@ -181,7 +181,7 @@
 
   private static boolean stopping(Worker worker) {
     for (TaskAttempt task : worker.attempts()) {
-      if (task.live() && task.isStop()) {
+      if (task.live() && task.isStopping()) {
         return true;
       }
     }
@@ -198,7 +198,7 @@
       if (task.live()
           && task.range() != null
           && task.range().spec() != null
-          && !task.isSpared()
+          && !task.isExemptFromPreemption()
           && !task.range().spec().whole()) { // gangs and services are spared
         JobSpec other = task.range().spec();
         running.add(
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -86,7 +86,7 @@
   private double[] used(String team) {
     TeamUsage usage = workers.usage();
     double[] used = {usage.cpus(team), usage.gpus(team)};
-    for (Worker worker : workers.unresolved()) {
+    for (Worker worker : workers.unreconciled()) {
       MachineType type = context.type(worker.machineType());
       used[0] += type == null ? Double.MAX_VALUE / 4 : type.cpus();
       used[1] += type == null ? Double.MAX_VALUE / 4 : type.gpus();
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -147,8 +147,7 @@
     // From here on these tasks may be another shard's at any time: they are not to be started.
     BitSet held = new BitSet();
     held.set(cut - whole.from(), whole.size());
-    range.fresh().andNot(held);
-    held.stream().forEach(range.retries()::remove);
+    range.reserveForReassignment(held);
     range.beginWrite();
     writing = true;
     LOG.debug("handing {} tasks of {} to {}", count, range.key(), to);
@@ -158,9 +157,9 @@
         committed -> {
           writing = false;
           if (committed) {
-            ranges.written(range);
+            ranges.progress().endWrite(range);
           } else {
-            ranges.settle(range, held);
+            ranges.progress().settleReassignment(range, held);
           }
         });
   }
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -125,7 +125,7 @@
     }
 
     double waitedS(long now) {
-      long since = isFresh() ? range.waitingSince() : range.retries().get(offset).waitingSince;
+      long since = isFresh() ? range.waitingSince() : range.retries().get(offset).waitingSince();
       return (now - since) / 1000.0;
     }
   }
@@ -152,7 +152,7 @@
         memoryGb = Math.min(memoryGb, spec.memoryGb());
         workByImage.merge(spec.image(), one.count() * spec.estimateS(), Double::sum);
       }
-      for (FreeResources room : machines.rooms(now)) {
+      for (FreeResources room : machines.freeResources(now)) {
         free += room.cpus();
         all += room.machineType().cpus();
         if (room.has(cpus, gpus, memoryGb)) { // a full machine is of no use to any of them
@@ -271,13 +271,14 @@
                 fresh));
       }
       for (var retry : range.retries().int2ObjectEntrySet()) {
-        if (retry.getValue().notBefore <= now && !machines.hasDuplicate(range, retry.getIntKey())) {
+        if (retry.getValue().notBefore() <= now
+            && !machines.hasDuplicate(range, retry.getIntKey())) {
           groups.add(
               new SelectivePreemption.Waiting<>(
                   new Group(range, retry.getIntKey()),
                   spec.priority(),
                   falcon.score(
-                      spec.estimateS(), counted(spec, range, retry.getValue().waitingSince, now)),
+                      spec.estimateS(), counted(spec, range, retry.getValue().waitingSince(), now)),
                   1));
         }
       }
@@ -287,7 +288,7 @@
 
   private boolean mayStart(TaskRange range) {
     if (ranges.blocked(range)) {
-      policy.refused(StartRefusal.MACHINES_UNRESOLVED);
+      policy.countRefusal(StartRefusal.MACHINES_UNRESOLVED);
       return false;
     }
     return policy.mayStart(range);
@@ -434,7 +435,9 @@
     double fetchS = 0;
     double slots = 0;
     for (Worker worker : machines.all()) {
-      if (!worker.hasImage(spec.image()) || !machines.mayStart(worker) || worker.isDraining()) {
+      if (!worker.hasImage(spec.image())
+          || !machines.acceptsStarts(worker)
+          || worker.isDraining()) {
         continue;
       }
       MachineType type = context.type(worker.machineType());
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/worker/AttemptTable.java
@@ -0,0 +1,115 @@
+package org.fieldtrestle.worker;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.fieldtrestle.protocol.CloudProtocol.MachineType;
+import org.fieldtrestle.protocol.TaskId;
+
+/**
+ * The attempts that are or may be on one worker, and what those that have not ended use. The sums
+ * are kept up with every change, as placement passes and heartbeats ask for them all the time.
+ */
+final class AttemptTable {
+  private final Map<TaskId, TaskAttempt> attempts = new HashMap<>();
+  private final TeamUsage teamUsage;
+  private int live;
+  private int beforeImage;
+  private double usedCpus;
+  private double usedGpus;
+  private double usedMemoryGb;
+
+  AttemptTable(TeamUsage teamUsage) {
+    this.teamUsage = teamUsage;
+  }
+
+  TaskAttempt get(TaskId task) {
+    return attempts.get(task);
+  }
+
+  Collection<TaskAttempt> all() {
+    return attempts.values();
+  }
+
+  List<TaskAttempt> copy() {
+    return List.copyOf(attempts.values());
+  }
+
+  int size() {
+    return attempts.size();
+  }
+
+  void put(TaskAttempt attempt) {
+    TaskAttempt before = attempts.put(attempt.task(), attempt);
+    if (before != null) {
+      count(before, -1);
+    }
+    count(attempt, 1);
+  }
+
+  void remove(TaskAttempt attempt) {
+    if (attempts.remove(attempt.task(), attempt)) {
+      count(attempt, -1);
+    }
+  }
+
+  /** An attempt, which need not be in this table any more, has come to another state. */
+  void changeState(TaskAttempt attempt, TaskAttempt.State next) {
+    if (attempt.state() == next) {
+      return;
+    }
+    boolean counted = attempts.get(attempt.task()) == attempt;
+    if (counted) {
+      count(attempt, -1);
+    }
+    attempt.enter(next);
+    if (counted) {
+      count(attempt, 1);
+    }
+  }
+
+  private void count(TaskAttempt attempt, int sign) {
+    if (!attempt.live()) {
+      return;
+    }
+    live += sign;
+    beforeImage += attempt.state().isBeforeImage() ? sign : 0;
+    usedCpus += sign * attempt.cpus();
+    usedGpus += sign * attempt.gpus();
+    usedMemoryGb += sign * attempt.memoryGb();
+    if (sign > 0) {
+      teamUsage.add(attempt);
+    } else {
+      teamUsage.remove(attempt);
+    }
+    if (live == 0) { // drops what rounding has left
+      usedCpus = 0;
+      usedGpus = 0;
+      usedMemoryGb = 0;
+    }
+  }
+
+  /** Whether nothing that has not ended is on the worker. */
+  boolean isEmpty() {
+    return live == 0;
+  }
+
+  /** Whether some attempt still waits for its image. */
+  boolean isFetching() {
+    return beforeImage > 0;
+  }
+
+  double usedCpus() {
+    return usedCpus;
+  }
+
+  FreeResources freeResources(Worker worker, MachineType type) {
+    return new FreeResources(
+        worker,
+        type,
+        type.cpus() - usedCpus,
+        type.gpus() - usedGpus,
+        type.memoryGb() - usedMemoryGb);
+  }
+}
--- a/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
+++ b/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
@@ -6,19 +6,19 @@
 import org.fieldtrestle.state.StateCache;
 
 /**
- * The one place that decides what a shard may tell workers: whether a task may be started, whether
- * it has to be stopped, and whether a report may be acknowledged.
+ * Decides which commands a shard may give: whether a task may be started, whether it has to be
+ * stopped, and whether a heartbeat may be acknowledged. Nothing else decides that.
  *
- * <p>Every path asks at the moment at which it acts. Nothing is decided by flags that messages or
- * periodic checks set: between a change of the state and the message about it a report or a
- * placement pass may come first, and after an outage that order decided whether cancelled tasks
+ * <p>Every path asks at the moment at which it acts, and nothing is decided by flags that messages
+ * or periodic checks set: a heartbeat or a placement pass may come between a change of the state
+ * and the message about it, and after an outage that order once decided whether cancelled tasks
  * were started again.
  */
 public final class CommandPolicy {
   private final ControllerContext context;
   private final String shard;
 
-  /** The state key of the shard: every report and placement pass asks for its version. */
+  /** The shard's key in the store: every heartbeat and placement pass asks for its version. */
   private final String shardKey;
 
   private final long epoch;
@@ -30,7 +30,7 @@
     this.epoch = epoch;
   }
 
-  /** Whether a report may be answered with 200, and commands may be given at all. */
+  /** Whether a heartbeat may be answered with 200, and commands may be given at all. */
   boolean mayAcknowledge() {
     return context.mayAct() && !superseded();
   }
@@ -43,13 +43,13 @@
   public boolean mayStart(TaskRange range) {
     StartRefusal refusal = startRefusal(range);
     if (refusal != null) {
-      refused(refusal);
+      countRefusal(refusal);
     }
     return refusal == null;
   }
 
-  /** Counts a start that was refused. */
-  public void refused(StartRefusal reason) {
+  /** Counts a start that was refused, for the statistics page. */
+  public void countRefusal(StartRefusal reason) {
     context.metrics().startsRefused.merge(reason, 1L, Long::sum);
   }
 
@@ -61,16 +61,16 @@
     if (superseded()) {
       return StartRefusal.SUPERSEDED;
     }
-    if (isSaidToBeCancelled(range)) {
+    if (isCancellationKnown(range)) {
       return StartRefusal.JOB_CANCELLED;
     }
     if (hasEnded(range)) {
       return StartRefusal.JOB_ENDED;
     }
-    if (context.stateCache().job(range.key.job()) == null) {
+    if (context.stateCache().job(range.key().job()) == null) {
       return StartRefusal.JOB_UNKNOWN;
     }
-    return isOurs(context.stateCache().range(range.key)) ? null : StartRefusal.RANGE_NOT_OURS;
+    return isOurs(context.stateCache().range(range.key())) ? null : StartRefusal.RANGE_NOT_OURS;
   }
 
   /** Whether a record shows a range to be this shard's, as of this epoch. */
@@ -78,27 +78,27 @@
     return kept != null && kept.record().shard().equals(shard) && kept.record().epoch() <= epoch;
   }
 
-  /** Whether nothing of the range is of use any more, so that its tasks have to be stopped. */
+  /** Whether the range's job has ended or is cancelled, so that its tasks have to be stopped. */
   public boolean mustStop(TaskRange range) {
-    return isSaidToBeCancelled(range) || hasEnded(range);
+    return isCancellationKnown(range) || hasEnded(range);
   }
 
-  private boolean isSaidToBeCancelled(TaskRange range) {
-    return range.cancelled || context.cancellations().wasHeard(range.key.job());
+  private boolean isCancellationKnown(TaskRange range) {
+    return range.stopState().isCancelled() || context.cancellations().wasHeard(range.key().job());
   }
 
   /**
-   * Whether the job of a range has ended. Once its record was seen, its absence proves that,
-   * whoever removed it. Where it was never seen, only what has been followed past the range's own
-   * writing does: the two may come in different messages.
+   * Whether the job of a range has ended. Once its record was seen, its absence proves that. Where
+   * it was never seen, its absence proves that only after the state was followed past the write of
+   * the range's record: the two records may come in different messages.
    */
   boolean hasEnded(TaskRange range) {
-    if (range.ended) {
+    if (range.stopState().isEnded()) {
       return true;
     }
-    String job = range.key.job();
+    String job = range.key().job();
     return context.stateCache().job(job) == null
         && context.stateCache().version(Records.job(job)) == 0
-        && (range.spec != null || context.stateCache().appliedRevision() >= range.version);
+        && (range.spec() != null || context.stateCache().appliedRevision() >= range.version());
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/FailureTracker.java
+++ b/src/main/java/org/fieldtrestle/worker/FailureTracker.java
@@ -4,143 +4,176 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Supplier;
 import org.fieldtrestle.context.ControllerContext;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells machines that fail their tasks from jobs that fail on every machine. A machine is faulty
- * when jobs fail there that are under no suspicion; a job is suspect when it failed on several
- * machines and never succeeded.
+ * Tells workers that fail their tasks from jobs that fail on every worker. A worker is faulty when
+ * jobs fail there that are not suspect; a job is suspect when it failed on several workers and
+ * never succeeded.
  */
 public final class FailureTracker {
   private static final Logger LOG = LoggerFactory.getLogger(FailureTracker.class);
 
-  /** Machines that a job without any success must have failed on to be suspect itself. */
-  private static final int SUSPECT_AFTER = 3;
+  /** Workers on which a job without any success must have failed to be suspect itself. */
+  private static final int SUSPECT_AFTER_WORKERS = 3;
 
-  /** Failures of unsuspected jobs without a success between them that condemn a machine. */
-  private static final int FAULTY_AFTER = 2;
+  /**
+   * Failures of jobs that are not suspect, without a success between, that make a worker faulty.
+   */
+  private static final int FAULTY_AFTER_FAILURES = 2;
+
+  /** Multiple of a job's usual run time from which a task is evidence against its worker. */
+  private static final double SLOW_FROM = 2.5;
+
+  /** Tasks of a job that must have finished before their average run time counts as usual. */
+  private static final int USUAL_AFTER_RUNS = 3;
+
+  /** Slow tasks on a worker after which it is replaced. */
+  private static final int DRAIN_AFTER_SLOW_TASKS = 2;
 
-  /** How many times a job's usual run time makes a task evidence against its machine. */
-  private static final double CRAWLS_AT = 2.5;
+  /** Heartbeat intervals for which a worker gets no new tasks after a failure. */
+  private static final double QUARANTINE_INTERVALS = 4;
 
-  /** Tasks of a job that must have finished elsewhere before its run time counts as usual. */
-  private static final int USUAL_AFTER = 3;
+  /** Heartbeat intervals before the first retry of a suspect job's task; doubles each time. */
+  private static final double RETRY_BACKOFF_INTERVALS = 0.5;
 
-  /** Tasks that crawled on a machine before it is replaced. */
-  private static final int CRAWLER_AFTER = 2;
+  private static final int MAX_BACKOFF_DOUBLINGS = 5;
+
+  private static final String FAULTY = "fails its tasks";
 
   private static final class JobRecord {
-    double runSeconds;
-    int runs;
-    final Set<String> failedOn = new HashSet<>();
-    boolean succeeded;
-    boolean suspect;
+    private double totalRunS;
+    private int runs;
+    private final Set<String> failedOn = new HashSet<>();
+    private boolean succeeded;
+    private boolean suspect;
+
+    private boolean isSlow(double elapsedS) {
+      return runs >= USUAL_AFTER_RUNS && elapsedS >= SLOW_FROM * totalRunS / runs;
+    }
+
+    private boolean becomesSuspect() {
+      return !suspect && !succeeded && failedOn.size() >= SUSPECT_AFTER_WORKERS;
+    }
   }
 
   private final ControllerContext context;
-  private final Supplier<WorkerRegistry> workers;
+  private final WorkerRegistry workers;
   private final Map<String, JobRecord> jobs = new HashMap<>();
 
-  /** Machines on which some job has failed. */
-  private final Set<String> condemning = new HashSet<>();
+  /** Workers on which some job has failed. */
+  private final Set<String> workersWithFailures = new HashSet<>();
 
-  public FailureTracker(ControllerContext context, Supplier<WorkerRegistry> workers) {
+  /** Tracks the failures on these workers. */
+  public FailureTracker(ControllerContext context, WorkerRegistry workers) {
     this.context = context;
     this.workers = workers;
   }
 
-  void succeeded(TaskAttempt task, long now) {
-    task.worker.errors = 0;
-    task.worker.errorJobs.clear();
-    JobRecord job = jobs.computeIfAbsent(task.task.job(), j -> new JobRecord());
+  /** A task has finished. */
+  void succeeded(TaskAttempt attempt, long nowMs) {
+    attempt.worker().failures().clearFailures();
+    JobRecord job = jobs.computeIfAbsent(attempt.task().job(), j -> new JobRecord());
     job.succeeded = true;
     job.suspect = false;
-    crawled(task, now);
-    // Of a task that was found running only the rest was seen. Taken for the whole, it made all the
-    // job's other tasks look slow after a restart, and hundreds of good machines were closed.
-    if (task.runningSince >= 0 && !task.found) {
-      job.runSeconds += task.elapsedS(now);
+    checkRunTime(attempt, nowMs);
+    // Of a discovered task only the rest was seen. Counted as a whole run, it would make all the
+    // job's other tasks look slow after a restart, and their workers would be replaced.
+    if (attempt.hasRun() && !attempt.isDiscovered()) {
+      job.totalRunS += attempt.elapsedS(nowMs);
       job.runs++;
     }
   }
 
   /**
-   * Looks whether a task takes much longer than its job's others did. Estimates say little about a
-   * machine, as they are often wrong by half; the job's own tasks elsewhere say more.
+   * Drains the worker of a task that takes much longer than its job's others did, where that is not
+   * the first one. Estimates say little about a worker, as they are often wrong by half; the job's
+   * own tasks elsewhere say more.
    */
-  public void crawled(TaskAttempt task, long now) {
-    JobRecord job = jobs.get(task.task.job());
-    Worker worker = task.worker;
+  public void checkRunTime(TaskAttempt attempt, long nowMs) {
+    JobRecord job = jobs.get(attempt.task().job());
+    Worker worker = attempt.worker();
     if (job == null
-        || job.runs < USUAL_AFTER
-        || task.elapsedS(now) < CRAWLS_AT * job.runSeconds / job.runs
-        || !worker.slowTasks.add(task.task)
-        || worker.slowTasks.size() < CRAWLER_AFTER
-        || worker.draining) {
+        || !job.isSlow(attempt.elapsedS(nowMs))
+        || !worker.failures().addSlowTask(attempt.task())
+        || worker.failures().slowTasks() < DRAIN_AFTER_SLOW_TASKS
+        || worker.isDraining()) {
       return;
     }
-    worker.drain("crawls");
-    LOG.warn(
-        "machine {} crawls: {} took {} s, usual {} s",
-        worker.id,
-        task.task,
-        Math.round(task.elapsedS(now)),
-        Math.round(job.runSeconds / job.runs));
+    worker.drain("slow");
+    LOG.atWarn()
+        .addKeyValue("worker", worker.id())
+        .addKeyValue("task", attempt.task())
+        .addKeyValue("tookS", Math.round(attempt.elapsedS(nowMs)))
+        .addKeyValue("usualS", Math.round(job.totalRunS / job.runs))
+        .log("worker is slow, draining it");
   }
 
-  /** A task failed; decides where and when it, and its machine's others, go next. */
-  void failed(TaskAttempt task, TaskRange.Retry retry, int failures, long now) {
-    String id = task.task.job();
-    Worker worker = task.worker;
-    JobRecord job = jobs.computeIfAbsent(id, j -> new JobRecord());
-    job.failedOn.add(worker.id);
-    condemning.add(worker.id);
-    if (!job.suspect && !job.succeeded && job.failedOn.size() >= SUSPECT_AFTER) {
+  /**
+   * A task has failed: decides when it is tried again, and whether its worker gets new tasks.
+   *
+   * @param failures how often the task has failed so far
+   */
+  void failed(TaskAttempt attempt, Retry retry, int failures, long nowMs) {
+    String jobId = attempt.task().job();
+    Worker worker = attempt.worker();
+    JobRecord job = jobs.computeIfAbsent(jobId, j -> new JobRecord());
+    job.failedOn.add(worker.id());
+    workersWithFailures.add(worker.id());
+    if (job.becomesSuspect()) {
       job.suspect = true;
-      LOG.warn("job {} fails on every machine: {}", id, job.failedOn);
-      for (Worker other : workers.get().all()) {
-        if (other.errorJobs.remove(id)) {
-          other.errors = other.errorJobs.size();
-          other.quarantineUntil = 0;
-          if (other.errors < FAULTY_AFTER && other.drainReason.equals("fails its tasks")) {
-            other.draining = false;
-            other.drainReason = "";
-          }
-        }
-      }
+      LOG.atWarn()
+          .addKeyValue("job", jobId)
+          .addKeyValue("workers", job.failedOn)
+          .log("job fails on every worker");
+      clearWorkersOf(jobId);
     }
-    long pause = context.heartbeatIntervalsMs(0.5) << Math.min(failures, 5);
-    retry.notBefore = now + (job.suspect ? pause : 0);
     if (job.suspect) {
+      long firstBackoffMs = context.heartbeatIntervalsMs(RETRY_BACKOFF_INTERVALS);
+      retry.delayUntil(nowMs + (firstBackoffMs << Math.min(failures, MAX_BACKOFF_DOUBLINGS)));
       return;
     }
-    worker.errors++;
-    worker.errorJobs.add(id);
-    worker.quarantineUntil = now + context.heartbeatIntervalsMs(4);
-    if (worker.errors >= FAULTY_AFTER && !worker.draining) {
-      worker.drain("fails its tasks");
-      LOG.warn("machine {} fails its tasks, last of {}", worker.id, id);
+    retry.delayUntil(nowMs);
+    worker.failures().addFailure(jobId);
+    worker.quarantineUntil(nowMs + context.heartbeatIntervalsMs(QUARANTINE_INTERVALS));
+    if (worker.failures().failures() >= FAULTY_AFTER_FAILURES && !worker.isDraining()) {
+      worker.drain(FAULTY);
+      LOG.atWarn()
+          .addKeyValue("worker", worker.id())
+          .addKeyValue("job", jobId)
+          .log("worker fails its tasks, draining it");
+    }
+  }
+
+  /** A job is suspect: its failures no longer count against the workers where it failed. */
+  private void clearWorkersOf(String jobId) {
+    for (Worker worker : workers.all()) {
+      if (worker.failures().dismissJob(jobId)) {
+        worker.endQuarantine();
+        if (worker.failures().failures() < FAULTY_AFTER_FAILURES
+            && worker.drainReason().equals(FAULTY)) {
+          worker.stopDraining();
+        }
+      }
     }
   }
 
   /** A task of a job is not tried again where it failed, unless the job fails everywhere. */
   public boolean avoids(TaskRange range, Worker worker) {
-    JobRecord job = jobs.get(range.key.job());
-    return job != null && !job.suspect && job.failedOn.contains(worker.id);
+    JobRecord job = jobs.get(range.key().job());
+    return job != null && !job.suspect && job.failedOn.contains(worker.id());
   }
 
-  /** Whether any job avoids a machine: else all of its kind are alike to all that wait. */
+  /** Whether any job avoids a worker; if not, it is like all others of its machine type. */
   public boolean avoidsAny(Worker worker) {
-    return condemning.contains(worker.id);
+    return workersWithFailures.contains(worker.id());
   }
 
+  /** Forgets jobs that have ended and workers that there are no longer. */
   public void forgetEnded() {
     jobs.keySet().removeIf(id -> context.stateCache().job(id) == null);
-    if (!condemning.isEmpty()) {
-      condemning.removeIf(id -> workers.get().get(id) == null);
-    }
+    workersWithFailures.removeIf(id -> workers.get(id) == null);
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
+++ b/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
@@ -4,45 +4,53 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether images that a machine fetches at the same time share its line: the protocol says that
- * they may. Learned from how long images took that began beside others, as an urgent task's small
- * image takes many times its time beside a large one on a line that is shared, and no longer on
- * another.
+ * Whether images that a worker fetches at the same time share its bandwidth: the protocol says that
+ * they may. This is learned from how long images took that were fetched beside others: the small
+ * image of an urgent task takes many times its time beside a large one where bandwidth is shared,
+ * and no longer than by itself where it is not.
  */
 public final class ImageDownloads {
   private static final Logger LOG = LoggerFactory.getLogger(ImageDownloads.class);
 
-  /** Weight of the next observation. */
+  /** Weight of the next observation in the average. */
   private static final double WEIGHT = 0.1;
 
-  /** How many times as long as by itself an image takes beside another where a line is shared. */
+  /** Average multiple of the time by itself from which bandwidth counts as shared. */
   private static final double SHARED_FROM = 1.6;
 
-  /** No single observation counts for more: a machine may hang. */
-  private static final double AT_MOST = 4;
+  /** No single observation counts for more, as a worker may hang. */
+  private static final double MAX_OBSERVED = 4;
 
-  /** What a start and the report of its image's coming take on average, which is no fetching. */
-  private final double tellingS;
+  /** How long a start command and the heartbeat that shows the task take on average, in s. */
+  private final double reportingDelayS;
 
-  private double stretch = 1;
+  private double averageMultiple = 1;
 
-  ImageDownloads(double heartbeatIntervalS) {
-    this.tellingS = heartbeatIntervalS / 2;
+  /** Nothing is learned yet: bandwidth counts as not shared. */
+  public ImageDownloads(double heartbeatIntervalS) {
+    this.reportingDelayS = heartbeatIntervalS / 2;
   }
 
-  /** An image that began beside others has come. */
-  void came(double tookS, double aloneS) {
-    if (aloneS < tellingS) {
-      return; // the telling takes longer than what is to be told
+  /**
+   * An image that was fetched beside others is there.
+   *
+   * @param tookS time from the placement of its task to the heartbeat that shows it running
+   * @param aloneS how long the image takes by itself
+   */
+  void record(double tookS, double aloneS) {
+    if (aloneS < reportingDelayS) {
+      return; // the delay of reporting outweighs what is to be measured
     }
-    boolean before = shared();
-    stretch += (Math.min((tookS - tellingS) / aloneS, AT_MOST) - stretch) * WEIGHT;
-    if (shared() != before) {
-      LOG.info("images {} the line of a machine", before ? "no longer share" : "share");
+    boolean wasShared = shared();
+    double multiple = Math.min((tookS - reportingDelayS) / aloneS, MAX_OBSERVED);
+    averageMultiple += (multiple - averageMultiple) * WEIGHT;
+    if (shared() != wasShared) {
+      LOG.atInfo().addKeyValue("shared", shared()).log("sharing of image bandwidth changes");
     }
   }
 
+  /** Whether images that a worker fetches at the same time share its bandwidth. */
   public boolean shared() {
-    return stretch > SHARED_FROM;
+    return averageMultiple > SHARED_FROM;
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
+++ b/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
@@ -32,6 +32,8 @@
   private long attempts;
 
   /**
+   * A term that begins with this epoch; nothing is led before {@link #activate}.
+   *
    * @param formerLeaderMayAct whether the leader before may not know yet that its term has ended
    */
   public LeadershipTerm(
@@ -103,6 +105,14 @@
     return formerLeaderMayAct ? context.membership().fence().usableMs() : 0;
   }
 
+  /**
+   * The time, in ms, up to which no other controller can have acted as this shard: the present, or
+   * the age of the followed state where that is older.
+   */
+  long soleLeaderUntilMs() {
+    return Math.min(context.now(), context.stateCache().freshAsOf());
+  }
+
   /** The condition that makes every write of this term fail once the next has begun. */
   public KeyValueProtocol.Condition guard() {
     return new KeyValueProtocol.Condition(Records.shard(shard), epoch);
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -0,0 +1,214 @@
+package org.fieldtrestle.worker;
+
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.CloudProtocol.MachineType;
+import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.protocol.WorkerProtocol;
+import org.fieldtrestle.protocol.WorkerProtocol.TaskState;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Compares the tasks that a heartbeat shows with those that are expected on its worker. */
+public final class Reconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(Reconciler.class);
+
+  private final ControllerContext context;
+  private final CommandPolicy policy;
+  private final WorkerRegistry workers;
+  private final TaskRanges ranges;
+  private final TaskOutcomes outcomes;
+  private final WorkerCommands commands;
+  private final ImageDownloads downloads;
+
+  /** Reconciles these workers with these ranges. */
+  public Reconciler(
+      ControllerContext context,
+      LeadershipTerm term,
+      WorkerRegistry workers,
+      TaskRanges ranges,
+      TaskOutcomes outcomes,
+      WorkerCommands commands,
+      ImageDownloads downloads) {
+    this.context = context;
+    this.policy = term.policy();
+    this.workers = workers;
+    this.ranges = ranges;
+    this.outcomes = outcomes;
+    this.commands = commands;
+    this.downloads = downloads;
+  }
+
+  /** Takes over what the heartbeat shows; returns whether that matters to placement. */
+  boolean reconcile(Worker worker, WorkerProtocol.Heartbeat heartbeat) {
+    boolean changed = false;
+    int shown = 0;
+    worker.clearUnknownTasks();
+    workers.duplicates().forgetWorker(worker);
+    for (WorkerProtocol.ReportedTask reported : heartbeat.tasks()) {
+      TaskAttempt attempt = worker.attempt(reported.task());
+      if (attempt == null || attempt.attempt() != reported.attempt()) {
+        attempt = discover(worker, reported, attempt);
+        changed |= attempt != null;
+      }
+      if (attempt == null) {
+        worker.addUnknownTask(reported);
+        noteDuplicate(worker, reported);
+      } else {
+        shown += attempt.isShownIn(heartbeat.seq()) ? 0 : 1;
+        attempt.markShownIn(heartbeat.seq());
+        changed |= follow(attempt, reported);
+      }
+    }
+    if (shown != worker.attempts().size()) {
+      changed |= dropAbsent(worker, heartbeat.seq());
+    }
+    return changed;
+  }
+
+  /** Drops the attempts that the heartbeat does not show and that cannot appear any more. */
+  private boolean dropAbsent(Worker worker, long sequence) {
+    boolean changed = false;
+    for (TaskAttempt attempt : worker.copyOfAttempts()) {
+      if (attempt.isShownIn(sequence)) {
+        continue;
+      }
+      if (!attempt.live()) {
+        if (attempt.isClearable()) {
+          worker.remove(attempt);
+        }
+      } else if ((attempt.state() != TaskAttempt.State.STARTING || attempt.isStopping())
+          && worker.hasNoCommandInFlight()) {
+        // Gone, unless a start of unknown outcome may still bring it back.
+        outcomes.gone(attempt);
+        changed = true;
+      }
+    }
+    return changed;
+  }
+
+  private void noteDuplicate(Worker worker, WorkerProtocol.ReportedTask reported) {
+    TaskRange range = ranges.of(reported.task());
+    if (range != null
+        && reported.state() != TaskState.EXITED
+        && !range.isDone(reported.task().index() - range.record().from())) {
+      workers.duplicates().add(reported.task(), worker);
+    }
+  }
+
+  /**
+   * A worker reports an attempt that was not placed there in this term.
+   *
+   * @param expected the attempt at the same task that was placed there; null where there is none
+   * @return the attempt, which is expected from now on; null where it is to be stopped and cleared
+   */
+  private TaskAttempt discover(
+      Worker worker, WorkerProtocol.ReportedTask reported, TaskAttempt expected) {
+    TaskRange range = ranges.of(reported.task());
+    if (range == null) {
+      return null;
+    }
+    boolean exited = reported.state() == TaskState.EXITED;
+    int offset = reported.task().index() - range.record().from();
+    boolean placedElsewhere = expected == null && range.placed().containsKey(offset);
+    if (range.isDone(offset) || placedElsewhere) {
+      if (!exited && range.placed().containsKey(offset)) {
+        LOG.atError()
+            .addKeyValue("task", reported.task())
+            .addKeyValue("worker", worker.id())
+            .log("task is on two workers");
+      }
+      return null;
+    }
+    if (exited) {
+      return reported.cause() == WorkerProtocol.Cause.DONE
+          ? discoverDone(worker, reported, expected, range)
+          : null;
+    }
+    if (expected != null) {
+      if (expected.state() != TaskAttempt.State.STARTING) {
+        return null;
+      }
+      worker.remove(expected);
+    }
+    return discoverRunning(worker, reported, range, offset);
+  }
+
+  private TaskAttempt discoverDone(
+      Worker worker, WorkerProtocol.ReportedTask reported, TaskAttempt expected, TaskRange range) {
+    if (expected != null) {
+      worker.remove(expected);
+    }
+    TaskAttempt attempt =
+        new TaskAttempt(reported.task(), reported.attempt(), worker, range, context.now(), 0);
+    worker.put(attempt);
+    return attempt;
+  }
+
+  private TaskAttempt discoverRunning(
+      Worker worker, WorkerProtocol.ReportedTask reported, TaskRange range, int offset) {
+    long now = context.now();
+    double waitedS = (now - range.waitingSince()) / 1000.0;
+    TaskAttempt attempt =
+        new TaskAttempt(reported.task(), reported.attempt(), worker, range, now, waitedS);
+    attempt.markDiscovered();
+    worker.put(attempt);
+    range.place(offset, attempt);
+    if (policy.mustStop(range)) {
+      commands.stop(attempt, 0);
+    }
+    return attempt;
+  }
+
+  /** Takes over the reported state; true where room or an image has become available by it. */
+  private boolean follow(TaskAttempt attempt, WorkerProtocol.ReportedTask reported) {
+    attempt.markStartSent();
+    boolean wasBeforeImage = attempt.state().isBeforeImage();
+    boolean ended = followState(attempt, reported);
+    noteImage(attempt);
+    // An image that has come may be what others wait for.
+    return ended || (wasBeforeImage && !attempt.state().isBeforeImage());
+  }
+
+  private boolean followState(TaskAttempt attempt, WorkerProtocol.ReportedTask reported) {
+    Worker worker = attempt.worker();
+    switch (reported.state()) {
+      case FETCHING -> worker.changeState(attempt, TaskAttempt.State.FETCHING);
+      case RUNNING -> {
+        noteRunning(attempt);
+        worker.changeState(attempt, TaskAttempt.State.RUNNING);
+      }
+      case SAVING -> worker.changeState(attempt, TaskAttempt.State.SAVING);
+      case EXITED -> {
+        if (attempt.live()) {
+          worker.changeState(attempt, TaskAttempt.State.EXITED);
+          attempt.recordExit(reported.cause());
+          outcomes.exited(attempt);
+          return true;
+        }
+      }
+    }
+    return false;
+  }
+
+  private void noteRunning(TaskAttempt attempt) {
+    if (attempt.hasRun()) {
+      return;
+    }
+    long now = context.now();
+    attempt.markRunning(now);
+    if (attempt.concurrentFetchAloneS() > 0) {
+      downloads.record((now - attempt.placedAt()) / 1000.0, attempt.concurrentFetchAloneS());
+    }
+  }
+
+  private void noteImage(TaskAttempt attempt) {
+    if (attempt.range() == null || attempt.range().spec() == null || !attempt.live()) {
+      return;
+    }
+    MachineType type = context.type(attempt.worker().machineType());
+    JobSpec spec = attempt.range().spec();
+    if (type != null) {
+      attempt.worker().usesImage(spec.image(), spec.imageGb(), type.cacheGb());
+    }
+  }
+}
--- a/src/main/java/org/fieldtrestle/worker/ShardEvents.java
+++ b/src/main/java/org/fieldtrestle/worker/ShardEvents.java
@@ -1,25 +1,16 @@
 package org.fieldtrestle.worker;
 
-/** What the parts of a shard ask of the actor that runs them. */
+/** What the parts of a shard ask of the actor that runs them, on its thread. */
 public interface ShardEvents {
   /** Something has changed that may let waiting tasks start. */
   void requestPlacementPass();
 
-  /** A range of tasks has come to this shard. */
+  /** A task range has come to this shard. */
   void rangeAdded(TaskRange range);
 
-  /** A machine has reported for the first time and may be given tasks once that is durable. */
-  void machineUp(String machine);
+  /** A worker has reported for the first time and may be given tasks once that is durable. */
+  void workerUp(String worker);
 
-  /** Stops a task, with so many seconds to save its work. */
-  void stop(TaskAttempt task, double graceS);
-
-  /** Sends commands that would otherwise wait for the next heartbeats. */
+  /** Commands wait that would otherwise be sent with the answers to the next heartbeats only. */
   void sendCommands();
-
-  /** Why a task that has to be stopped is still there, for the log. */
-  String stopPendingReason(TaskAttempt task);
-
-  /** Whether there are workers that may hold tasks which an earlier epoch has started. */
-  boolean hasUnreconciledWorkers();
 }
--- a/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
@@ -3,185 +3,298 @@
 import org.fieldtrestle.protocol.TaskId;
 import org.fieldtrestle.protocol.WorkerProtocol.Cause;
 
-/** A task that is, or may be, on a machine. */
+/** One start of a task: an attempt that is, or may be, on a worker. */
 public final class TaskAttempt {
-  /** Where it stands, as far as the machine has told. */
+  /** Where the attempt stands, as far as the worker has reported it. */
   public enum State {
-    /** Its start is on the way, or will be. */
+    /** The start command was sent, or will be. */
     STARTING,
+    /** The worker fetches the image. */
     FETCHING,
+    /** The task runs. */
     RUNNING,
+    /** The task was stopped and saves a checkpoint in its grace period. */
     SAVING,
-    /** Ended; stays until the machine has been told to clear it and no longer reports it. */
+    /** Ended; stays until the worker was told to clear it and no longer reports it. */
     EXITED;
 
-    /** Its image is not there yet, as far as we know. */
-    boolean beforeImage() {
+    /** Whether the image is not there yet, as far as is known. */
+    boolean isBeforeImage() {
       return this == STARTING || this == FETCHING;
     }
   }
 
-  final TaskId task;
-  final long attempt;
-  final Worker worker;
+  /** Stands for the number of a heartbeat where there is none. */
+  static final long NO_SEQUENCE = -1;
 
-  /** What it takes, and of whose limit: counted until it is gone, whatever becomes of its range. */
-  final String team;
+  private static final long NOT_RUNNING = -1;
 
-  final double cpus;
-  final double gpus;
-  final double memoryGb;
+  private final TaskId task;
+  private final long attempt;
+  private final Worker worker;
 
-  /** Null once the range is no longer ours to keep. */
-  TaskRange range;
+  /** The team whose quota counts the attempt until it is gone, whatever becomes of its range. */
+  private final String team;
 
-  /** The session of the machine in which it was placed or found. */
-  final long session;
+  private final double cpus;
+  private final double gpus;
+  private final double memoryGb;
 
-  /** Changed by its host alone, which keeps sums of it. */
+  /** Null once the range is no longer this shard's. */
+  private TaskRange range;
+
+  /** The incarnation of the worker in which the attempt was placed or discovered. */
+  private final long incarnation;
+
+  private final long placedAtMs;
+  private final double waitedS;
   private State state = State.STARTING;
+  private Cause exitCause = Cause.NONE;
+  private final StopRequest stopRequest = new StopRequest();
+  private boolean startSent;
+  private boolean clearable;
+  private boolean discovered;
+  private boolean exemptFromPreemption;
+  private long runningSinceMs = NOT_RUNNING;
+  private long lastShownIn = NO_SEQUENCE;
+  private long startSentAfter = NO_SEQUENCE;
+
+  /** How long the image takes by itself where the worker was fetching another one; else 0. */
+  private double concurrentFetchAloneS;
 
-  Cause cause = Cause.NONE;
+  /**
+   * An attempt that is placed on a worker, or discovered there, at this time.
+   *
+   * @param waitedS for how long the task had waited before
+   */
+  public TaskAttempt(
+      TaskId task, long attempt, Worker worker, TaskRange range, long nowMs, double waitedS) {
+    this.task = task;
+    this.attempt = attempt;
+    this.worker = worker;
+    this.range = range;
+    this.team = range.record().team();
+    this.cpus = range.record().cpus();
+    this.gpus = range.record().gpus();
+    this.memoryGb = range.spec() == null ? 0 : range.spec().memoryGb();
+    this.incarnation = worker.incarnation();
+    this.placedAtMs = nowMs;
+    this.waitedS = waitedS;
+  }
 
-  /** Its start has gone out at least once, so that it may be there. */
-  boolean startSent;
+  // ---- transitions
 
-  /** The number of the machine's last report that showed it. */
-  long shownIn = -1;
+  /** To be called by {@link AttemptTable#changeState} only, which keeps sums by state. */
+  void enter(State next) {
+    state = next;
+  }
+
+  /** The worker has reported why the attempt ended. */
+  void recordExit(Cause cause) {
+    exitCause = cause;
+  }
+
+  /** The worker runs the task; counts from the first heartbeat that says so. */
+  void markRunning(long nowMs) {
+    if (!hasRun()) {
+      runningSinceMs = nowMs;
+    }
+  }
 
-  /** The machine's last report before its start should have come; below 0 where that is open. */
-  long answeredSeq = -1;
+  /** The start command was sent at least once, so that the task may be on the worker. */
+  void markStartSent() {
+    startSent = true;
+  }
 
-  boolean stop;
-  boolean stopSent;
-  double graceS;
+  /** The start command was sent after this heartbeat: the next ones show whether it has arrived. */
+  void awaitInHeartbeatAfter(long sequence) {
+    startSentAfter = sequence;
+  }
 
-  /** Exited, and whatever its end means is durable, so that the machine may forget it. */
-  boolean clearable;
+  /** A heartbeat has shown whether the start command arrived. */
+  void stopAwaiting() {
+    startSentAfter = NO_SEQUENCE;
+  }
 
-  final long placedAt;
-  long runningSince = -1;
+  /** The heartbeat with this number shows the attempt. */
+  void markShownIn(long sequence) {
+    lastShownIn = sequence;
+  }
 
-  /**
-   * The first of a job that had waited too long to begin: a burst of a higher priority would else
-   * evict it as soon as it was placed, since it has run so little.
-   */
-  boolean spared;
+  /** What the exit means is durable, or of no use, so that the worker may forget the attempt. */
+  void markClearable() {
+    clearable = true;
+  }
 
-  /** How long its image should take by itself, where its line was busy when it was placed; or 0. */
-  double fetchBesideS;
+  /** The attempt was on its worker when this term found it: its beginning was not seen. */
+  void markDiscovered() {
+    discovered = true;
+    startSent = true;
+  }
 
-  /** Its beginning was not seen: it was there when this epoch found it. */
-  boolean found;
+  /** The range is no longer this shard's. */
+  void detachRange() {
+    range = null;
+  }
 
-  final double waitedS;
+  /**
+   * Sets whether no other task may preempt this one. The first task of a job that had waited too
+   * long to begin is exempt: it has run so little that a burst of a higher priority would otherwise
+   * preempt it as soon as it is placed.
+   */
+  public void exemptFromPreemption(boolean exempt) {
+    exemptFromPreemption = exempt;
+  }
 
-  public TaskAttempt(
-      TaskId task, long attempt, Worker worker, TaskRange range, long now, double waitedS) {
-    this.task = task;
-    this.attempt = attempt;
-    this.worker = worker;
-    this.range = range;
-    this.team = range.record.team();
-    this.cpus = range.record.cpus();
-    this.gpus = range.record.gpus();
-    this.memoryGb = range.spec == null ? 0 : range.spec.memoryGb();
-    this.session = worker.incarnation;
-    this.placedAt = now;
-    this.waitedS = waitedS;
+  /** The image shares the worker's download bandwidth; it would take so long by itself. */
+  public void expectConcurrentFetch(double aloneS) {
+    concurrentFetchAloneS = aloneS;
   }
 
+  // ---- queries
+
+  /** Where the attempt stands. */
   public State state() {
     return state;
   }
 
-  /** For its host, see {@link Worker#moved}. */
-  void enter(State next) {
-    state = next;
+  /** Whether the attempt has not ended. */
+  public boolean live() {
+    return state != State.EXITED;
   }
 
-  /** Its number within its range. */
-  int offset() {
-    return task.index() - range.record.from();
+  /** Whether the attempt is to be stopped. */
+  public boolean isStopping() {
+    return stopRequest.isRequested();
   }
 
-  /** Since when it had waited before it was placed; a task that is lost waits on from there. */
-  long waitingSince() {
-    return placedAt - Math.round(waitedS * 1000);
+  StopRequest stopRequest() {
+    return stopRequest;
   }
 
-  public boolean live() {
-    return state != State.EXITED;
+  boolean isStartSent() {
+    return startSent;
   }
 
-  double elapsedS(long now) {
-    return runningSince < 0 ? 0 : (now - runningSince) / 1000.0;
+  /** Whether a heartbeat after this number shows whether the start command has arrived. */
+  boolean isAwaitedIn(long sequence) {
+    return startSentAfter != NO_SEQUENCE && startSentAfter < sequence;
   }
 
-  public double remainingS(long now, double estimateS) {
-    return Math.max(0, estimateS - elapsedS(now));
+  boolean isShownIn(long sequence) {
+    return lastShownIn == sequence;
   }
 
-  @Override
-  public String toString() {
-    return task + "." + attempt + "@" + worker.id;
+  boolean isClearable() {
+    return clearable;
+  }
+
+  boolean isDiscovered() {
+    return discovered;
   }
 
   /** Whether no other task may preempt this one. */
-  public void exemptFromPreemption(boolean exempt) {
-    spared = exempt;
+  public boolean isExemptFromPreemption() {
+    return exemptFromPreemption;
   }
 
-  /** Its image shares the machine's download bandwidth; it would take so long by itself. */
-  public void expectConcurrentFetch(double aloneS) {
-    fetchBesideS = aloneS;
+  /** Whether the worker has ever reported the task as running. */
+  public boolean hasRun() {
+    return runningSinceMs != NOT_RUNNING;
   }
 
-  public long attempt() {
-    return attempt;
+  /** Since when the task runs, in ms; below 0 where it does not yet. */
+  public long runningSince() {
+    return runningSinceMs;
   }
 
-  public double cpus() {
-    return cpus;
+  double elapsedS(long nowMs) {
+    return hasRun() ? (nowMs - runningSinceMs) / 1000.0 : 0;
   }
 
-  public double gpus() {
-    return gpus;
+  /** How long the task still runs if its job's estimate is right, in s. */
+  public double remainingS(long nowMs, double estimateS) {
+    return Math.max(0, estimateS - elapsedS(nowMs));
   }
 
-  public double graceS() {
-    return graceS;
+  /** Since when the task had waited before it was placed; a lost task waits on from there. */
+  long waitingSinceMs() {
+    return placedAtMs - Math.round(waitedS * 1000);
   }
 
-  public double memoryGb() {
-    return memoryGb;
+  /** For how long the task had waited before it was placed, in s. */
+  public double waitedS() {
+    return waitedS;
   }
 
+  /** When the attempt was placed or discovered, in ms. */
   public long placedAt() {
-    return placedAt;
+    return placedAtMs;
+  }
+
+  /** How long the image should take by itself where it shares the bandwidth; else 0. */
+  double concurrentFetchAloneS() {
+    return concurrentFetchAloneS;
+  }
+
+  /** The time that the worker is to give the task for saving its work, in s. */
+  public double graceS() {
+    return stopRequest.graceS();
+  }
+
+  Cause exitCause() {
+    return exitCause;
+  }
+
+  /** The task. */
+  public TaskId task() {
+    return task;
+  }
+
+  /** The task's number within its range. */
+  int offset() {
+    return task.index() - range.record().from();
   }
 
+  /** The number of this start of the task. */
+  public long attempt() {
+    return attempt;
+  }
+
+  /** The range that the task is in; null once that is no longer this shard's. */
   public TaskRange range() {
     return range;
   }
 
-  public long runningSince() {
-    return runningSince;
+  Worker worker() {
+    return worker;
   }
 
-  public boolean isSpared() {
-    return spared;
+  long incarnation() {
+    return incarnation;
   }
 
-  public boolean isStop() {
-    return stop;
+  String team() {
+    return team;
   }
 
-  public TaskId task() {
-    return task;
+  /** CPUs that the task takes. */
+  public double cpus() {
+    return cpus;
   }
 
-  public double waitedS() {
-    return waitedS;
+  /** GPUs that the task takes. */
+  public double gpus() {
+    return gpus;
+  }
+
+  /** Memory that the task takes, in GB. */
+  public double memoryGb() {
+    return memoryGb;
+  }
+
+  @Override
+  public String toString() {
+    return task + "." + attempt + "@" + worker.id();
   }
 }
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
@@ -0,0 +1,128 @@
+package org.fieldtrestle.worker;
+
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.WorkerProtocol.Cause;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** What becomes of a task whose attempt has ended or was lost: it is done, or it waits again. */
+public final class TaskOutcomes {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskOutcomes.class);
+
+  /** Heartbeat intervals for which a worker that refused a task, and the task, are left alone. */
+  private static final double REFUSAL_PAUSE_INTERVALS = 0.5;
+
+  private final ControllerContext context;
+  private final WorkerRegistry workers;
+  private final FailureTracker failures;
+  private final RangeProgressWriter progress;
+  private final ShardEvents events;
+
+  /** Outcomes of tasks on these workers. */
+  public TaskOutcomes(
+      ControllerContext context,
+      WorkerRegistry workers,
+      FailureTracker failures,
+      RangeProgressWriter progress,
+      ShardEvents events) {
+    this.context = context;
+    this.workers = workers;
+    this.failures = failures;
+    this.progress = progress;
+    this.events = events;
+  }
+
+  /** A task has ended by itself, or by a stop. */
+  void exited(TaskAttempt attempt) {
+    LOG.debug("task {} exited: {}", attempt, attempt.exitCause());
+    if (attempt.range() == null) {
+      attempt.markClearable();
+    } else if (attempt.exitCause() == Cause.DONE) {
+      completed(attempt);
+    } else {
+      attempt.markClearable();
+      if (attempt.range().placed().get(attempt.offset()) == attempt) {
+        retry(attempt);
+        progress.removeIfEnded(attempt.range());
+      }
+    }
+  }
+
+  private void completed(TaskAttempt attempt) {
+    TaskRange range = attempt.range();
+    range.finish(attempt.offset());
+    failures.succeeded(attempt, context.now());
+    if (range.stopState().isEnded() || range.isDone(attempt.offset())) {
+      attempt.markClearable();
+    } else {
+      range.finishedTasks().hold(attempt);
+      progress.write(range);
+    }
+  }
+
+  private void retry(TaskAttempt attempt) {
+    TaskRange range = attempt.range();
+    long now = context.now();
+    Retry retry = range.retry(attempt.offset(), attempt.waitingSinceMs());
+    switch (attempt.exitCause()) {
+      case ERROR -> {
+        // Waiting starts anew: a task that fails everywhere must not age into preempting others.
+        retry.restartWaiting(now);
+        failures.failed(attempt, retry, range.countFailure(attempt.offset()), now);
+      }
+      case NO_ROOM, BUSY, UNKNOWN -> {
+        long pauseUntil = now + context.heartbeatIntervalsMs(REFUSAL_PAUSE_INTERVALS);
+        retry.delayUntil(pauseUntil);
+        attempt.worker().quarantineUntil(pauseUntil);
+      }
+      default -> {}
+    }
+  }
+
+  /** The worker does not have the attempt any more, nor can it get it by anything that was sent. */
+  void gone(TaskAttempt attempt) {
+    attempt.worker().remove(attempt);
+    TaskRange range = attempt.range();
+    if (range == null) {
+      return;
+    }
+    range.finishedTasks().drop(attempt);
+    int offset = attempt.offset();
+    if (range.placed().get(offset) == attempt) {
+      range.retry(offset, attempt.waitingSinceMs());
+      progress.removeIfEnded(range);
+    }
+  }
+
+  /**
+   * Everything that was on the worker is gone with its incarnation, or with the machine itself.
+   *
+   * @param reason for the log
+   */
+  public void workerLost(Worker worker, String reason) {
+    worker.clearUnknownTasks();
+    workers.duplicates().forgetWorker(worker);
+    boolean machineGone =
+        worker.isLeaseExpired()
+            || worker.isTerminating()
+            || !context.stateCache().machines().containsKey(worker.id());
+    int lost = 0;
+    for (TaskAttempt attempt : worker.copyOfAttempts()) {
+      if (machineGone || attempt.incarnation() != worker.incarnation()) {
+        if (attempt.live()) {
+          lost++;
+        }
+        gone(attempt);
+      }
+    }
+    if (lost > 0) {
+      context.metrics().lost += lost;
+      LOG.atInfo()
+          .addKeyValue("worker", worker.id())
+          .addKeyValue("tasks", lost)
+          .addKeyValue("reason", reason)
+          .log("tasks lost with their worker");
+    }
+    events.requestPlacementPass();
+  }
+}
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -1,133 +1,154 @@
 package org.fieldtrestle.worker;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
-import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.fieldtrestle.context.ControllerContext;
-import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.protocol.TaskId;
-import org.fieldtrestle.protocol.WorkerProtocol;
 import org.fieldtrestle.state.Records;
 import org.fieldtrestle.state.StateCache;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A shard's ranges and what becomes of their tasks; everything durable about them is done here. */
+/** A shard's task ranges, kept as the state cache shows them; stops what must not run. */
 public final class TaskRanges {
   private static final Logger LOG = LoggerFactory.getLogger(TaskRanges.class);
 
-  /** Reports that go by before a task that should have been stopped is worth a line in the log. */
-  private static final double UNSTOPPED_AFTER_REPORTS = 3;
+  /** Heartbeat intervals after which a task that was not stopped yet is worth a line in the log. */
+  private static final double LOG_PENDING_STOP_AFTER_INTERVALS = 3;
 
-  /** Half of what a transaction may hold. */
-  private static final int MOST_BYTES = 32 * 1024;
-
-  private final LeadershipTerm term;
-  private final ShardEvents events;
-  private final FailureTracker failures;
   private final ControllerContext context;
+  private final LeadershipTerm term;
   private final CommandPolicy policy;
+  private final WorkerRegistry workers;
+  private final WorkerCommands commands;
+  private final RangeProgressWriter progress;
+  private final TaskOutcomes outcomes;
+  private final ShardEvents events;
   private final TreeMap<Records.RangeKey, TaskRange> ranges = new TreeMap<>();
   private final Map<String, List<TaskRange>> byJob = new HashMap<>();
 
+  /** No ranges yet; {@link #sync} adds them. */
   public TaskRanges(
-      ControllerContext context, LeadershipTerm term, FailureTracker failures, ShardEvents events) {
+      ControllerContext context,
+      LeadershipTerm term,
+      WorkerRegistry workers,
+      WorkerCommands commands,
+      RangeProgressWriter progress,
+      TaskOutcomes outcomes,
+      ShardEvents events) {
     this.context = context;
     this.term = term;
-    this.failures = failures;
-    this.events = events;
     this.policy = term.policy();
+    this.workers = workers;
+    this.commands = commands;
+    this.progress = progress;
+    this.outcomes = outcomes;
+    this.events = events;
   }
 
+  /** All ranges in the order of their keys. */
   public Iterable<TaskRange> all() {
     return ranges.values();
   }
 
+  /** How many ranges there are. */
   public int count() {
     return ranges.size();
   }
 
+  /** The ranges of a job that are this shard's. */
   public List<TaskRange> ofJob(String job) {
     return byJob.getOrDefault(job, List.of());
   }
 
-  private boolean has(TaskRange range) {
-    return ranges.get(range.key) == range;
-  }
-
-  /** The range that a task is in; null where it is none of ours. */
+  /** The range that a task is in; null where it is none of this shard's. */
   TaskRange of(TaskId task) {
     for (TaskRange range : ofJob(task.job())) {
-      if (range.has(task.index())) {
+      if (range.contains(task.index())) {
         return range;
       }
     }
     return null;
   }
 
+  /** CPUs that the waiting tasks would take. */
   public double waitingCpus() {
     double waiting = 0;
     for (TaskRange range : ranges.values()) {
       if (!policy.mustStop(range)) {
-        waiting += range.waiting() * range.record.cpus();
+        waiting += range.waiting() * range.record().cpus();
       }
     }
     return waiting;
   }
 
+  /** Whether tasks of the range may be on a worker that has not reported in this term. */
+  public boolean blocked(TaskRange range) {
+    return workers.mayHoldTasksOf(range);
+  }
+
+  /** Writes the records of the ranges. */
+  public RangeProgressWriter progress() {
+    return progress;
+  }
+
+  /** What becomes of tasks that ended or were lost. */
+  public TaskOutcomes outcomes() {
+    return outcomes;
+  }
+
   // ---- records
 
-  /** Follows the record of a range; true where it is or was ours. */
+  /** The term begins: follows all ranges that the state cache knows. */
+  public void inherit() {
+    for (var job : List.copyOf(context.stateCache().all().entrySet())) {
+      for (int index : List.copyOf(job.getValue().ranges().keySet())) {
+        sync(new Records.RangeKey(job.getKey(), index));
+      }
+    }
+  }
+
+  /** Follows the record of a range; true where it is or was this shard's. */
   public boolean sync(Records.RangeKey key) {
     StateCache.Versioned<Records.Range> kept = context.stateCache().range(key);
     TaskRange range = ranges.get(key);
-    // One given to a later epoch of this shard is not ours, though we may not know yet that we
-    // are over: both would start its tasks.
+    // A range given to a later epoch of this shard is not for this term, which may not know yet
+    // that it is over: both would start its tasks.
     if (!policy.isOurs(kept)) {
       if (range != null) {
-        drop(range);
+        release(range);
       }
       return range != null;
     }
     if (range == null) {
-      StateCache.ActiveJob job = context.stateCache().job(key.job());
-      long age =
-          job == null
-              ? 0
-              : Math.max(0, context.reactor().wall() - job.job().record().acceptedWall());
-      range =
-          new TaskRange(
-              key,
-              kept.record(),
-              kept.version(),
-              kept.record().epoch() < term.epoch(),
-              context.now() - age);
-      range.cancelled = context.cancellations().wasHeard(key.job());
-      ranges.put(key, range);
-      byJob.computeIfAbsent(key.job(), j -> new ArrayList<>()).add(range);
+      range = add(key, kept);
       refreshJob(range);
       events.rangeAdded(range);
       return true;
     }
-    range.record = kept.record();
-    range.version = kept.version();
-    range.fresh.clear(range.record.size(), Math.max(range.record.size(), range.fresh.length()));
-    range.finished.andNot(range.record.done());
-    range.fresh.andNot(range.record.done());
-    for (TaskAttempt task : List.copyOf(range.exited)) {
-      if (range.isDone(task.offset())) {
-        task.clearable = true;
-        range.exited.remove(task);
-      }
-    }
+    range.followRecord(kept.record(), kept.version());
     refreshJob(range);
     return true;
   }
 
+  private TaskRange add(Records.RangeKey key, StateCache.Versioned<Records.Range> kept) {
+    StateCache.ActiveJob job = context.stateCache().job(key.job());
+    long ageMs =
+        job == null ? 0 : Math.max(0, context.reactor().wall() - job.job().record().acceptedWall());
+    boolean inherited = kept.record().epoch() < term.epoch();
+    TaskRange range =
+        new TaskRange(key, kept.record(), kept.version(), inherited, context.now() - ageMs);
+    if (context.cancellations().wasHeard(key.job())) {
+      range.stopState().markCancelled();
+    }
+    ranges.put(key, range);
+    byJob.computeIfAbsent(key.job(), j -> new ArrayList<>()).add(range);
+    return range;
+  }
+
   /** Follows the record of a job, which may name ranges without records of their own. */
   public boolean syncJob(String job) {
     boolean ours = false;
@@ -135,291 +156,89 @@
       ours |= sync(new Records.RangeKey(job, index));
     }
     for (TaskRange range : List.copyOf(ofJob(job))) {
-      ours |= sync(range.key);
+      ours |= sync(range.key());
     }
     return ours;
   }
 
-  private void drop(TaskRange range) {
-    ranges.remove(range.key);
-    List<TaskRange> same = byJob.get(range.key.job());
+  private void release(TaskRange range) {
+    ranges.remove(range.key());
+    List<TaskRange> same = byJob.get(range.key().job());
     same.remove(range);
     if (same.isEmpty()) {
-      byJob.remove(range.key.job());
+      byJob.remove(range.key().job());
     }
-    for (TaskAttempt task : range.placed.values()) {
-      task.range = null;
-      events.stop(task, 0);
+    for (TaskAttempt attempt : range.placed().values()) {
+      attempt.detachRange();
+      commands.stop(attempt, 0);
     }
-    for (TaskAttempt task : range.exited) {
-      task.range = null;
-      task.clearable = true;
+    range.release();
+  }
+
+  /** Looks at the jobs of all ranges again: what has ended is stopped and removed. */
+  public void refreshAll() {
+    for (TaskRange range : List.copyOf(ranges.values())) {
+      refreshJob(range);
     }
   }
 
-  void refreshJob(TaskRange range) {
-    StateCache.ActiveJob job = context.stateCache().job(range.key.job());
+  private void refreshJob(TaskRange range) {
+    StateCache.ActiveJob job = context.stateCache().job(range.key().job());
     if (job != null) {
-      range.spec = job.job().record().spec();
-      range.zone = job.job().record().zone();
-      return;
-    }
-    if (policy.hasEnded(range)) {
-      if (!range.ended) {
-        range.ended = true;
-        LOG.info("job {} has ended, winding up range {}", range.key.job(), range.key);
+      range.followJob(job.job().record().spec(), job.job().record().zone());
+    } else if (policy.hasEnded(range)) {
+      if (!range.stopState().isEnded()) {
+        range.stopState().markEnded();
+        LOG.atInfo().addKeyValue("range", range.key()).log("job has ended, removing its range");
       }
       stopAll(range);
-      for (TaskAttempt task : range.exited) {
-        task.clearable = true;
-      }
-      range.exited.clear();
+      range.finishedTasks().clearAllHeld();
       events.sendCommands();
-      windUp(range);
+      progress.removeIfEnded(range);
     }
   }
 
+  // ---- tasks that must not run
+
   /**
    * Another controller has told a user that a job is cancelled. That is final, so that what runs is
-   * stopped, though the state service may not have shown it yet.
+   * stopped, though the key-value store may not have shown it yet.
    */
-  public void cancelled(String job) {
+  public void jobCancelled(String job) {
     for (TaskRange range : ofJob(job)) {
-      range.cancelled = true;
+      range.stopState().markCancelled();
       stopAll(range);
     }
     events.sendCommands();
   }
 
   private void stopAll(TaskRange range) {
-    if (range.stoppingSince < 0) {
-      range.stoppingSince = context.now();
-    }
-    for (TaskAttempt task : List.copyOf(range.placed.values())) {
-      events.stop(task, 0);
+    range.stopState().markStopping(context.now());
+    for (TaskAttempt attempt : List.copyOf(range.placed().values())) {
+      commands.stop(attempt, 0);
     }
   }
 
   /** Logs once for each range why tasks that should have been stopped are still there. */
-  public void logUnstopped(long now) {
+  public void logPendingStops(long nowMs) {
+    long afterMs = context.heartbeatIntervalsMs(LOG_PENDING_STOP_AFTER_INTERVALS);
     for (TaskRange range : ranges.values()) {
-      if (range.stoppingSince < 0
-          || range.unstoppedLogged
-          || range.placed.isEmpty()
-          || now - range.stoppingSince < context.heartbeatIntervalsMs(UNSTOPPED_AFTER_REPORTS)) {
+      RangeStopState stopState = range.stopState();
+      if (!stopState.isStopping()
+          || stopState.arePendingStopsLogged()
+          || range.placed().isEmpty()
+          || nowMs - stopState.stoppingSinceMs() < afterMs) {
         continue;
       }
-      range.unstoppedLogged = true;
-      TaskAttempt task = range.placed.values().iterator().next();
+      stopState.markPendingStopsLogged();
+      TaskAttempt attempt = range.placed().values().iterator().next();
       LOG.atWarn()
-          .addKeyValue("range", range.key)
-          .addKeyValue("tasks", range.placed.size())
-          .addKeyValue("sinceMs", now - range.stoppingSince)
-          .addKeyValue("example", task)
-          .addKeyValue("because", events.stopPendingReason(task))
+          .addKeyValue("range", range.key())
+          .addKeyValue("tasks", range.placed().size())
+          .addKeyValue("sinceMs", nowMs - stopState.stoppingSinceMs())
+          .addKeyValue("example", attempt)
+          .addKeyValue("because", commands.stopPendingReason(attempt))
           .log("cancelled tasks are not stopped yet");
     }
   }
-
-  public void refreshAll() {
-    for (TaskRange range : List.copyOf(ranges.values())) {
-      refreshJob(range);
-    }
-  }
-
-  /** Removes the range of an ended job once nothing of it can be anywhere. */
-  private void windUp(TaskRange range) {
-    if (!range.ended || !range.placed.isEmpty() || range.writing || blocked(range)) {
-      return;
-    }
-    range.writing = true;
-    term.write(
-        List.of(new KeyValueProtocol.Condition(Records.range(range.key), range.version)),
-        List.of(new KeyValueProtocol.Delete(Records.range(range.key))),
-        committed -> {
-          range.writing = false;
-        });
-  }
-
-  /** A machine that may hold tasks of it has not been heard of in this epoch. */
-  public boolean blocked(TaskRange range) {
-    return range.inherited && events.hasUnreconciledWorkers();
-  }
-
-  // ---- tasks
-
-  /** A task has ended by itself, or by a stop. */
-  void exited(TaskAttempt task) {
-    TaskRange range = task.range;
-    long now = context.now();
-    LOG.debug("task {} exited: {}", task, task.cause);
-    if (range == null) {
-      task.clearable = true;
-      return;
-    }
-    int offset = task.offset();
-    if (task.cause == WorkerProtocol.Cause.DONE) {
-      range.finish(offset);
-      failures.succeeded(task, now);
-      if (range.ended || range.isDone(offset)) {
-        task.clearable = true;
-      } else {
-        range.exited.add(task);
-        writeSoon(range);
-      }
-      return;
-    }
-    task.clearable = true;
-    if (range.placed.get(offset) != task) {
-      return;
-    }
-    TaskRange.Retry retry = range.again(offset, task.waitingSince());
-    switch (task.cause) {
-      case ERROR -> {
-        // Waiting starts anew: a task that fails everywhere must not age into evicting others.
-        retry.waitingSince = now;
-        failures.failed(task, retry, range.failures.addTo(offset, 1) + 1, now);
-      }
-      case NO_ROOM, BUSY, UNKNOWN -> {
-        retry.notBefore = now + context.heartbeatIntervalsMs(0.5);
-        task.worker.quarantineUntil = now + context.heartbeatIntervalsMs(0.5);
-      }
-      default -> {}
-    }
-    windUp(range);
-  }
-
-  /** The machine does not have this task any more, nor can it get it by anything we sent. */
-  void gone(TaskAttempt task) {
-    task.worker.remove(task);
-    TaskRange range = task.range;
-    if (range == null) {
-      return;
-    }
-    range.exited.remove(task);
-    int offset = task.offset();
-    if (range.placed.get(offset) == task) {
-      range.again(offset, task.waitingSince());
-      windUp(range);
-    }
-  }
-
-  // ---- writes
-
-  /** That a range is still as we know it; one without a record of its own is as its job's is. */
-  List<KeyValueProtocol.Condition> unchanged(TaskRange range) {
-    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    conditions.add(new KeyValueProtocol.Condition(Records.range(range.key), range.version));
-    if (range.version == 0) {
-      String job = Records.job(range.key.job());
-      conditions.add(new KeyValueProtocol.Condition(job, context.stateCache().version(job)));
-    }
-    return conditions;
-  }
-
-  /**
-   * After handing tasks on has failed or its fate is unknown: they may still be taken by the late
-   * transaction, until a write of our own has moved the range's version past it.
-   */
-  public void settle(TaskRange range, BitSet held) {
-    if (term.isOver() || !has(range)) {
-      return;
-    }
-    term.write(
-        unchanged(range),
-        List.of(new KeyValueProtocol.Put(Records.range(range.key), Records.write(range.record), 0)),
-        committed -> {
-          if (!committed) {
-            settle(range, held);
-            return;
-          }
-          held.clear(range.record.size(), Math.max(range.record.size(), held.length()));
-          held.andNot(range.record.done());
-          range.fresh.or(held);
-          written(range);
-          events.requestPlacementPass();
-        });
-  }
-
-  /** A write of the range is over; what has finished meanwhile goes into the next. */
-  public void written(TaskRange range) {
-    range.writing = false;
-    if (!range.finished.isEmpty() && has(range)) {
-      writeSoon(range);
-    }
-  }
-
-  private void writeSoon(TaskRange range) {
-    if (range.writing) {
-      return;
-    }
-    if (range.record.done().cardinality() + range.finished.cardinality() < range.record.size()) {
-      // Until all are done, what is done is safe on its machines; it is written now and then only
-      // so that reports stay short and little is done again where a machine is lost.
-      if (range.writeAt < 0) {
-        range.writeAt = context.now() + context.settings().workerLeaseMs();
-      }
-      return;
-    }
-    range.writing = true;
-    // A short wait lets tasks that end together share a write.
-    context.reactor().schedule(context.stateCache().watchIntervalMs() / 3, () -> writeDone(range));
-  }
-
-  private static Records.Range withFinished(TaskRange range) {
-    BitSet done = (BitSet) range.record.done().clone();
-    done.or(range.finished);
-    return range.record.withDone(done);
-  }
-
-  private void writeDone(TaskRange range) {
-    if (term.isOver() || range.finished.isEmpty() || !has(range)) {
-      range.writing = false;
-      return;
-    }
-    Records.Range next = withFinished(range);
-    List<KeyValueProtocol.Condition> conditions = unchanged(range);
-    List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    if (!JobCompletion.add(context, range.key, next, conditions, changes)) {
-      changes.add(new KeyValueProtocol.Put(Records.range(range.key), Records.write(next), 0));
-    }
-    range.writeAt = -1;
-    term.write(
-        conditions,
-        changes,
-        committed -> {
-          written(range);
-          events.sendCommands();
-        });
-  }
-
-  /** Writes what is done of ranges that are not through, many at once. */
-  public void writePartial(long now) {
-    if (context.store().isCongested()) {
-      return;
-    }
-    List<TaskRange> batch = new ArrayList<>();
-    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    int bytes = 0;
-    for (TaskRange range : ranges.values()) {
-      if (range.writeAt < 0 || range.writing || range.writeAt > now || range.ended) {
-        continue;
-      }
-      Records.Range next = withFinished(range);
-      JsonNode value = Records.write(next);
-      bytes += value.toString().length() + 200;
-      if (batch.size() >= context.settings().state().txnOps() / 2 || bytes > MOST_BYTES) {
-        break;
-      }
-      conditions.addAll(unchanged(range));
-      changes.add(new KeyValueProtocol.Put(Records.range(range.key), value, 0));
-      range.writing = true;
-      range.writeAt = -1;
-      batch.add(range);
-    }
-    if (!batch.isEmpty()) {
-      term.write(conditions, changes, committed -> batch.forEach(this::written));
-    }
-  }
 }
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/worker/WaitingTasks.java
@@ -0,0 +1,91 @@
+package org.fieldtrestle.worker;
+
+import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
+import it.unimi.dsi.fastutil.ints.Int2ObjectMap;
+import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
+import java.util.BitSet;
+
+/** The tasks of one range that wait, by their offsets in the range. */
+final class WaitingTasks {
+  /** Tasks that have not been on a worker in this term. */
+  private final BitSet fresh = new BitSet();
+
+  private final Int2ObjectMap<Retry> retries = new Int2ObjectOpenHashMap<>();
+
+  /** How often tasks have failed; outlives their being placed again. */
+  private final Int2IntOpenHashMap failures = new Int2IntOpenHashMap();
+
+  /** Tasks below {@code size}, without those that are done, are fresh. */
+  WaitingTasks(int size, BitSet done) {
+    fresh.set(0, size);
+    fresh.andNot(done);
+  }
+
+  /** The range ends at {@code size} now, and these tasks of it are done. */
+  void follow(int size, BitSet done) {
+    clearFrom(size, fresh);
+    fresh.andNot(done);
+  }
+
+  static void clearFrom(int size, BitSet tasks) {
+    tasks.clear(size, Math.max(size, tasks.length()));
+  }
+
+  void remove(int offset) {
+    fresh.clear(offset);
+    retries.remove(offset);
+  }
+
+  void addRetry(int offset, Retry retry) {
+    retries.put(offset, retry);
+  }
+
+  /** These tasks wait again as if they had never been on a worker. */
+  void addFresh(BitSet tasks) {
+    fresh.or(tasks);
+  }
+
+  void removeAll(BitSet tasks) {
+    fresh.andNot(tasks);
+    tasks.stream().forEach(retries::remove);
+  }
+
+  /** Counts a failure of the task; returns how often it has failed. */
+  int countFailure(int offset) {
+    return failures.addTo(offset, 1) + 1;
+  }
+
+  boolean mayRetryAll(long nowMs) {
+    for (Retry retry : retries.values()) {
+      if (retry.notBefore() > nowMs) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  /** Whether the task waits and has never failed. */
+  boolean hasUnfailed(int offset) {
+    return fresh.get(offset) || (retries.containsKey(offset) && !failures.containsKey(offset));
+  }
+
+  /** The offset of some task that waits, or {@link TaskRange#NO_TASK}. */
+  int first() {
+    if (!fresh.isEmpty()) {
+      return fresh.nextSetBit(0);
+    }
+    return retries.isEmpty() ? TaskRange.NO_TASK : retries.keySet().iterator().nextInt();
+  }
+
+  int count() {
+    return fresh.cardinality() + retries.size();
+  }
+
+  BitSet fresh() {
+    return fresh;
+  }
+
+  Int2ObjectMap<Retry> retries() {
+    return retries;
+  }
+}
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -2,422 +2,250 @@
 
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.function.Predicate;
 import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.protocol.TaskId;
 import org.fieldtrestle.protocol.WorkerProtocol;
+import org.fieldtrestle.state.Records;
 
-/** A machine of this shard's, and everything that is or may be on it. */
-public final class Worker {
-  final String id;
-  final String machineType;
-  final String zone;
-  final boolean spot;
+/** A worker of a shard, and everything that is or may be on it. Times are in ms. */
+public final class Worker extends WorkerLifecycle {
+  private final String id;
+  private final String machineType;
+  private final String zone;
+  private final boolean spot;
+  private final long knownSinceMs;
 
-  /** As it reported last. */
-  String address = "";
+  /** For how long the machine had been rented when it became known here. */
+  private final long rentedBeforeMs;
 
-  /** Its record says that tasks may have been started on it. */
-  boolean up;
+  private final WorkerConnection connection;
+  private final FailureHistory failures = new FailureHistory();
+  private final AttemptTable attempts;
+  private final ImageCache images = new ImageCache();
 
-  boolean upWriteInFlight;
+  /** Reported tasks that the shard does not expect here: only to be stopped and cleared. */
+  private final List<WorkerProtocol.ReportedTask> unknownTasks = new ArrayList<>();
 
-  /** What is on it is known: it has reported having seen this epoch's token. */
-  boolean reconciled;
-
-  long incarnation = -1;
-  long sequence = -1;
-  long seenFencingToken;
-
-  /** The token that we send it; raised to fence off a direct command of unknown fate. */
-  long fencingToken;
-
-  /** No clear and no conclusion from absence until the machine has seen this token. */
-  long requiredFencingToken;
-
-  boolean directCommandInFlight;
-  long lastHeartbeatAt = -1;
-
-  /** When its lease was renewed last, or may have been by whoever acted before us. */
-  long leaseRenewedAt;
-
-  /** Its lease has run out since: nothing is on it, and it has not reported again. */
-  boolean leaseExpired;
-
-  final long since;
-  private long rentedAgoMs;
-  long spotNoticeUntil = -1;
-  boolean draining;
-
-  /** Takes nothing new for as long as nothing waits. */
-  boolean cordoned;
-
-  boolean terminating;
-
-  /** The cloud has taken it back; only its record still goes. */
-  boolean terminated;
-
-  String drainReason = "";
-  long idleSince;
-  long quarantineUntil;
-  int errors;
-  final Set<String> errorJobs = new HashSet<>();
-
-  /** How many reports in a row lacked what their answers had started: it may not hear us. */
-  int unacknowledgedAnswers;
-
-  /** Since when it seems not to hear us; below 0 while it does. */
-  long unresponsiveSince = -1;
-
-  /** The last report of this session, as against the answers to direct commands. */
-  long heartbeatSequence = -1;
-
-  /** Tasks that took much longer here than their jobs' others elsewhere. */
-  final Set<TaskId> slowTasks = new HashSet<>();
-
-  /** The range for which tasks were evicted here, and until when its room is kept for it. */
+  /** The range for which tasks were preempted here, and until when its room is kept for it. */
   private TaskRange claim;
 
-  private long claimUntil;
-
-  private final Map<TaskId, TaskAttempt> attempts = new HashMap<>();
-  private final TeamUsage usage;
-  private int live;
-  private int beforeImage;
-  private double usedCpus;
-  private double usedGpus;
-  private double usedMemory;
-
-  /** Reported tasks that no range of ours knows: only to be stopped and cleared. */
-  final List<WorkerProtocol.ReportedTask> unknownTasks = new ArrayList<>();
-
-  /** Images that it should have, the least recently used first, with their sizes. */
-  private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
+  private long claimUntilMs;
 
+  /**
+   * A worker that has just become known.
+   *
+   * @param firstToken the fencing token that it is sent first
+   * @param rentedBeforeMs for how long its machine has been rented already
+   */
   Worker(
       String id,
-      String machineType,
-      String zone,
-      boolean spot,
-      long fencingToken,
-      long now,
-      TeamUsage usage) {
-    this.usage = usage;
+      Records.Machine record,
+      long firstToken,
+      long nowMs,
+      long rentedBeforeMs,
+      TeamUsage teamUsage) {
+    super(nowMs);
     this.id = id;
-    this.machineType = machineType;
-    this.zone = zone;
-    this.spot = spot;
-    this.fencingToken = fencingToken;
-    this.since = now;
-    this.idleSince = now;
-    this.leaseRenewedAt = now;
+    this.machineType = record.type();
+    this.zone = record.zone();
+    this.spot = record.spot();
+    this.knownSinceMs = nowMs;
+    this.rentedBeforeMs = rentedBeforeMs;
+    this.connection = new WorkerConnection(firstToken, nowMs);
+    this.attempts = new AttemptTable(teamUsage);
   }
 
-  /** It is to go, and takes nothing new. */
-  public void drain(String why) {
-    draining = true;
-    drainReason = why;
+  // ---- identity
+
+  /** The worker's name. */
+  public String id() {
+    return id;
   }
 
-  /** Its record is older than our knowledge of it. */
-  void rentedAgo(long ms) {
-    rentedAgoMs = ms;
+  /** The name of its machine type. */
+  public String machineType() {
+    return machineType;
   }
 
-  public long ageMs(long now) {
-    return now - since + rentedAgoMs;
+  /** The name of its zone. */
+  public String zone() {
+    return zone;
   }
 
-  /** Keeps what an eviction frees for whom it was meant, or the victim would take it back. */
-  public void claim(TaskRange range, long until) {
-    claim = range;
-    claimUntil = until;
+  /** Whether the cloud may take its machine back after a notice. */
+  public boolean isSpot() {
+    return spot;
   }
 
-  public boolean claimedBy(TaskRange range, long now) {
-    return claim == range && now < claimUntil;
+  /** Since when the worker is known here, in ms. */
+  public long since() {
+    return knownSinceMs;
   }
 
-  public boolean claimedFrom(TaskRange range, long now) {
-    return claim != null
-        && claim != range
-        && now < claimUntil
-        && claim.spec != null
-        && claim.waiting() > 0
-        && !range.spec.priority().above(claim.spec.priority());
+  /** For how long its machine has been rented, in ms. */
+  public long ageMs(long nowMs) {
+    return nowMs - knownSinceMs + rentedBeforeMs;
   }
 
-  /** Nothing that we sent can still be executed late. */
-  public boolean hasNoCommandInFlight() {
-    return !directCommandInFlight && seenFencingToken >= requiredFencingToken;
+  // ---- its messages and its lease
+
+  WorkerConnection connection() {
+    return connection;
   }
 
-  /** From here on nothing sent before can be executed once the machine has seen the new token. */
-  void raiseToken() {
-    fencingToken++;
-    requiredFencingToken = fencingToken;
+  FencingState fencing() {
+    return connection.fencing();
   }
 
-  // ---- what is on it; sums are kept up, as they are asked for at every turn
+  /** Nothing that was started in this incarnation can still run. */
+  public void expireLease() {
+    connection.expireLease();
+  }
 
-  public TaskAttempt attempt(TaskId task) {
-    return attempts.get(task);
+  @Override
+  public void markTerminated() {
+    super.markTerminated();
+    connection.expireLease();
   }
 
-  public Collection<TaskAttempt> attempts() {
-    return attempts.values();
+  /** Whether the lease has expired and the worker has not reported since. */
+  public boolean isLeaseExpired() {
+    return connection.isLeaseExpired();
   }
 
-  /** For whoever changes what is on it meanwhile. */
-  List<TaskAttempt> copyOfAttempts() {
-    return List.copyOf(attempts.values());
-  }
-
-  public void put(TaskAttempt task) {
-    TaskAttempt before = attempts.put(task.task, task);
-    if (before != null) {
-      count(before, -1);
-    }
-    count(task, 1);
-  }
-
-  void remove(TaskAttempt task) {
-    if (attempts.remove(task.task, task)) {
-      count(task, -1);
-    }
-  }
-
-  /** A task on it has come to another state. */
-  void moved(TaskAttempt task, TaskAttempt.State next) {
-    if (task.state() == next) {
-      return;
-    }
-    boolean here = attempts.get(task.task) == task;
-    if (here) {
-      count(task, -1);
-    }
-    task.enter(next);
-    if (here) {
-      count(task, 1);
-    }
-  }
-
-  private void count(TaskAttempt task, int sign) {
-    if (!task.live()) {
-      return;
-    }
-    live += sign;
-    beforeImage += task.state().beforeImage() ? sign : 0;
-    usedCpus += sign * task.cpus;
-    usedGpus += sign * task.gpus;
-    usedMemory += sign * task.memoryGb;
-    if (sign > 0) {
-      usage.add(task);
-    } else {
-      usage.remove(task);
-    }
-    if (live == 0) { // and with it whatever rounding has left
-      usedCpus = 0;
-      usedGpus = 0;
-      usedMemory = 0;
-    }
-  }
-
-  /** A task on it still waits for its image. */
-  public boolean fetching() {
-    return beforeImage > 0;
+  /** Whether the worker has reported in this term. */
+  public boolean hasReported() {
+    return connection.hasReported();
   }
 
-  public boolean empty() {
-    return live == 0;
+  /** Whether what is on the worker is known. */
+  public boolean isReconciled() {
+    return connection.isReconciled();
   }
 
-  public double usedCpus() {
-    return usedCpus;
+  /** Whether the worker seems not to receive the answers to its heartbeats. */
+  public boolean isUnresponsive() {
+    return connection.isUnresponsive();
   }
 
-  /** What is free on it, for as long as nothing changes. */
-  public FreeResources freeResources(MachineType of) {
-    return new FreeResources(
-        this, of, of.cpus() - usedCpus, of.gpus() - usedGpus, of.memoryGb() - usedMemory);
+  /** Since when the worker is unresponsive, in ms, where it is. */
+  public long unresponsiveSince() {
+    return connection.unresponsiveSinceMs();
   }
 
-  public void usesImage(String image, double gb, double cacheGb) {
-    if (images.put(image, gb) != null) {
-      return; // only used again
-    }
-    double total = 0;
-    for (double size : images.values()) {
-      total += size;
-    }
-    var oldest = images.entrySet().iterator();
-    while (total > cacheGb && images.size() > 1 && oldest.hasNext()) {
-      total -= oldest.next().getValue();
-      oldest.remove();
-    }
+  /** Whether no command that was sent can still be executed late. */
+  public boolean hasNoCommandInFlight() {
+    return fencing().hasNoCommandInFlight();
   }
 
-  public boolean hasImage(String image) {
-    return images.containsKey(image);
-  }
-
-  /** What the machine is to do now; starts only those tasks that may be. */
-  List<WorkerProtocol.Command> orders(Predicate<TaskAttempt> startable, int most) {
-    List<WorkerProtocol.Command> orders = new ArrayList<>();
-    for (WorkerProtocol.ReportedTask ghost : unknownTasks) {
-      if (ghost.state() != WorkerProtocol.TaskState.EXITED) {
-        orders.add(new WorkerProtocol.Stop(ghost.task(), ghost.attempt(), 0));
-      } else if (hasNoCommandInFlight()) {
-        orders.add(new WorkerProtocol.Clear(ghost.task(), ghost.attempt()));
-      }
-    }
-    for (TaskAttempt task : attempts.values()) {
-      if (!task.live()) {
-        // After a clear the worker no longer knows the attempt, so that a late copy of its start
-        // would run it again: only where no such copy can be under way.
-        if (task.clearable && hasNoCommandInFlight()) {
-          orders.add(new WorkerProtocol.Clear(task.task, task.attempt));
-        }
-      } else if (task.stop) {
-        orders.add(new WorkerProtocol.Stop(task.task, task.attempt, task.graceS));
-      }
-    }
-    for (TaskAttempt task : attempts.values()) {
-      if (task.state() == TaskAttempt.State.STARTING && !task.stop && startable.test(task)) {
-        orders.add(new WorkerProtocol.Start(task.task, task.attempt));
-      }
-    }
-    List<WorkerProtocol.Command> sent = orders.size() > most ? orders.subList(0, most) : orders;
-    for (WorkerProtocol.Command order : sent) {
-      TaskAttempt task = attempts.get(order.task());
-      if (order instanceof WorkerProtocol.Start) {
-        task.startSent = true;
-      } else if (order instanceof WorkerProtocol.Stop && task != null) {
-        task.stopSent = true;
-      }
-    }
-    return sent;
-  }
-
-  /** Starts or stops that the machine has not been told yet. */
-  boolean hasNews() {
-    for (TaskAttempt task : attempts.values()) {
-      if (task.state() == TaskAttempt.State.STARTING && !task.startSent && !task.stop) {
-        return true;
-      }
-      if (task.stop && task.live() && !task.stopSent) {
-        return true;
-      }
-    }
-    return false;
-  }
-
-  /** Takes no new tasks for as long as other workers have room. */
-  public void cordon() {
-    cordoned = true;
-  }
-
-  /** Takes new tasks again. */
-  public void uncordon() {
-    cordoned = false;
-  }
-
-  /** The machine is being returned to the cloud and gets no further commands. */
-  public void beginTermination() {
-    terminating = true;
-  }
-
-  /** The cloud has taken the machine back; only its record still has to go. */
-  public void markTerminated() {
-    terminated = true;
-    leaseExpired = true;
+  /** The token that commands to the worker carry. */
+  public long fencingToken() {
+    return fencing().token();
   }
 
-  /** Nothing that was started in this incarnation can still run. */
-  public void expireLease() {
-    leaseExpired = true;
+  /** The incarnation that the worker reported last; below 0 where there is none. */
+  long incarnation() {
+    return connection.order().incarnation();
   }
 
-  /** Tasks were placed or seen on it at this time. */
-  public void markBusy(long now) {
-    idleSince = now;
+  FailureHistory failures() {
+    return failures;
   }
 
-  public boolean isCordoned() {
-    return cordoned;
+  // ---- its tasks
+
+  /** The attempt at a task that is or may be on the worker; null where there is none. */
+  public TaskAttempt attempt(TaskId task) {
+    return attempts.get(task);
   }
 
-  public String drainReason() {
-    return drainReason;
+  /** All attempts that are or may be on the worker, those that have ended included. */
+  public Collection<TaskAttempt> attempts() {
+    return attempts.all();
   }
 
-  public boolean isDraining() {
-    return draining;
+  /** As {@link #attempts}, for a caller that changes what is on the worker meanwhile. */
+  List<TaskAttempt> copyOfAttempts() {
+    return attempts.copy();
   }
 
-  public long fencingToken() {
-    return fencingToken;
+  /** The attempt is or may be on the worker from now on. */
+  public void put(TaskAttempt attempt) {
+    attempts.put(attempt);
   }
 
-  public String id() {
-    return id;
+  void remove(TaskAttempt attempt) {
+    attempts.remove(attempt);
   }
 
-  public long idleSince() {
-    return idleSince;
+  void changeState(TaskAttempt attempt, TaskAttempt.State next) {
+    attempts.changeState(attempt, next);
   }
 
-  public long lastHeartbeatAt() {
-    return lastHeartbeatAt;
+  /** Reported tasks that the shard does not expect here. */
+  List<WorkerProtocol.ReportedTask> unknownTasks() {
+    return unknownTasks;
   }
 
-  public boolean isLeaseExpired() {
-    return leaseExpired;
+  void clearUnknownTasks() {
+    unknownTasks.clear();
   }
 
-  public String machineType() {
-    return machineType;
+  void addUnknownTask(WorkerProtocol.ReportedTask reported) {
+    unknownTasks.add(reported);
   }
 
-  public boolean isReconciled() {
-    return reconciled;
+  /** Whether a task on the worker still waits for its image. */
+  public boolean fetching() {
+    return attempts.isFetching();
   }
 
-  public long since() {
-    return since;
+  /** Whether nothing that has not ended is on the worker. */
+  public boolean empty() {
+    return attempts.isEmpty();
   }
 
-  public boolean isSpot() {
-    return spot;
+  /** CPUs that its tasks take. */
+  public double usedCpus() {
+    return attempts.usedCpus();
   }
 
-  public long spotNoticeUntil() {
-    return spotNoticeUntil;
+  /** What is free on the worker, for as long as nothing changes. */
+  public FreeResources freeResources(MachineType type) {
+    return attempts.freeResources(this, type);
   }
 
-  public boolean isTerminated() {
-    return terminated;
+  // ---- images and claims
+
+  /** A task with this image was placed on the worker or is there; sizes are in GB. */
+  public void usesImage(String image, double gb, double cacheGb) {
+    images.use(image, gb, cacheGb);
   }
 
-  public boolean isTerminating() {
-    return terminating;
+  /** Whether the worker should have the image. */
+  public boolean hasImage(String image) {
+    return images.has(image);
   }
 
-  public long unresponsiveSince() {
-    return unresponsiveSince;
+  /** Keeps the room that a preemption frees for its range, or the victim would take it back. */
+  public void claim(TaskRange range, long untilMs) {
+    claim = range;
+    claimUntilMs = untilMs;
   }
 
-  public boolean isUp() {
-    return up;
+  /** Whether room on the worker is kept for the range. */
+  public boolean claimedBy(TaskRange range, long nowMs) {
+    return claim == range && nowMs < claimUntilMs;
   }
 
-  public String zone() {
-    return zone;
+  /** Whether room on the worker is kept for another range that the range must not come before. */
+  public boolean claimedFrom(TaskRange range, long nowMs) {
+    return claim != null
+        && claim != range
+        && nowMs < claimUntilMs
+        && claim.spec() != null
+        && claim.waiting() > 0
+        && !range.spec().priority().above(claim.spec().priority());
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
@@ -1,173 +1,117 @@
 package org.fieldtrestle.worker;
 
-import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import org.fieldtrestle.context.ControllerContext;
-import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.protocol.WorkerProtocol;
-import org.fieldtrestle.transport.Http;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * What a shard tells its workers: commands in the answers to reports, and direct ones for what
- * would else wait for the next report. Whether a command is allowed, {@link CommandPolicy} says.
+ * The commands that a shard's workers are to get, with the answers to their heartbeats or directly
+ * ({@link DirectCommands}). Whether a command is allowed, {@link CommandPolicy} decides.
  */
 public final class WorkerCommands {
-  private static final Logger LOG = LoggerFactory.getLogger(WorkerCommands.class);
-
-  /** Commands of one message at the most. */
-  private static final int MOST_ORDERS = 200;
-
-  private final LeadershipTerm term;
   private final ControllerContext context;
-  private final WorkerRegistry machines;
-  private final TaskRanges ranges;
+  private final WorkerRegistry workers;
+  private final TaskOutcomes outcomes;
   private final CommandPolicy policy;
 
-  /** Machines that may have something to be told. */
-  private final Set<Worker> news = new LinkedHashSet<>();
+  /** Workers for which there may be commands that were not sent yet. */
+  private final Set<Worker> pending = new LinkedHashSet<>();
 
-  WorkerCommands(
-      ControllerContext context, LeadershipTerm term, WorkerRegistry machines, TaskRanges ranges) {
+  /** Commands of this term to these workers. */
+  public WorkerCommands(
+      ControllerContext context,
+      LeadershipTerm term,
+      WorkerRegistry workers,
+      TaskOutcomes outcomes) {
     this.context = context;
-    this.term = term;
-    this.machines = machines;
-    this.ranges = ranges;
+    this.workers = workers;
+    this.outcomes = outcomes;
     this.policy = term.policy();
   }
 
-  /** A machine is no longer this shard's. */
+  /** There may be commands for the worker that were not sent yet. */
+  public void addPending(Worker worker) {
+    pending.add(worker);
+  }
+
+  /** The worker is no longer this shard's. */
   void forget(Worker worker) {
-    news.remove(worker);
+    pending.remove(worker);
   }
 
-  /** What a machine is to do now, by what is known at this moment. */
-  List<WorkerProtocol.Command> ordersFor(Worker worker) {
-    if (worker.attempts().stream().anyMatch(this::mustStop)) {
-      worker.copyOfAttempts().stream().filter(this::mustStop).forEach(task -> stop(task, 0));
-    }
-    return worker.orders(task -> machines.mayStart(worker) && mayStart(task), MOST_ORDERS);
+  /** Workers for which there may be commands that were not sent yet; allows removal. */
+  Iterator<Worker> pending() {
+    return pending.iterator();
   }
 
-  private boolean mustStop(TaskAttempt task) {
-    boolean stopsAtOnce = task.stop && task.graceS <= 0;
-    return task.live() && !stopsAtOnce && task.range != null && policy.mustStop(task.range);
+  /** What a worker is to do, by what is known at this moment. */
+  List<WorkerProtocol.Command> assembleFor(Worker worker) {
+    if (anyMustStop(worker)) {
+      for (TaskAttempt attempt : worker.copyOfAttempts()) {
+        if (mustStop(attempt)) {
+          stop(attempt, 0);
+        }
+      }
+    }
+    return CommandAssembler.assemble(
+        worker, attempt -> workers.acceptsStarts(worker) && mayStart(attempt));
   }
 
-  private boolean mayStart(TaskAttempt task) {
-    return task.range != null && policy.mayStart(task.range);
+  private boolean anyMustStop(Worker worker) {
+    for (TaskAttempt attempt : worker.attempts()) {
+      if (mustStop(attempt)) {
+        return true;
+      }
+    }
+    return false;
   }
 
-  /** There may be something to tell. */
-  public void newsFor(Worker worker) {
-    news.add(worker);
+  private boolean mustStop(TaskAttempt attempt) {
+    return attempt.live()
+        && !attempt.stopRequest().isWithoutGrace()
+        && attempt.range() != null
+        && policy.mustStop(attempt.range());
   }
 
-  public void stop(TaskAttempt task, double graceS) {
-    if (!task.live() || task.stop && task.graceS <= graceS) {
-      return;
-    }
-    task.stop = true;
-    task.stopSent = false;
-    task.graceS = graceS;
-    if (task.state() == TaskAttempt.State.STARTING && !task.startSent) {
-      ranges.gone(task);
-    } else {
-      news.add(task.worker);
-    }
+  private boolean mayStart(TaskAttempt attempt) {
+    return attempt.range() != null && policy.mayStart(attempt.range());
   }
 
-  /** Tells machines at once what would else wait for their next report. */
-  public void sendDirect() {
-    if (!term.isLeading()) {
+  /** Stops a task, with so many seconds to save its work; a second stop can only shorten that. */
+  public void stop(TaskAttempt attempt, double graceS) {
+    if (!attempt.live() || (attempt.isStopping() && attempt.graceS() <= graceS)) {
       return;
     }
-    for (Iterator<Worker> all = news.iterator(); all.hasNext(); ) {
-      Worker worker = all.next();
-      if (!worker.hasNews()) {
-        all.remove();
-      } else if (worker.hasNoCommandInFlight()
-          && !worker.terminating
-          && !worker.leaseExpired
-          && worker.incarnation >= 0
-          && machines.resolvedNow(worker)) {
-        direct(worker);
-      }
+    attempt.stopRequest().request(graceS);
+    if (attempt.state() == TaskAttempt.State.STARTING && !attempt.isStartSent()) {
+      outcomes.gone(attempt);
+    } else {
+      pending.add(attempt.worker());
     }
   }
 
-  /** Why a task that is to be stopped is still there, as the reader of a log would ask. */
-  public String stopPendingReason(TaskAttempt task) {
-    Worker worker = task.worker;
+  /** Why a task that is to be stopped is still there, for the log. */
+  String stopPendingReason(TaskAttempt attempt) {
+    Worker worker = attempt.worker();
     if (!policy.mayAcknowledge()) {
       return "this controller may not act";
     }
-    if (worker.leaseExpired || worker.terminating) {
-      return "its machine is lost or being returned";
+    if (worker.isLeaseExpired() || worker.isTerminating()) {
+      return "its worker is lost or being returned";
     }
-    if (!machines.resolvedNow(worker)) {
-      return "its machine has not shown this epoch's token";
+    if (!workers.mayReceiveCommands(worker)) {
+      return "its worker has not shown this epoch's token";
     }
-    if (!task.stopSent) {
+    if (!attempt.stopRequest().isSent()) {
       return worker.hasNoCommandInFlight()
           ? "the stop is to be sent"
-          : "the fate of an earlier command is unknown";
+          : "the outcome of an earlier command is unknown";
     }
-    return "the machine has not reported its end, last heard "
-        + (context.now() - worker.lastHeartbeatAt)
+    return "the worker has not reported its end, last heard "
+        + (context.now() - worker.connection().lastHeartbeatAtMs())
         + " ms ago";
   }
-
-  private void direct(Worker worker) {
-    // The clears are left for the next report's answer, which is never executed late.
-    List<WorkerProtocol.Command> orders = new ArrayList<>(ordersFor(worker));
-    orders.removeIf(order -> order instanceof WorkerProtocol.Clear);
-    if (orders.isEmpty()) {
-      return;
-    }
-    worker.directCommandInFlight = true;
-    long sentSession = worker.incarnation;
-    context
-        .caller()
-        .call(
-            worker.address,
-            "POST",
-            WorkerProtocol.COMMANDS,
-            WorkerProtocol.commands(worker.fencingToken, sentSession, orders),
-            context.heartbeatIntervalsMs(0.8),
-            outcome -> answered(worker, outcome));
-  }
-
-  private void answered(Worker worker, Http.Outcome outcome) {
-    worker.directCommandInFlight = false;
-    if (outcome instanceof Http.NotSent) {
-      return;
-    }
-    if (outcome instanceof Http.Answer answer
-        && (answer.status() == 200 || answer.status() == 409)) {
-      try {
-        WorkerProtocol.Heartbeat report = WorkerProtocol.readHeartbeat(answer.body());
-        if (!term.isOver()
-            && machines.get(worker.id) == worker
-            && report.machine().equals(worker.id)) {
-          machines.learn(worker, report);
-        }
-        return;
-      } catch (Json.MalformedJsonException e) {
-        LOG.warn("machine {} answered a command out of form: {}", worker.id, e.getMessage());
-      }
-    }
-    // Its fate is unknown: it may be executed minutes later, as long as token and session match.
-    // A higher token ends that as soon as the machine has seen it.
-    worker.raiseToken();
-    for (TaskAttempt task : worker.attempts()) {
-      if (task.state() == TaskAttempt.State.STARTING && task.startSent) {
-        task.answeredSeq = worker.sequence; // its next report shows whether it came
-      }
-    }
-  }
 }
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -55,7 +55,7 @@
     fixture.report();
     fixture.reportRunning();
     for (TaskAttempt task : fixture.range().placed().values()) {
-      fixture.shard.stop(task, 20);
+      fixture.shard.commands().stop(task, 20);
     }
     assertEquals(
         ShardLeaderFixture.TASKS, ShardLeaderFixture.orders(fixture.reportRunning(), "stop"));
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -212,7 +212,7 @@
     WorkerProtocol.Heartbeat report =
         new WorkerProtocol.Heartbeat(
             MACHINE, WORKER_ADDRESS, "big", "a", true, 1, ++reports, shownToken, -1, tasks);
-    shard.tell(new ShardLeader.Reported(report, answers::add));
+    shard.tell(new ShardLeader.HeartbeatReceived(report, answers::add));
     network.runFor(STEP_MS);
     shownToken = shard.term().firstToken();
     return answers.get(0);
@@ -225,7 +225,7 @@
     for (int i = 0; i < TASKS; i++) {
       String ordered = "\"order\":\"" + order + "\"";
       String task = "\"board\":\"" + new TaskId(JOB, i) + "\"";
-      for (String one : body.split("\\{")) {
+      for (String one : body.split("\\{", -1)) {
         count += one.contains(ordered) && one.contains(task) ? 1 : 0;
       }
     }
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -36,7 +36,7 @@
   /** The range's record may be written later than the job's end, in a transaction of its own. */
   @Test
   void aJobThatWasSeenAndIsAbsentHasEndedWhateverTheVersionOfItsRange() {
-    range.version = ShardLeaderFixture.LATER_REVISION * 2;
+    range.followRecord(range.record(), ShardLeaderFixture.LATER_REVISION * 2);
     fixture.commitCancellation();
     assertTrue(policy.mustStop(range));
   }
@@ -49,7 +49,7 @@
     TaskRange unseen = new TaskRange(key, record, ShardLeaderFixture.LATER_REVISION, false, 0);
     assertEquals(StartRefusal.JOB_UNKNOWN, policy.startRefusal(unseen));
     assertFalse(policy.mustStop(unseen));
-    unseen.version = fixture.context.stateCache().appliedRevision();
+    unseen.followRecord(record, fixture.context.stateCache().appliedRevision());
     assertEquals(StartRefusal.JOB_ENDED, policy.startRefusal(unseen));
     assertTrue(policy.mustStop(unseen));
   }
@@ -64,7 +64,7 @@
   @Test
   void aNoticeCountsForARangeHoweverManyOthersFollowIt() {
     fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
-    fixture.shard.tell(new ShardLeader.Cancelled(ShardLeaderFixture.JOB));
+    fixture.shard.tell(new ShardLeader.JobCancelled(ShardLeaderFixture.JOB));
     fixture.network.runFor(1);
     for (int i = 0; i < 30_000; i++) {
       fixture.context.cancellations().heard("job-" + (100_000 + i));
--- a/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
+++ b/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
@@ -8,13 +8,14 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.LongRange;
 
+/** Whether images share bandwidth is learned from how long they take. */
 class ImageDownloadsTest {
   /** An image of so many seconds came after what it takes, by a third more or less, and telling. */
   private static void images(
       ImageDownloads lines, SplittableRandom random, double aloneS, double times) {
     for (int i = 0; i < 60; i++) {
       double fetchS = aloneS * times * (0.67 + random.nextDouble() * 0.66);
-      lines.came(fetchS + random.nextDouble() * 4, aloneS);
+      lines.record(fetchS + random.nextDouble() * 4, aloneS);
     }
   }
 
