--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -229,7 +229,8 @@
 
   /** Whoever our workers reach had better hold our shards while they do not reach us. */
   private void transferLeadership() {
-    String to = context.mayAct() ? leadershipTransfer.better(reachability()) : null;
+    String to =
+        context.mayAct() ? leadershipTransfer.preferredLeader(reachability()).orElse(null) : null;
     if (to != null) {
       LOG.warn("no machine of ours reaches us, but they reach {}: handing over to it", to);
       List.copyOf(shards.keySet())
@@ -242,7 +243,7 @@
     int silent = 0;
     for (ShardLeader shard : shards.values()) {
       LeadershipTransfer.WorkerReachability one =
-          shard.reachability(leadershipTransfer.silentAfterMs());
+          shard.reachability(leadershipTransfer.silenceThresholdMs());
       up += one.up();
       silent += one.silent();
     }
@@ -260,7 +261,7 @@
         continue;
       }
       for (String shard : stateCache.shardsLedBy(one.getKey())) {
-        if (leadershipTransfer.unreachable(
+        if (leadershipTransfer.isUnreachable(
             one.getKey(), silentMs, stateCache.machineCountOf(shard))) {
           LOG.warn("{} is out of reach of its workers and of us", one.getKey());
           context.membership().seizeLeadership(shard);
@@ -289,7 +290,7 @@
               peers.send(p.address(), pulse.duplicate());
               peers.send(
                   p.address(),
-                  PeerProtocol.encode(reactor.wall(), leadershipTransfer.frame(p.label())));
+                  PeerProtocol.encode(reactor.wall(), leadershipTransfer.reportFor(p.label())));
             });
     if (context.mayAct()) {
       for (ShardLeader shard : shards.values()) {
@@ -327,7 +328,7 @@
       } else if (message instanceof PeerProtocol.Liveness pulse) {
         pulses.put(pulse.sender(), new Heard(reactor.now(), pulse.served()));
       } else if (message instanceof PeerProtocol.RedirectCount sent) {
-        leadershipTransfer.heard(sent);
+        leadershipTransfer.reportReceived(sent);
       }
     } catch (PeerProtocol.MalformedFrameException e) {
       LOG.warn("peer frame refused: {}", e.getMessage());
@@ -479,7 +480,7 @@
     StateCache.Versioned<Records.Shard> holder = stateCache.shard(record.shard());
     String to = holder == null ? null : holder.record().holder();
     if (to != null) {
-      leadershipTransfer.sentOn(report.machine(), to);
+      leadershipTransfer.redirected(report.machine(), to);
     }
     reply.accept(
         new Http.Response(
--- a/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
+++ b/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
@@ -6,65 +6,63 @@
 import org.fieldtrestle.state.StateCache;
 
 /**
- * What is known of cancellations ahead of the followed state, for decisions and for those on call.
+ * Cancellations that the state cache may not show yet: those that other controllers have reported,
+ * and counts for operators.
  *
- * <p>A cancellation that this controller has confirmed itself needs no memory here: its commit has
- * removed the job's record from the {@link StateCache}. What other controllers say is a hint that
- * makes tasks stop sooner; the oldest hints may be forgotten, as the fence bounds what happens
- * without them.
+ * <p>A cancellation that this controller has committed itself needs no entry here: its commit has
+ * removed the job's record from the {@link StateCache}. Notices of other controllers only make
+ * tasks stop sooner. The oldest may be forgotten, as the leadership fence bounds the time until a
+ * cancellation takes effect without them.
  */
 public final class CancellationNotices {
-  /** Hints of other controllers that are remembered. */
-  private static final int MAX_HEARD = 10_000;
+  private static final int MAX_NOTICES = 10_000;
+  private static final int MAX_UNAPPLIED = 10_000;
 
-  /** Confirmed cancellations that are counted as not followed yet, at most. */
-  private static final int MAX_COUNTED = 10_000;
+  private final BoundedCache<String, Boolean> reportedJobs = new BoundedCache<>(MAX_NOTICES);
 
-  private final BoundedCache<String, Boolean> heard = new BoundedCache<>(MAX_HEARD);
+  /** Revisions of cancellations that were committed here and that the watch has not reached. */
+  private final Deque<Long> unappliedRevisions = new ArrayDeque<>();
 
-  /** The revisions of cancellations that were committed here and are not followed yet. */
-  private final Deque<Long> notFollowed = new ArrayDeque<>();
-
-  private long followed = -1;
+  private long appliedRevision = -1;
   private long confirmedCount;
   private long heardCount;
 
   /** This controller's own commit has cancelled a job. */
   public void confirmed(long revision) {
     confirmedCount++;
-    if (revision > followed && notFollowed.size() < MAX_COUNTED) {
-      notFollowed.add(revision);
+    if (revision > appliedRevision && unappliedRevisions.size() < MAX_UNAPPLIED) {
+      unappliedRevisions.add(revision);
     }
   }
 
-  /** Another controller says that a job is cancelled. */
+  /** Another controller has reported that a job is cancelled. */
   public void heard(String job) {
     heardCount++;
-    heard.put(job, true);
+    reportedJobs.put(job, true);
   }
 
-  /** The state has been followed up to a revision. */
+  /** The watch has delivered everything up to a revision. */
   public void appliedRevision(long revision) {
-    followed = revision;
-    notFollowed.removeIf(committed -> committed <= revision);
+    appliedRevision = revision;
+    unappliedRevisions.removeIf(committed -> committed <= revision);
   }
 
-  /** Whether another controller has said that the job is cancelled. */
+  /** Whether another controller has reported that the job is cancelled. */
   public boolean wasHeard(String job) {
-    return heard.get(job) != null;
+    return reportedJobs.get(job) != null;
   }
 
-  /** How many were confirmed here that the followed state does not show yet. */
+  /** How many confirmed cancellations the watch has not delivered yet, up to a bound. */
   public int notFollowedCount() {
-    return notFollowed.size();
+    return unappliedRevisions.size();
   }
 
-  /** How many were confirmed here since the start. */
+  /** How many cancellations were confirmed here since the start. */
   public long confirmedCount() {
     return confirmedCount;
   }
 
-  /** How many others have told of since the start, repeats included. */
+  /** How many notices other controllers have sent since the start, repeats included. */
   public long heardCount() {
     return heardCount;
   }
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
@@ -7,26 +7,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Bounds for how long this controller may act without word from the state service.
+ * Bounds how long this controller may act without an answer of the key-value store.
  *
- * <p>It is open while both the lease at the state service and the followed state are young enough,
- * each counted from the <em>sending</em> of the request that proved it. A watch that no longer
- * hears of cancellations must not keep tasks alive, so the age of the followed state counts as much
- * as the lease. The bound is chosen so that whatever was last told to a worker is over within the
- * time that a cancellation has, see {@link Settings#stateLeaseMs}.
+ * <p>The fence is open while both the controller's lease and the state cache are young enough, each
+ * counted from the <em>sending</em> of the request that proved it. A watch that no longer delivers
+ * cancellations must not keep tasks alive, so the age of the state cache counts as much as the
+ * lease. The bound is chosen so that the effect of the last answer to a worker ends within the time
+ * that a cancellation may take, see {@link Settings#stateLeaseMs}.
  */
 public final class LeadershipFence {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipFence.class);
 
-  /** What a turn of the event loop may take between the decision and the sending, in ms. */
-  private static final long TURN_MS = 50;
+  /** The longest time on the event loop between a decision and the sending of its message. */
+  private static final long EVENT_LOOP_TURN_MS = 50;
 
   private static final long NEVER = Long.MIN_VALUE;
 
   private final Reactor reactor;
   private final StateCache stateCache;
   private final long usableMs;
-  private long leaseSentAt = NEVER;
+
+  /** When the request was sent that granted or renewed the lease last. */
+  private long leaseSentAtMs = NEVER;
+
   private boolean wasOpen;
   private long openings;
 
@@ -36,28 +39,28 @@
   LeadershipFence(Reactor reactor, StateCache stateCache, long leaseMs) {
     this.reactor = reactor;
     this.stateCache = stateCache;
-    this.usableMs = Math.round(leaseMs * (1 - Settings.DRIFT)) - TURN_MS;
+    this.usableMs = Math.round(leaseMs * (1 - Settings.DRIFT)) - EVENT_LOOP_TURN_MS;
   }
 
-  /** The lease less what clocks may drift apart and a turn of the event loop may take, in ms. */
+  /** The lease less the clocks' possible drift and a turn of the event loop, in ms. */
   public long usableMs() {
     return usableMs;
   }
 
   /** The lease was granted or renewed by a request that was sent at this time. */
-  void leaseKept(long sentAt) {
-    leaseSentAt = Math.max(leaseSentAt, sentAt);
+  void leaseKept(long sentAtMs) {
+    leaseSentAtMs = Math.max(leaseSentAtMs, sentAtMs);
   }
 
-  /** The state service says that the lease is over. */
+  /** The key-value store has answered that the lease has expired. */
   void leaseEnded() {
-    leaseSentAt = NEVER;
+    leaseSentAtMs = NEVER;
   }
 
-  /** Whether commands may be given and reports acknowledged now. */
+  /** Whether commands may be sent and heartbeats acknowledged now; logs each change. */
   boolean open() {
-    long since = reactor.now() - usableMs;
-    boolean open = leaseSentAt > since && stateCache.freshAsOf() > since;
+    long oldestMs = reactor.now() - usableMs;
+    boolean open = leaseSentAtMs > oldestMs && stateCache.freshAsOf() > oldestMs;
     if (open != wasOpen) {
       wasOpen = open;
       openings += open ? 1 : 0;
@@ -66,23 +69,23 @@
     return open;
   }
 
-  /** How often it has opened since the start. */
+  /** How often the fence has opened since the start. */
   public long openings() {
     return openings;
   }
 
-  /** Milliseconds since the sending of what last renewed the lease; -1 where there is none. */
+  /** Milliseconds since the last successful renewal was sent; -1 without a lease. */
   public long leaseAgeMs() {
-    return age(leaseSentAt);
+    return ageMs(leaseSentAtMs);
   }
 
-  /** Milliseconds since the sending of the read that the followed state rests on; -1: none yet. */
+  /** Milliseconds since the last answered read of the state cache was sent; -1 before the first. */
   public long stateAgeMs() {
-    return age(stateCache.freshAsOf());
+    return ageMs(stateCache.freshAsOf());
   }
 
-  private long age(long sentAt) {
-    return sentAt == NEVER ? -1 : reactor.now() - sentAt;
+  private long ageMs(long sentAtMs) {
+    return sentAtMs == NEVER ? -1 : reactor.now() - sentAtMs;
   }
 
   private void logChange(boolean open) {
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
@@ -3,123 +3,159 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.protocol.PeerProtocol;
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * Finds out that this controller alone is cut off from its workers. Its lease at the state service
- * goes on meanwhile, so that nobody would take its shards over, and all that runs on their machines
- * would end with the workers' leases. But workers that get no answer here ask the others, who send
- * them on to us and tell us so: then those had better hold our shards.
+ * Detects that a controller is cut off from its workers, so that another should lead its shards.
+ *
+ * <p>A controller that is cut off from its workers alone keeps its lease, so that no failover takes
+ * place, while all tasks would end with the workers' leases. But workers that get no answer ask
+ * other controllers, which redirect them to their leader and report to it how many they have
+ * redirected. From these reports a controller concludes that another one reaches its workers; and
+ * from workers that come back after a redirect, that their leader is unreachable.
  */
 public final class LeadershipTransfer {
-  /** Reports of a machine that go by before it counts as unheard. */
-  private static final double UNHEARD = 1.5;
+  /** Heartbeat intervals without a heartbeat after which a worker counts as silent. */
+  private static final double SILENCE_THRESHOLD_INTERVALS = 1.5;
 
-  /** How long what others tell counts, in reports. */
-  private static final double LATELY = 4;
+  /** Heartbeat intervals after which a redirect no longer counts. */
+  private static final double REDIRECT_EXPIRY_INTERVALS = 4;
+
+  /** Heartbeat intervals after which the report of another controller no longer counts. */
+  private static final double REPORT_EXPIRY_INTERVALS = 1;
 
   /**
-   * Reports that go by before a controller of which nothing is heard counts as out of reach: one
-   * that only starts anew is back before, and does better to go on as itself.
+   * Heartbeat intervals without a message after which a controller may count as unreachable: one
+   * that only restarts is back sooner, and should keep its shards.
    */
-  private static final double GONE = 3;
+  private static final double UNREACHABLE_INTERVALS = 3;
+
+  /** Share of this controller's workers that have to be silent before it transfers its shards. */
+  private static final double SILENT_SHARE = 0.9;
 
-  /** Share of our machines that have to be unheard, and that others have to have sent on to us. */
-  private static final double UNHEARD_SHARE = 0.9;
+  /** Share of this controller's workers that others have to have redirected before a transfer. */
+  private static final double REDIRECTED_SHARE = 0.3;
 
-  private static final double SENT_ON_SHARE = 0.3;
+  /** Share of a shard's workers that have to come back after a redirect before it is seized. */
+  private static final double RETURNED_SHARE = REDIRECTED_SHARE / 2;
 
-  /** How many workers of this controller are in use, and how many of them it no longer hears. */
+  private static final int MIN_WORKERS = 2;
+
+  /** How many of this controller's workers are in use, and how many of these are silent. */
   public record WorkerReachability(int up, int silent) {}
 
-  private record Told(long at, int machines) {}
+  /** Another controller's report of how many machines it has redirected to this one. */
+  private record RedirectReport(long receivedAtMs, int machines) {}
 
-  /** A machine that was sent on, when last, and how often one after the other. */
-  private record Sent(long at, int times) {}
+  /** A machine's last redirect, and how many it got with no longer pause between two of them. */
+  private record Redirects(long lastAtMs, int consecutive) {}
 
   private final Reactor reactor;
   private final Settings settings;
 
-  /** Machines that we have sent on, by the controller that they were sent to, and when last. */
-  private final Map<String, Map<String, Sent>> sentOn = new HashMap<>();
+  /** Redirects of this controller, by the controller redirected to and by machine. */
+  private final Map<String, Map<String, Redirects>> redirects = new HashMap<>();
 
-  /** What the others have told of machines that they have sent on to us. */
-  private final Map<String, Told> told = new HashMap<>();
+  /** The last report of each other controller. */
+  private final Map<String, RedirectReport> reports = new HashMap<>();
 
+  /** Runs on the reactor's thread. */
   public LeadershipTransfer(Reactor reactor, Settings settings) {
     this.reactor = reactor;
     this.settings = settings;
   }
 
-  /** After this silence a worker counts as unheard, in ms. */
-  public long silentAfterMs() {
-    return settings.heartbeatIntervalsMs(UNHEARD);
+  /** After this time without a heartbeat a worker counts as silent, in ms. */
+  public long silenceThresholdMs() {
+    return settings.heartbeatIntervalsMs(SILENCE_THRESHOLD_INTERVALS);
   }
 
-  public void sentOn(String machine, String to) {
-    sentOn
-        .computeIfAbsent(to, t -> new HashMap<>())
+  /** Records that this controller has redirected a machine to another controller. */
+  public void redirected(String machine, String to) {
+    redirects
+        .computeIfAbsent(to, controller -> new HashMap<>())
         .merge(
             machine,
-            new Sent(reactor.now(), 1),
-            (before, now) -> new Sent(now.at(), recent(before) ? before.times() + 1 : 1));
+            new Redirects(reactor.now(), 1),
+            (before, now) ->
+                new Redirects(now.lastAtMs(), isRecent(before) ? before.consecutive() + 1 : 1));
   }
 
-  private boolean recent(Sent sent) {
-    return reactor.now() - sent.at() <= settings.heartbeatIntervalsMs(LATELY);
+  private boolean isRecent(Redirects machine) {
+    return reactor.now() - machine.lastAtMs()
+        <= settings.heartbeatIntervalsMs(REDIRECT_EXPIRY_INTERVALS);
   }
 
-  private Collection<Sent> sentTo(String to) {
-    Collection<Sent> machines = sentOn.getOrDefault(to, new HashMap<>()).values();
-    machines.removeIf(sent -> !recent(sent));
+  private Collection<Redirects> recentRedirects(String to) {
+    Collection<Redirects> machines = redirects.getOrDefault(to, new HashMap<>()).values();
+    machines.removeIf(machine -> !isRecent(machine));
     return machines;
   }
 
-  /** How many machines were lately sent on to a controller. */
-  public PeerProtocol.RedirectCount frame(String to) {
-    return new PeerProtocol.RedirectCount(settings.label(), to, sentTo(to).size());
+  /** The report to a controller of how many machines were recently redirected to it. */
+  public PeerProtocol.RedirectCount reportFor(String controller) {
+    return new PeerProtocol.RedirectCount(
+        settings.label(), controller, recentRedirects(controller).size());
   }
 
-  public void heard(PeerProtocol.RedirectCount frame) {
-    if (frame.to().equals(settings.label())) {
-      told.put(frame.sender(), new Told(reactor.now(), frame.machines()));
+  /** Takes in another controller's report; one that is meant for a third controller is ignored. */
+  public void reportReceived(PeerProtocol.RedirectCount report) {
+    if (report.to().equals(settings.label())) {
+      reports.put(report.sender(), new RedirectReport(reactor.now(), report.machines()));
     }
   }
 
   /**
-   * Whether a controller's workers ask us, and ask again after they were sent on to it, though
-   * nothing is heard of it for long. Being sent on once tells nothing: so is every machine whose
-   * shard has changed hands, and where controllers only do not hear each other, they would take
-   * from each other for as long as that lasts.
+   * Whether a controller is out of reach of a shard's workers, and of this controller: they come
+   * back after a redirect. A first redirect proves nothing, as every machine gets one whose shard
+   * has changed its leader; and controllers that merely do not hear each other would seize each
+   * other's shards for as long as that lasts.
+   *
+   * @param silentMs how long this controller has received nothing from the other one
+   * @param machines how many machines the shard has
    */
-  public boolean unreachable(String controller, long silentMs, int machines) {
-    if (silentMs <= settings.heartbeatIntervalsMs(GONE)) {
+  public boolean isUnreachable(String controller, long silentMs, int machines) {
+    if (silentMs <= settings.heartbeatIntervalsMs(UNREACHABLE_INTERVALS)) {
       return false;
     }
-    long again = sentTo(controller).stream().filter(sent -> sent.times() > 1).count();
-    return again >= Math.max(1, machines * SENT_ON_SHARE / 2);
+    int returned = 0;
+    for (Redirects machine : recentRedirects(controller)) {
+      returned += machine.consecutive() > 1 ? 1 : 0;
+    }
+    return returned >= Math.max(1, machines * RETURNED_SHARE);
   }
 
-  /** Who should rather hold our shards: the one that most of our workers ask; null for nobody. */
-  public String better(WorkerReachability workers) {
-    long now = reactor.now();
-    if (workers.up() < 2 || workers.silent() < workers.up() * UNHEARD_SHARE) {
-      return null;
+  /**
+   * The controller that should lead this controller's shards instead, as most of its workers reach
+   * that one; empty while this controller should keep them.
+   */
+  public Optional<String> preferredLeader(WorkerReachability workers) {
+    if (workers.up() < MIN_WORKERS || workers.silent() < workers.up() * SILENT_SHARE) {
+      return Optional.empty();
     }
-    String best = null;
+    String preferred = null;
     int most = 0;
-    int all = 0;
-    for (Map.Entry<String, Told> one : told.entrySet()) {
-      if (now - one.getValue().at() <= settings.heartbeatIntervalsMs(1)) {
-        all += one.getValue().machines();
-        if (one.getValue().machines() > most) {
-          most = one.getValue().machines();
-          best = one.getKey();
+    int total = 0;
+    for (Map.Entry<String, RedirectReport> entry : reports.entrySet()) {
+      RedirectReport report = entry.getValue();
+      if (isCurrent(report)) {
+        total += report.machines();
+        if (report.machines() > most) {
+          most = report.machines();
+          preferred = entry.getKey();
         }
       }
     }
-    return all >= workers.up() * SENT_ON_SHARE ? best : null;
+    return total >= workers.up() * REDIRECTED_SHARE
+        ? Optional.ofNullable(preferred)
+        : Optional.empty();
+  }
+
+  private boolean isCurrent(RedirectReport report) {
+    return reactor.now() - report.receivedAtMs()
+        <= settings.heartbeatIntervalsMs(REPORT_EXPIRY_INTERVALS);
   }
 }
--- a/src/main/java/org/fieldtrestle/leadership/Membership.java
+++ b/src/main/java/org/fieldtrestle/leadership/Membership.java
@@ -1,63 +1,45 @@
 package org.fieldtrestle.leadership;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.TreeSet;
 import org.fieldtrestle.config.Settings;
-import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.state.KeyValueClient;
-import org.fieldtrestle.state.Records;
 import org.fieldtrestle.state.StateCache;
 import org.fieldtrestle.transport.Reactor;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * This controller's lease, and which shards it acts as. A shard's epoch is the version of its key
- * at the state service: every change of hands raises it, and every write of a shard depends on it.
+ * This controller as a member of the cluster: its lease, and the shards that it leads. A shard's
+ * epoch is the version of its key in the key-value store: every change of leadership raises it, and
+ * every write of a shard's leader depends on it.
  */
 public final class Membership {
-  private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
+  /** The lease is renewed, and shards are looked through, this often in a lease. */
+  private static final int CHECKS_PER_LEASE = 12;
 
-  /** Told when this controller begins or ends to act as a shard. */
+  /** Notified when this controller's leadership of a shard begins or ends. */
   public interface Listener {
     /**
-     * @param othersMayAct whoever acted as this shard before may not know yet that it ended
+     * A leadership term begins.
+     *
+     * @param formerLeaderMayAct the former leader may not know yet that its term has ended
      */
     void began(String shard, long epoch, boolean formerLeaderMayAct);
 
+    /** The leadership term of a shard has ended. */
     void ended(String shard);
   }
 
-  /** How many of our leases a shard that we gave away stays away. */
-  private static final int APART = 2;
-
   private final Reactor reactor;
-  private final KeyValueClient store;
   private final StateCache stateCache;
   private final String self;
-  private final String boot;
-  private final long ttlMs;
-  private final Map<String, Long> held = new HashMap<>();
-  private final Map<String, Long> vacantSince = new HashMap<>();
-  private final Set<String> taking = new HashSet<>();
-
-  /** When a shard last changed hands. */
-  private final Map<String, Long> changedAt = new HashMap<>();
-
-  private Listener listener;
+  private final long leaseMs;
   private final LeadershipFence fence;
-  private long lease;
-  private boolean registered;
-  private boolean busy;
-
-  /** Until when our own shard stays with whom we have given it to. */
-  private long apartUntil;
+  private final LedShards ledShards;
+  private final LeadershipChanges leadershipChanges;
+  private final ControllerLease controllerLease;
+  private final ShardFailover failover;
 
+  /**
+   * @param boot identifies this process among those that had the same label
+   */
   public Membership(
       Reactor reactor,
       KeyValueClient store,
@@ -65,282 +47,65 @@
       Settings settings,
       String boot) {
     this.reactor = reactor;
-    this.store = store;
     this.stateCache = stateCache;
     this.self = settings.label();
-    this.boot = boot;
-    this.ttlMs = settings.stateLeaseMs();
-    this.fence = new LeadershipFence(reactor, stateCache, ttlMs);
+    this.leaseMs = settings.stateLeaseMs();
+    this.fence = new LeadershipFence(reactor, stateCache, leaseMs);
+    this.ledShards = new LedShards();
+    this.leadershipChanges =
+        new LeadershipChanges(reactor, store, stateCache, settings, fence, ledShards);
+    this.controllerLease =
+        new ControllerLease(
+            reactor, store, stateCache, settings, boot, fence, ledShards, leadershipChanges);
+    this.failover =
+        new ShardFailover(reactor, stateCache, settings, fence, ledShards, leadershipChanges);
+  }
+
+  /** Begins to register and to acquire shards; called once, when the state cache is ready. */
+  public void start(Listener listener) {
+    ledShards.setListener(listener);
+    stateCache.listen(leadershipChanges::keyChanged);
+    controllerLease.register();
+    scheduleCheck();
   }
 
-  public void start(Listener to) {
-    this.listener = to;
-    stateCache.listen(this::changed);
-    register();
-    beat();
+  private void scheduleCheck() {
+    reactor.schedule(leaseMs / CHECKS_PER_LEASE, this::check);
   }
 
-  /** Whether this controller may act as the shards that it holds. */
+  private void check() {
+    controllerLease.renew();
+    failover.check();
+    scheduleCheck();
+  }
+
+  /** Whether this controller may act as the leader of its shards now. */
   public boolean mayAct() {
     return fence.open();
   }
 
+  /** The bound on acting without an answer of the key-value store. */
   public LeadershipFence fence() {
     return fence;
   }
 
+  /** This controller's label. */
   public String self() {
     return self;
   }
 
-  /** The member that does what needs doing only once: the lowest label of those present. */
+  /** Whether this is the registered member with the lowest label, which does cluster-wide work. */
   public boolean isFirst() {
-    for (String label : stateCache.members().keySet()) {
-      if (label.compareTo(self) < 0) {
-        return false;
-      }
-    }
-    return registered;
-  }
-
-  private void beat() {
-    reactor.schedule(
-        ttlMs / 12,
-        () -> {
-          renew();
-          takeOver();
-          beat();
-        });
-  }
-
-  private void renew() {
-    if (!registered) {
-      register();
-      return;
-    }
-    long sent = reactor.now();
-    long renewed = lease;
-    store.renew(
-        renewed,
-        renewal -> {
-          if (renewed != lease || !registered) {
-            return;
-          }
-          if (renewal == KeyValueClient.Renewal.KEPT) {
-            fence.leaseKept(sent);
-          } else if (renewal == KeyValueClient.Renewal.ENDED) {
-            LOG.warn("lease {} has ended, registering again", lease);
-            registered = false;
-            fence.leaseEnded();
-            register();
-          }
-        });
-  }
-
-  /** Takes a lease, shows ourselves under it, and takes or keeps our own shard. */
-  private void register() {
-    if (busy) {
-      return;
-    }
-    busy = true;
-    long sent = reactor.now();
-    store.grant(
-        ttlMs,
-        granted -> {
-          if (granted == 0) {
-            retry(-1);
-            return;
-          }
-          present(granted, sent);
-        });
-  }
-
-  private void present(long granted, long sent) {
-    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    String member = Records.member(self);
-    conditions.add(new KeyValueProtocol.Condition(member, stateCache.version(member)));
-    changes.add(new KeyValueProtocol.Put(member, Records.write(new Records.Member(boot)), granted));
-    // Whoever took one of our shards over while we had no lease waits for workers' leases that
-    // it counts from then on: acting again under the old epoch would renew them. So all or none.
-    held.forEach(
-        (m, epoch) -> conditions.add(new KeyValueProtocol.Condition(Records.shard(m), epoch)));
-    boolean take = !held.containsKey(self);
-    String own = Records.shard(self);
-    boolean formerLeaderMayAct = take && formerLeaderMayAct(self);
-    if (take) {
-      conditions.add(new KeyValueProtocol.Condition(own, stateCache.version(own)));
-      changes.add(new KeyValueProtocol.Put(own, Records.write(new Records.Shard(self)), 0));
-    }
-    store.commitWithPriority(
-        new KeyValueClient.Transaction(conditions, changes),
-        result -> {
-          if (result instanceof KeyValueClient.Committed committed) {
-            busy = false;
-            registered = true;
-            lease = granted;
-            fence.leaseKept(sent);
-            LOG.info("registered as {} under lease {}", self, granted);
-            // Where the answer was late, another may have taken it since, as was followed already.
-            if (take && stateCache.version(own) <= committed.revision()) {
-              begin(self, committed.revision(), formerLeaderMayAct);
-            }
-            stateCache.committed(changes, committed.revision());
-          } else if (result instanceof KeyValueClient.Conflict conflict) {
-            retry(conflict.revision());
-          } else {
-            retry(-1);
-          }
-        });
-  }
-
-  private void retry(long revision) {
-    Runnable again =
-        () -> {
-          busy = false;
-          register();
-        };
-    if (revision < 0) {
-      reactor.schedule(ttlMs / 50, again);
-    } else {
-      stateCache.await(
-          revision, ttlMs / 12, seen -> reactor.schedule(seen ? 0 : ttlMs / 50, again));
-    }
-  }
-
-  private boolean formerLeaderMayAct(String shard) {
-    StateCache.Versioned<Records.Shard> kept = stateCache.shard(shard);
-    return kept != null
-        && !kept.record().holder().equals(self)
-        && stateCache.members().containsKey(kept.record().holder());
-  }
-
-  private void begin(String shard, long epoch, boolean formerLeaderMayAct) {
-    held.put(shard, epoch);
-    LOG.info("acting as master {} in epoch {}", shard, epoch);
-    listener.began(shard, epoch, formerLeaderMayAct);
-  }
-
-  private void changed(Records.Key key) {
-    if (key instanceof Records.ShardKey k) {
-      changedAt.put(k.shard(), reactor.now());
-      Long epoch = held.get(k.shard());
-      if (epoch != null && stateCache.version(Records.shard(k.shard())) != epoch) {
-        LOG.warn("no longer acting as master {}: another has taken it", k.shard());
-        held.remove(k.shard());
-        if (k.shard().equals(self) && mayAct()) {
-          // Whoever took it while our lease holds had its reasons: our workers did not reach us.
-          apartUntil = reactor.now() + ttlMs * APART;
-        }
-        listener.ended(k.shard());
-      }
-      StateCache.Versioned<Records.Shard> now = stateCache.shard(k.shard());
-      if (now != null
-          && now.record().holder().equals(self)
-          && !k.shard().equals(self)
-          && !held.containsKey(k.shard())
-          && mayAct()) {
-        take(k.shard(), self, now.version()); // handed over to us
-      }
-    }
+    return controllerLease.isRegistered() && failover.rank() == 0;
   }
 
-  /**
-   * Takes a shard whose holder may still act as it, as for a while after the taking; but not where
-   * it has changed hands only lately.
-   */
+  /** Acquires a shard whose leader may still act, unless it has changed hands within a lease. */
   public void seizeLeadership(String shard) {
-    StateCache.Versioned<Records.Shard> kept = stateCache.shard(shard);
-    if (kept != null
-        && !held.containsKey(shard)
-        && reactor.now() - changedAt.getOrDefault(shard, 0L) > ttlMs) {
-      take(shard, kept.record().holder(), kept.version());
-    }
+    leadershipChanges.seize(shard);
   }
 
-  /**
-   * Gives a shard to another controller, and ends acting as it before that is written: whoever
-   * takes it on by a new epoch then waits for nobody. Where the writing fails, it is taken again.
-   */
+  /** Ends the term of a shard that this controller leads, and makes another member its leader. */
   public void transferLeadership(String shard, String to) {
-    Long epoch = held.get(shard);
-    if (epoch == null || stateCache.version(Records.member(to)) == 0) {
-      return;
-    }
-    held.remove(shard);
-    apartUntil = reactor.now() + ttlMs * APART;
-    listener.ended(shard);
-    store.commitWithPriority(
-        new KeyValueClient.Transaction(
-            List.of(
-                new KeyValueProtocol.Condition(Records.shard(shard), epoch),
-                new KeyValueProtocol.Condition(
-                    Records.member(to), stateCache.version(Records.member(to)))),
-            List.of(
-                new KeyValueProtocol.Put(
-                    Records.shard(shard), Records.write(new Records.Shard(to)), 0))),
-        result -> LOG.info("handing master {} over to {}: {}", shard, to, result));
-  }
-
-  /** Takes shards whose holder has let its lease end, and our own back from whoever has it. */
-  private void takeOver() {
-    if (!mayAct()) {
-      vacantSince.clear();
-      return;
-    }
-    int order = new TreeSet<>(stateCache.members().keySet()).headSet(self).size();
-    for (Map.Entry<String, StateCache.Versioned<Records.Shard>> one :
-        List.copyOf(stateCache.shards().entrySet())) {
-      String shard = one.getKey();
-      String holder = one.getValue().record().holder();
-      if (held.containsKey(shard)) {
-        vacantSince.remove(shard);
-        continue;
-      }
-      if (holder.equals(self)) {
-        // Ours by an unanswered request, or given to us: nobody else would ever take it.
-        take(shard, holder, one.getValue().version());
-        continue;
-      }
-      boolean own = shard.equals(self) && reactor.now() >= apartUntil;
-      if (stateCache.members().containsKey(holder) && !own) {
-        vacantSince.remove(shard);
-        continue;
-      }
-      long since = vacantSince.computeIfAbsent(shard, m -> reactor.now());
-      if (own || reactor.now() - since >= order * ttlMs / 6) {
-        take(shard, holder, one.getValue().version());
-      }
-    }
-  }
-
-  private void take(String shard, String holder, long version) {
-    if (!taking.add(shard)) {
-      return;
-    }
-    boolean formerLeaderMayAct = formerLeaderMayAct(shard);
-    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    conditions.add(new KeyValueProtocol.Condition(Records.shard(shard), version));
-    conditions.add(
-        new KeyValueProtocol.Condition(
-            Records.member(self), stateCache.version(Records.member(self))));
-    if (!formerLeaderMayAct && !holder.equals(self)) {
-      conditions.add(new KeyValueProtocol.Condition(Records.member(holder), 0));
-    }
-    List<KeyValueProtocol.Change> changes =
-        List.of(
-            new KeyValueProtocol.Put(
-                Records.shard(shard), Records.write(new Records.Shard(self)), 0));
-    LOG.warn("taking master {} from {}", shard, holder);
-    store.commitWithPriority(
-        new KeyValueClient.Transaction(conditions, changes),
-        result -> {
-          taking.remove(shard);
-          if (result instanceof KeyValueClient.Committed committed
-              && stateCache.version(Records.shard(shard)) <= committed.revision()) {
-            begin(shard, committed.revision(), formerLeaderMayAct);
-            stateCache.committed(changes, committed.revision());
-          }
-        });
+    leadershipChanges.transfer(shard, to);
   }
 }
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
@@ -0,0 +1,86 @@
+package org.fieldtrestle.leadership;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.state.Records;
+import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.transport.Reactor;
+
+/** Acquires shards whose leader's lease has expired, and this controller's own from any other. */
+final class ShardFailover {
+  /** Members try one after the other, each this part of a lease later than the one before. */
+  private static final int DELAY_PER_RANK_DIVISOR = 6;
+
+  private final Reactor reactor;
+  private final StateCache stateCache;
+  private final LeadershipFence fence;
+  private final LedShards ledShards;
+  private final LeadershipChanges leadershipChanges;
+  private final String self;
+  private final long leaseMs;
+
+  /** Since when each shard was seen without a leader, in ms of the reactor's time. */
+  private final Map<String, Long> leaderlessSinceMs = new HashMap<>();
+
+  ShardFailover(
+      Reactor reactor,
+      StateCache stateCache,
+      Settings settings,
+      LeadershipFence fence,
+      LedShards ledShards,
+      LeadershipChanges leadershipChanges) {
+    this.reactor = reactor;
+    this.stateCache = stateCache;
+    this.fence = fence;
+    this.ledShards = ledShards;
+    this.leadershipChanges = leadershipChanges;
+    this.self = settings.label();
+    this.leaseMs = settings.stateLeaseMs();
+  }
+
+  /** How many members have a lower label than this controller. */
+  int rank() {
+    int lower = 0;
+    for (String label : stateCache.members().keySet()) {
+      lower += label.compareTo(self) < 0 ? 1 : 0;
+    }
+    return lower;
+  }
+
+  /** Looks through all shards once. */
+  void check() {
+    if (!fence.open()) {
+      leaderlessSinceMs.clear();
+      return;
+    }
+    long delayMs = rank() * leaseMs / DELAY_PER_RANK_DIVISOR;
+    for (Map.Entry<String, StateCache.Versioned<Records.Shard>> entry :
+        List.copyOf(stateCache.shards().entrySet())) {
+      check(entry.getKey(), entry.getValue(), delayMs);
+    }
+  }
+
+  private void check(String shard, StateCache.Versioned<Records.Shard> current, long delayMs) {
+    if (ledShards.contains(shard)) {
+      leaderlessSinceMs.remove(shard);
+      return;
+    }
+    String leader = current.record().holder();
+    if (leader.equals(self)) {
+      // By an unanswered request of this controller or a transfer: no other one would acquire it.
+      leadershipChanges.acquire(shard, leader, current.version());
+      return;
+    }
+    boolean reclaim = shard.equals(self) && leadershipChanges.mayReclaimOwnShard();
+    if (stateCache.members().containsKey(leader) && !reclaim) {
+      leaderlessSinceMs.remove(shard);
+      return;
+    }
+    long sinceMs = leaderlessSinceMs.computeIfAbsent(shard, s -> reactor.now());
+    if (reclaim || reactor.now() - sinceMs >= delayMs) {
+      leadershipChanges.acquire(shard, leader, current.version());
+    }
+  }
+}
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -40,7 +40,7 @@
     };
   }
 
-  private final class Begun implements Membership.Listener {
+  private final class RecordEpochs implements Membership.Listener {
     @Override
     public void began(String shard, long epoch, boolean formerLeaderMayAct) {
       begun.add(epoch);
@@ -55,7 +55,7 @@
    * followed: nobody would ever tell us again that we are not its leader.
    */
   @Test
-  void aMasterThatAnotherHasTakenBeforeTheAnswerCameIsNotBegun() {
+  void aShardAcquiredByAnotherBeforeTheAnswerArrivesIsNotLed() {
     network.serveState();
     Settings settings = network.settings(LABEL);
     KeyValueClient store = new KeyValueClient(reactor, lateCommits(), settings);
@@ -63,7 +63,7 @@
     Membership membership = new Membership(reactor, store, stateCache, settings, "boot");
     stateCache.start();
     network.runFor(500);
-    membership.start(new Begun());
+    membership.start(new RecordEpochs());
     network.runFor(LATE_MS / 2);
     network.writeState(Records.shard(LABEL), Records.write(new Records.Shard("trestle-1")));
     network.runFor(LATE_MS / 4);
