--- a/src/main/java/org/fieldtrestle/api/UserApi.java
+++ b/src/main/java/org/fieldtrestle/api/UserApi.java
@@ -198,7 +198,7 @@
       return;
     }
     if (submitting >= MOST_SUBMITTING || context.store().isCongested()) {
-      context.metrics().refusedSubmissions++;
+      context.metrics().countRefusedSubmission();
       reply.accept(new Http.Response(429, Http.Response.EMPTY, 1));
       return;
     }
@@ -306,7 +306,7 @@
               } else if (result instanceof KeyValueClient.Conflict) {
                 status(spec.id(), reply, true);
               } else {
-                context.metrics().refusedSubmissions++;
+                context.metrics().countRefusedSubmission();
                 reply.accept(later());
               }
             });
--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -15,87 +15,113 @@
 import org.fieldtrestle.transport.EventLoopMeter;
 import org.fieldtrestle.worker.TaskRange;
 
-/** The read-only page for those on call: what this controller does, and how long it takes. */
+/**
+ * The read-only statistics page for operators. Its keys are read by scripts and stay as they are,
+ * also where the code names things differently now.
+ */
 public final class StatsPage {
   private StatsPage() {}
 
+  /** The page as JSON. */
   public static byte[] render(ControllerContext context, Collection<ShardLeader> shards) {
     ControllerMetrics metrics = context.metrics();
     ObjectNode page = Json.object();
+    putLeadership(page, context);
+    putShards(page.putObject("masters"), shards);
+    putCounts(page.putObject("counts"), metrics);
+    putCancellations(page.putObject("cancellations"), context.cancellations());
+    putStartsRefused(page.putObject("startsRefused"), metrics);
+    putJobQueries(page.putObject("questions"), metrics.questions);
+    putEventLoopWork(page.putObject("work"), metrics.work);
+    putLatencies(page.putObject("latencyMs"), context);
+    return Json.bytes(page);
+  }
+
+  private static void putLeadership(ObjectNode page, ControllerContext context) {
+    LeadershipFence fence = context.membership().fence();
     page.put("controller", context.settings().label());
     page.put("acting", context.mayAct());
     page.put("revision", context.stateCache().appliedRevision());
-    LeadershipFence fence = context.membership().fence();
     page.put("leaseAgeMs", fence.leaseAgeMs());
     page.put("stateAgeMs", fence.stateAgeMs());
     page.put("fenceOpenings", fence.openings());
     page.put("liveJobs", context.stateCache().jobs().size());
-    ObjectNode held = page.putObject("masters");
+  }
+
+  private static void putShards(ObjectNode parent, Collection<ShardLeader> shards) {
     for (ShardLeader shard : shards) {
-      ObjectNode one = held.putObject(shard.name());
-      one.put("epoch", shard.epoch());
-      one.put("machines", shard.workers().count());
-      one.put("ranges", shard.ranges().count());
       int waiting = 0;
       int placed = 0;
       for (TaskRange range : shard.ranges().all()) {
         waiting += range.waiting();
         placed += range.placed().size();
       }
-      one.put("tasksWaiting", waiting);
-      one.put("tasksOnMachines", placed);
+      parent
+          .putObject(shard.name())
+          .put("epoch", shard.epoch())
+          .put("machines", shard.workers().count())
+          .put("ranges", shard.ranges().count())
+          .put("tasksWaiting", waiting)
+          .put("tasksOnMachines", placed);
     }
-    ObjectNode counts = page.putObject("counts");
-    counts.put("placed", metrics.placed);
-    counts.put("fetches", metrics.fetches);
-    counts.put("evicted", metrics.evicted);
-    counts.put("lost", metrics.lost);
-    counts.put("rented", metrics.rented);
-    counts.put("returned", metrics.returned);
-    counts.put("refusedSubmissions", metrics.refusedSubmissions);
-    putCancellations(page.putObject("cancellations"), context.cancellations());
-    ObjectNode refused = page.putObject("startsRefused");
+  }
+
+  private static void putCounts(ObjectNode parent, ControllerMetrics metrics) {
+    parent.put("placed", metrics.placed());
+    parent.put("fetches", metrics.imageFetches());
+    parent.put("evicted", metrics.evicted());
+    parent.put("lost", metrics.lost());
+    parent.put("rented", metrics.rented());
+    parent.put("returned", metrics.returned());
+    parent.put("refusedSubmissions", metrics.refusedSubmissions());
+  }
+
+  private static void putCancellations(ObjectNode parent, CancellationNotices cancellations) {
+    parent.put("confirmedHere", cancellations.confirmedCount());
+    parent.put("notFollowedYet", cancellations.notFollowedCount());
+    parent.put("heardFromOthers", cancellations.heardCount());
+  }
+
+  private static void putStartsRefused(ObjectNode parent, ControllerMetrics metrics) {
     for (StartRefusal reason : StartRefusal.values()) {
-      refused.put(
-          reason.name().toLowerCase(Locale.ROOT), metrics.startsRefused.getOrDefault(reason, 0L));
+      parent.put(reason.name().toLowerCase(Locale.ROOT), metrics.startsRefused(reason));
     }
-    putQuestions(page.putObject("questions"), metrics.questions);
-    ObjectNode work = page.putObject("work");
-    for (EventLoopMeter.Work kind : EventLoopMeter.Work.values()) {
-      work.putObject(kind.printedName())
-          .put("count", metrics.work.count(kind))
-          .put("ms", Math.round(metrics.work.millis(kind)));
-    }
-    ObjectNode latencies = page.putObject("latencyMs");
-    put(latencies, "submit", metrics.submitMs);
-    put(latencies, "poll", metrics.pollMs);
-    put(latencies, "startWait", metrics.startWaitMs);
-    put(latencies, "placementPass", metrics.passMs);
-    put(latencies, "stateService", context.store().latency());
-    return Json.bytes(page);
   }
 
-  private static void putCancellations(ObjectNode page, CancellationNotices cancellations) {
-    page.put("confirmedHere", cancellations.confirmedCount());
-    page.put("notFollowedYet", cancellations.notFollowedCount());
-    page.put("heardFromOthers", cancellations.heardCount());
+  private static void putJobQueries(ObjectNode parent, JobQueryMetrics queries) {
+    parent.put("answered", queries.answered());
+    parent.put("longestSpellMs", queries.longestSpellMs());
+    ObjectNode unanswered = parent.putObject("unanswered");
+    for (JobQueryMetrics.Unanswered reason : JobQueryMetrics.Unanswered.values()) {
+      unanswered.put(reason.name().toLowerCase(Locale.ROOT), queries.unanswered(reason));
+    }
   }
 
-  private static void putQuestions(ObjectNode page, JobQueryMetrics questions) {
-    page.put("answered", questions.answered());
-    page.put("longestSpellMs", questions.longestSpellMs());
-    ObjectNode unanswered = page.putObject("unanswered");
-    for (JobQueryMetrics.Unanswered reason : JobQueryMetrics.Unanswered.values()) {
-      unanswered.put(reason.name().toLowerCase(Locale.ROOT), questions.unanswered(reason));
+  private static void putEventLoopWork(ObjectNode parent, EventLoopMeter meter) {
+    for (EventLoopMeter.Work work : EventLoopMeter.Work.values()) {
+      parent
+          .putObject(work.printedName())
+          .put("count", meter.count(work))
+          .put("ms", Math.round(meter.millis(work)));
     }
   }
 
-  private static void put(ObjectNode parent, String name, Histogram histogram) {
-    ObjectNode one = parent.putObject(name);
-    one.put("count", histogram.getTotalCount());
-    one.put("p50", histogram.getValueAtPercentile(50));
-    one.put("p95", histogram.getValueAtPercentile(95));
-    one.put("p99", histogram.getValueAtPercentile(99));
-    one.put("max", histogram.getMaxValue());
+  private static void putLatencies(ObjectNode parent, ControllerContext context) {
+    ControllerMetrics metrics = context.metrics();
+    putHistogram(parent, "submit", metrics.submitMs);
+    putHistogram(parent, "poll", metrics.pollMs);
+    putHistogram(parent, "startWait", metrics.startWaitMs);
+    putHistogram(parent, "placementPass", metrics.passMs);
+    putHistogram(parent, "stateService", context.store().latency());
+  }
+
+  private static void putHistogram(ObjectNode parent, String name, Histogram histogram) {
+    parent
+        .putObject(name)
+        .put("count", histogram.getTotalCount())
+        .put("p50", histogram.getValueAtPercentile(50))
+        .put("p95", histogram.getValueAtPercentile(95))
+        .put("p99", histogram.getValueAtPercentile(99))
+        .put("max", histogram.getMaxValue());
   }
 }
--- a/src/main/java/org/fieldtrestle/metrics/JobQueryMetrics.java
+++ b/src/main/java/org/fieldtrestle/metrics/JobQueryMetrics.java
@@ -3,58 +3,64 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** How many questions of users were answered here, and why others were not. */
+/** How many job queries were answered here, and why others were not. */
 public final class JobQueryMetrics {
-  /** Why a question got no answer of use, but was told to come back. */
+  /** Why a user was told to retry a query. */
   public enum Unanswered {
-    /** The state service has not answered this controller for some time. */
+    /** The key-value store has not answered this controller for some time. */
     STATE_SERVICE_SILENT,
-    /** What was written before the question was not known here in time. */
+    /** The state cache did not reach the revision of the query in time. */
     NOT_FOLLOWED_IN_TIME,
-    /** How the job ended could not be read. */
+    /** The record of the finished job could not be read. */
     END_NOT_READ,
-    /** The answer was not there while the user still waited for it. */
+    /** The answer was not known while the user still waited for it. */
     LATE,
     /** The job's record cannot be read by this version. */
     RECORD_UNREADABLE
   }
 
+  private static final long NOT_FAILING = -1;
+
   private final Map<Unanswered, Long> unanswered = new EnumMap<>(Unanswered.class);
   private long answered;
   private long longestSpellMs;
-  private long failingSince = -1;
 
-  public void answered(long now) {
+  /** When the first query since the last answered one was not answered. */
+  private long failingSinceMs = NOT_FAILING;
+
+  /** A query was answered at this time of the reactor. */
+  public void answered(long nowMs) {
     answered++;
-    endSpell(now);
-    failingSince = -1;
+    extendSpell(nowMs);
+    failingSinceMs = NOT_FAILING;
   }
 
-  public void unanswered(Unanswered reason, long now) {
+  /** A query was not answered at this time of the reactor. */
+  public void unanswered(Unanswered reason, long nowMs) {
     unanswered.merge(reason, 1L, Long::sum);
-    if (failingSince < 0) {
-      failingSince = now;
+    if (failingSinceMs == NOT_FAILING) {
+      failingSinceMs = nowMs;
     }
-    endSpell(now);
+    extendSpell(nowMs);
   }
 
-  private void endSpell(long now) {
-    if (failingSince >= 0) {
-      longestSpellMs = Math.max(longestSpellMs, now - failingSince);
+  private void extendSpell(long nowMs) {
+    if (failingSinceMs != NOT_FAILING) {
+      longestSpellMs = Math.max(longestSpellMs, nowMs - failingSinceMs);
     }
   }
 
-  /** Questions that were answered. */
+  /** Queries that were answered. */
   public long answered() {
     return answered;
   }
 
-  /** Questions that were not answered for this reason. */
+  /** Queries that were not answered for this reason. */
   public long unanswered(Unanswered reason) {
     return unanswered.getOrDefault(reason, 0L);
   }
 
-  /** The longest time for which questions came and none of them was answered. */
+  /** The longest time in which queries arrived and none was answered. */
   public long longestSpellMs() {
     return longestSpellMs;
   }
--- a/src/main/java/org/fieldtrestle/metrics/StartRefusal.java
+++ b/src/main/java/org/fieldtrestle/metrics/StartRefusal.java
@@ -1,19 +1,19 @@
 package org.fieldtrestle.metrics;
 
-/** Why a task may not be started now. */
+/** Why a task may not be started now. The names are keys of the statistics page. */
 public enum StartRefusal {
-  /** The lease or the followed state is too old. */
+  /** The controller's lease or its state cache is too old. */
   FENCE_CLOSED,
   /** A later epoch of this shard has begun. */
   SUPERSEDED,
-  /** Another controller says that the job is cancelled. */
+  /** Another controller has reported that the job is cancelled. */
   JOB_CANCELLED,
   /** The job has ended. */
   JOB_ENDED,
   /** The job's record is not known yet, or cannot be read. */
   JOB_UNKNOWN,
-  /** The range is another shard's, or a later epoch's. */
+  /** The range belongs to another shard or to a later epoch. */
   RANGE_NOT_OURS,
-  /** Machines that may hold the range's tasks have not reported in this epoch. */
+  /** Workers that may run the range's tasks have not sent a heartbeat in this epoch. */
   MACHINES_UNRESOLVED
 }
--- a/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -322,7 +322,7 @@
     if (worker == null) {
       return;
     }
-    context.metrics().returned++;
+    context.metrics().countReturned();
     worker.markTerminated();
     workers.loseTasks(worker, "returned (" + worker.drainReason() + ")");
     inventory.remove(id);
@@ -638,7 +638,7 @@
               long now = context.now();
               if (rent instanceof CloudClient.Rented rented) {
                 renting--;
-                context.metrics().rented += rented.machines().size();
+                context.metrics().countRented(rented.machines().size());
                 LOG.info(
                     "rented {} {} machines in {} of {} wanted: {}",
                     rented.machines().size(),
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -233,7 +233,7 @@
     for (TaskAttempt victim : chosen) {
       freed += victim.cpus();
       LOG.debug("task {} gives way to {} ({})", victim, spec.id(), spec.priority());
-      context.metrics().evicted++;
+      context.metrics().countEvicted();
       decisions.stop(
           victim, victim.range().spec().hasCheckpoints() ? victim.range().spec().saveS() : 0);
     }
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -255,10 +255,10 @@
     workers.commands().newsFor(worker);
     boolean fetches = !worker.hasImage(range.spec().image());
     if (fetches) {
-      context.metrics().fetches++;
+      context.metrics().countImageFetch();
     }
     worker.usesImage(range.spec().image(), range.spec().imageGb(), type.cacheGb());
-    context.metrics().placed++;
+    context.metrics().countPlaced();
     logFirstStart(task);
     ControllerMetrics.record(context.metrics().startWaitMs, now - since);
     LOG.debug(
@@ -463,8 +463,8 @@
         fetching,
         waiting,
         ranges.count(),
-        context.metrics().fetches,
-        context.metrics().placed,
+        context.metrics().imageFetches(),
+        context.metrics().placed(),
         context.metrics().passMs.getValueAtPercentile(95));
     LOG.info("work so far: {}", context.metrics().work.summary());
   }
--- a/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
+++ b/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
@@ -50,7 +50,7 @@
 
   /** Counts a start that was refused. */
   public void refused(StartRefusal reason) {
-    context.metrics().startsRefused.merge(reason, 1L, Long::sum);
+    context.metrics().countStartRefused(reason);
   }
 
   /** Why no task of the range may be started now; null where one may. */
--- a/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
@@ -544,7 +544,7 @@
       }
     }
     if (lost > 0) {
-      context.metrics().lost += lost;
+      context.metrics().countLost(lost);
       LOG.info("{} tasks on {} are lost: {}", lost, worker.id, why);
     }
     events.requestPlacementPass();
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -25,7 +25,7 @@
     fixture.showToken();
     fixture.commitCancellation();
     assertEquals(0, ShardLeaderFixture.orders(fixture.report(), "start"));
-    assertEquals(0, fixture.context.metrics().placed);
+    assertEquals(0, fixture.context.metrics().placed());
   }
 
   @Test
@@ -33,7 +33,7 @@
     fixture.showToken();
     fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
     assertEquals(0, ShardLeaderFixture.orders(fixture.report(), "start"));
-    assertEquals(0, fixture.context.metrics().placed);
+    assertEquals(0, fixture.context.metrics().placed());
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -128,6 +128,6 @@
     fixture.commitCancellation();
     assertFalse(policy.mayStart(range));
     assertFalse(policy.mayStart(range));
-    assertEquals(2, fixture.context.metrics().startsRefused.get(StartRefusal.JOB_ENDED));
+    assertEquals(2, fixture.context.metrics().startsRefused(StartRefusal.JOB_ENDED));
   }
 }
