--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -17,9 +17,22 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * What all actors of one controller share.
+ * What the parts of one controller share. There is one context for each controller; its parts are
+ * used on the reactor's thread only.
  *
- * @param cancellations jobs that are known to be cancelled before the followed state shows it
+ * @param settings the platform's settings
+ * @param operatorSettings the operators' own settings
+ * @param reactor the controller's thread and clocks
+ * @param random the source of all random draws, so that a simulated run can be repeated
+ * @param caller makes HTTP calls to workers
+ * @param store the client of the key-value store
+ * @param stateCache what the key-value store holds, as far as it is known here
+ * @param cloud the client of the cloud that machines are rented from
+ * @param membership this controller's lease and the shards that it leads
+ * @param loads the loads of all shards, as far as their leaders have reported them
+ * @param cancellations cancellations that the state cache may not show yet
+ * @param metrics counters and latencies for operators
+ * @param objectives what service-level objectives require of a job
  */
 public record ControllerContext(
     Settings settings,
@@ -33,11 +46,40 @@
     Membership membership,
     ShardLoads loads,
     CancellationNotices cancellations,
-    ControllerMetrics metrics) {
+    ControllerMetrics metrics,
+    JobObjectives objectives) {
 
-  /** A task may evict once this part of the time in which it is to start has gone by. */
-  private static final double EVICT_AFTER = 6;
+  /** A context with the objectives of the given settings. */
+  public ControllerContext(
+      Settings settings,
+      OperatorSettings operatorSettings,
+      Reactor reactor,
+      RandomGenerator random,
+      Http.Caller caller,
+      KeyValueClient store,
+      StateCache stateCache,
+      CloudClient cloud,
+      Membership membership,
+      ShardLoads loads,
+      CancellationNotices cancellations,
+      ControllerMetrics metrics) {
+    this(
+        settings,
+        operatorSettings,
+        reactor,
+        random,
+        caller,
+        store,
+        stateCache,
+        cloud,
+        membership,
+        loads,
+        cancellations,
+        metrics,
+        new JobObjectives(settings, operatorSettings, cloud));
+  }
 
+  /** The machine type of this name; null if the cloud does not offer it, or is not known yet. */
   public MachineType type(String name) {
     for (MachineType type : cloud.types()) {
       if (type.name().equals(name)) {
@@ -47,76 +89,43 @@
     return null;
   }
 
+  /** The machine types that the cloud offers; empty until they are known. */
   public List<MachineType> types() {
     return cloud.types();
   }
 
+  /** The reactor's steady clock, in ms. */
   public long now() {
     return reactor.now();
   }
 
-  /** May we answer workers and give commands? */
+  /** Whether this controller may send commands and acknowledge heartbeats now. */
   public boolean mayAct() {
     return membership.mayAct();
   }
 
-  /**
-   * Whether tasks of the job are to start within some time: its class has such an objective, or its
-   * deadline leaves less time than a machine takes to come up, so that room has to be there.
-   */
+  /** See {@link JobObjectives#isLatencySensitive}. */
   public boolean isLatencySensitive(JobSpec spec) {
-    return spec.deadlineS() >= 0 && spec.deadlineS() - spec.estimateS() < shortestBootS()
-        || waitWithinS(spec) < Double.MAX_VALUE;
+    return objectives.isLatencySensitive(spec);
   }
 
-  /** How soon a machine comes up, of the type that is the quickest. */
+  /** See {@link JobObjectives#shortestBootS}. */
   public double shortestBootS() {
-    double least = Double.MAX_VALUE;
-    for (MachineType type : types()) {
-      least = Math.min(least, type.bootS());
-    }
-    return least == Double.MAX_VALUE ? 0 : least;
+    return objectives.shortestBootS();
   }
 
-  /** How long the image of a job takes to come, on the type with the slowest line. */
+  /** See {@link JobObjectives#imageFetchS}. */
   public double fetchS(JobSpec spec) {
-    double fetchS = 0;
-    for (MachineType type : types()) {
-      fetchS = Math.max(fetchS, type.imageFetchS(spec));
-    }
-    return fetchS;
-  }
-
-  private double waitWithinS(JobSpec spec) {
-    double within = Double.MAX_VALUE;
-    for (Settings.Objective aim : settings.objectives()) {
-      if (aim.kind().equals("wait") && aim.jobClass().equals(spec.jobClass())) {
-        within = Math.min(within, aim.withinS());
-      }
-    }
-    return within;
+    return objectives.imageFetchS(spec);
   }
 
-  /**
-   * How long a task waits for room before it may evict: less than usual where that would be more
-   * than a part of the time within which it is to start.
-   */
+  /** See {@link JobObjectives#preemptionDelayS}. */
   public double preemptionDelayS(JobSpec spec, boolean guaranteed) {
-    double wait = Math.min(operatorSettings.evictWaitS(), waitWithinS(spec) / EVICT_AFTER);
-    if (isLatencySensitive(spec) && spec.deadlineS() >= 0) {
-      wait = Math.min(wait, Math.max(0, spec.deadlineS() - spec.estimateS()) / EVICT_AFTER);
-    }
-    if (guaranteed) {
-      for (Settings.Objective aim : settings.objectives()) {
-        if (aim.kind().equals("guarantee")) {
-          wait = Math.min(wait, aim.withinS() / EVICT_AFTER);
-        }
-      }
-    }
-    return wait;
+    return objectives.preemptionDelayS(spec, guaranteed);
   }
 
-  public long heartbeatIntervalsMs(double times) {
-    return settings.heartbeatIntervalsMs(times);
+  /** A number of heartbeat intervals in ms. */
+  public long heartbeatIntervalsMs(double count) {
+    return settings.heartbeatIntervalsMs(count);
   }
 }
