--- /dev/null
+++ b/src/main/java/org/fieldtrestle/controller/JobFinisher.java
@@ -0,0 +1,67 @@
+package org.fieldtrestle.controller;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.StateCache;
+import org.fieldtrestle.worker.JobCompletion;
+
+/**
+ * Finishes jobs whose ranges are all complete but which nobody has finished: two shards that
+ * complete a job's last ranges at the same time may each see the other's as incomplete.
+ */
+final class JobFinisher {
+  private final ControllerContext context;
+  private final LocalShards shards;
+  private final long pauseMs;
+  private final Set<String> finishing = new HashSet<>();
+
+  /**
+   * @param pauseMs how long a job whose transaction was answered is not tried again
+   */
+  JobFinisher(ControllerContext context, LocalShards shards, long pauseMs) {
+    this.context = context;
+    this.shards = shards;
+    this.pauseMs = pauseMs;
+  }
+
+  /** Finishes one such job at most, if this controller leads the shard of its first range. */
+  void check() {
+    if (!context.mayAct() || context.store().isCongested()) {
+      return;
+    }
+    for (Map.Entry<String, StateCache.ActiveJob> entry : context.stateCache().all().entrySet()) {
+      StateCache.ActiveJob job = entry.getValue();
+      if (job.complete()
+          && shards.contains(job.ranges().firstEntry().getValue().record().shard())
+          && !finishing.contains(entry.getKey())) {
+        finish(entry.getKey());
+        return;
+      }
+    }
+  }
+
+  private void finish(String job) {
+    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
+    List<KeyValueProtocol.Change> changes = new ArrayList<>();
+    if (!JobCompletion.whole(context, job, conditions, changes)) {
+      return;
+    }
+    finishing.add(job);
+    context
+        .store()
+        .commit(
+            new KeyValueClient.Transaction(conditions, changes),
+            result -> {
+              if (result instanceof KeyValueClient.Committed committed) {
+                context.stateCache().committed(changes, committed.revision());
+              }
+              context.reactor().schedule(pauseMs, () -> finishing.remove(job));
+            });
+  }
+}
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/controller/PeerBroadcaster.java
@@ -0,0 +1,71 @@
+package org.fieldtrestle.controller;
+
+import java.nio.ByteBuffer;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.leadership.LeadershipTransfer;
+import org.fieldtrestle.protocol.PeerProtocol;
+import org.fieldtrestle.shard.ShardLeader;
+import org.fieldtrestle.transport.PeerSender;
+
+/** Sends this controller's messages to all other controllers. Any of them may be lost. */
+final class PeerBroadcaster {
+  private final ControllerContext context;
+  private final PeerSender sender;
+  private final LeadershipTransfer leadershipTransfer;
+  private final LocalShards shards;
+
+  PeerBroadcaster(
+      ControllerContext context,
+      PeerSender sender,
+      LeadershipTransfer leadershipTransfer,
+      LocalShards shards) {
+    this.context = context;
+    this.sender = sender;
+    this.leadershipTransfer = leadershipTransfer;
+    this.shards = shards;
+  }
+
+  /** Sends what is sent regularly: liveness, redirect counts and the loads of led shards. */
+  void broadcastStatus() {
+    ByteBuffer liveness = encode(liveness());
+    for (Settings.Peer peer : context.settings().peers()) {
+      sender.send(peer.address(), liveness.duplicate());
+      sender.send(peer.address(), encode(leadershipTransfer.reportFor(peer.label())));
+    }
+    if (!context.mayAct()) {
+      return;
+    }
+    for (ShardLeader shard : shards.all()) {
+      if (shard.isActive()) {
+        PeerProtocol.ShardLoad load = shard.load();
+        context.loads().heard(load);
+        broadcast(load);
+      }
+    }
+  }
+
+  private PeerProtocol.Liveness liveness() {
+    boolean served = context.stateCache().ready() && context.store().unavailableForMs() == 0;
+    return new PeerProtocol.Liveness(context.settings().label(), served);
+  }
+
+  /**
+   * Notifies the others of a confirmed cancellation, so that tasks stop sooner where the key-value
+   * store does not answer their shard's leader. The leadership fence bounds their time without it.
+   */
+  void broadcastCancellation(String job) {
+    broadcast(new PeerProtocol.JobCancelled(context.settings().label(), job));
+  }
+
+  private void broadcast(PeerProtocol.Message message) {
+    ByteBuffer frame = encode(message);
+    for (Settings.Peer peer : context.settings().peers()) {
+      sender.send(peer.address(), frame.duplicate());
+    }
+  }
+
+  private ByteBuffer encode(PeerProtocol.Message message) {
+    return PeerProtocol.encode(context.reactor().wall(), message);
+  }
+}
