--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -70,9 +70,9 @@
 
   private void countPlacement(boolean fetches, long waitedMs) {
     if (fetches) {
-      context.metrics().fetches++;
+      context.metrics().countImageFetch();
     }
-    context.metrics().placed++;
+    context.metrics().countPlaced();
     ControllerMetrics.record(context.metrics().startWaitMs, waitedMs);
   }
 
--- a/src/main/java/org/fieldtrestle/shard/ShardLog.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLog.java
@@ -105,8 +105,8 @@
         .addKeyValue("notRunningCpus", totals.notRunningCpus)
         .addKeyValue("waitingTasks", waiting)
         .addKeyValue("ranges", ranges.count())
-        .addKeyValue("placed", context.metrics().placed)
-        .addKeyValue("fetches", context.metrics().fetches)
+        .addKeyValue("placed", context.metrics().placed())
+        .addKeyValue("fetches", context.metrics().imageFetches())
         .addKeyValue("passP95Ms", context.metrics().passMs.getValueAtPercentile(LOGGED_PERCENTILE))
         .log("shard summary");
     LOG.atInfo()
--- a/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
@@ -116,7 +116,7 @@
       }
     }
     if (lost > 0) {
-      context.metrics().lost += lost;
+      context.metrics().countLost(lost);
       LOG.atInfo()
           .addKeyValue("worker", worker.id())
           .addKeyValue("tasks", lost)
