--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -1,8 +1,10 @@
 package org.fieldtrestle.scheduling;
 
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.context.ControllerContext;
@@ -20,23 +22,45 @@
 import org.fieldtrestle.worker.WorkerRegistry;
 
 /**
- * This shard's shares of the teams' limits. A share grows by compare-and-set out of what no other
- * shard has, and shrinks no further than what our tasks may be using.
+ * This shard's shares of the teams' quotas. A share grows by compare-and-swap out of what no other
+ * shard has, and shrinks no further than what the shard's tasks may be using.
  */
 public final class QuotaShares {
-  private static final double SLACK = 1e-6;
+  /** Tolerance for rounding in sums of resources. */
+  private static final double ROUNDING = 1e-6;
 
-  /** A smaller share that we asked for and that may be written at any time. */
-  private record Shrinking(long version, double cpus, double gpus) {}
+  /** Resources of a machine of unknown type: more than any quota, though a few can be added. */
+  private static final double UNKNOWN_MACHINE = Double.MAX_VALUE / 4;
+
+  /** How long a share is larger than needed before it shrinks, in heartbeat intervals. */
+  private static final double SHRINK_AFTER_HEARTBEATS = 2;
+
+  /** Watch intervals after a failed write, or one of unknown outcome, before the next. */
+  private static final int RETRY_WATCH_INTERVALS = 2;
+
+  /** A smaller share that may have been written over a version of the quota's record. */
+  private record PendingShrink(long version, QuotaAmount share) {}
+
+  /**
+   * What a team's tasks on this shard need.
+   *
+   * @param used what its tasks may be using now
+   * @param total what its tasks use and wait for
+   * @param smallestTask the least that a waiting task asks for, each resource by itself
+   */
+  private record Demand(QuotaAmount used, QuotaAmount total, QuotaAmount smallestTask) {}
 
   private final LeadershipTerm term;
   private final WorkerRegistry workers;
   private final TaskRanges ranges;
   private final ControllerContext context;
-  private final Map<String, Shrinking> shrinking = new HashMap<>();
-  private final Map<String, Boolean> writing = new HashMap<>();
-  private final Map<String, Long> idleSince = new HashMap<>();
+  private final Map<String, PendingShrink> pendingShrinks = new HashMap<>();
+  private final Set<String> writing = new HashSet<>();
+
+  /** Since when a team's share could shrink, in ms. */
+  private final Map<String, Long> shrinkableSince = new HashMap<>();
 
+  /** Sets up the shares of a shard; nothing is written before the first {@link #tick}. */
   public QuotaShares(
       ControllerContext context, LeadershipTerm term, WorkerRegistry workers, TaskRanges ranges) {
     this.context = context;
@@ -45,58 +69,68 @@
     this.ranges = ranges;
   }
 
-  private static boolean limited(Settings.Team team) {
+  private static boolean isLimited(Settings.Team team) {
     return team.cpusMax() > 0 || team.gpusMax() > 0;
   }
 
-  /** May one more task of this job be started? */
+  /** Whether the quota allows one more task of a job. */
   boolean allows(JobSpec spec) {
     return allows(spec, 1);
   }
 
-  /** May so many more tasks of this job be started? */
+  /** Whether the quota allows so many more tasks of a job. */
   boolean allows(JobSpec spec, int tasks) {
     Settings.Team team = context.settings().team(spec.team());
     if (team == null) {
       return false;
     }
-    if (!limited(team)) {
+    if (!isLimited(team)) {
       return true;
     }
-    double[] share = share(team.name());
-    double[] used = used(team.name());
-    return (team.cpusMax() <= 0 || used[0] + spec.cpus() * tasks <= share[0] + SLACK)
-        && (team.gpusMax() <= 0 || used[1] + spec.gpus() * tasks <= share[1] + SLACK);
+    QuotaAmount share = share(team.name());
+    QuotaAmount used = used(team.name());
+    return (team.cpusMax() <= 0 || used.cpus() + spec.cpus() * tasks <= share.cpus() + ROUNDING)
+        && (team.gpusMax() <= 0 || used.gpus() + spec.gpus() * tasks <= share.gpus() + ROUNDING);
   }
 
-  private double[] share(String team) {
-    StateCache.Versioned<Records.Quota> kept = context.stateCache().quota(team);
-    double[] share =
-        kept == null
-            ? new double[2]
-            : kept.record().shares().getOrDefault(term.shard(), new double[2]);
-    Shrinking less = shrinking.get(team);
-    if (less != null && kept != null && less.version() == kept.version()) {
-      return new double[] {Math.min(share[0], less.cpus()), Math.min(share[1], less.gpus())};
+  /** The share that may be used: the smaller one while it is not known whether it was written. */
+  private QuotaAmount share(String team) {
+    StateCache.Versioned<Records.Quota> stored = context.stateCache().quota(team);
+    if (stored == null) {
+      return QuotaAmount.NONE;
+    }
+    QuotaAmount share = shareOf(term.shard(), stored.record().shares());
+    PendingShrink pending = pendingShrinks.get(team);
+    if (pending != null && pending.version() == stored.version()) {
+      return new QuotaAmount(
+          Math.min(share.cpus(), pending.share().cpus()),
+          Math.min(share.gpus(), pending.share().gpus()));
     }
     return share;
   }
 
-  /** What the team may be using here: all of any machine that we have not heard of yet. */
-  private double[] used(String team) {
+  private static QuotaAmount shareOf(String shard, Map<String, double[]> shares) {
+    double[] share = shares.get(shard);
+    return share == null ? QuotaAmount.NONE : new QuotaAmount(share[0], share[1]);
+  }
+
+  /** What the team may be using here; all of a machine that has not reported in this term. */
+  private QuotaAmount used(String team) {
     TeamUsage usage = workers.usage();
-    double[] used = {usage.cpus(team), usage.gpus(team)};
+    double cpus = usage.cpus(team);
+    double gpus = usage.gpus(team);
     for (Worker worker : workers.unresolved()) {
       MachineType type = context.type(worker.machineType());
-      used[0] += type == null ? Double.MAX_VALUE / 4 : type.cpus();
-      used[1] += type == null ? Double.MAX_VALUE / 4 : type.gpus();
+      cpus += type == null ? UNKNOWN_MACHINE : type.cpus();
+      gpus += type == null ? UNKNOWN_MACHINE : type.gpus();
     }
-    return used;
+    return new QuotaAmount(cpus, gpus);
   }
 
+  /** Grows and shrinks the shares as needed; at most one write of a team is in flight. */
   public void tick() {
     for (Settings.Team team : context.settings().teams()) {
-      if (limited(team) && !writing.getOrDefault(team.name(), false)) {
+      if (isLimited(team) && !writing.contains(team.name())) {
         adjust(team);
       }
     }
@@ -106,130 +140,142 @@
     if (!context.stateCache().readable(Records.quota(team.name()))) {
       return;
     }
-    StateCache.Versioned<Records.Quota> kept = context.stateCache().quota(team.name());
+    StateCache.Versioned<Records.Quota> stored = context.stateCache().quota(team.name());
+    long version = stored == null ? 0 : stored.version();
     Map<String, double[]> shares =
-        kept == null ? new TreeMap<>() : new TreeMap<>(kept.record().shares());
-    double[] mine = shares.getOrDefault(term.shard(), new double[2]);
-    double[] used = used(team.name());
-    double[] need = used.clone();
-    double[] least = {Double.MAX_VALUE, Double.MAX_VALUE};
-    for (TaskRange range : ranges.all()) {
-      if (range.waiting() > 0
-          && range.record().team().equals(team.name())
-          && !term.policy().mustStop(range)) {
-        need[0] += range.waiting() * range.record().cpus();
-        need[1] += range.waiting() * range.record().gpus();
-        least[0] = Math.min(least[0], range.record().cpus());
-        least[1] = Math.min(least[1], range.record().gpus());
-      }
+        stored == null ? new TreeMap<>() : new TreeMap<>(stored.record().shares());
+    QuotaAmount share = shareOf(term.shard(), shares);
+    QuotaAmount wanted = wantedShare(team, shares, share);
+    boolean grows =
+        wanted.cpus() > share.cpus() + ROUNDING || wanted.gpus() > share.gpus() + ROUNDING;
+    boolean shrinks =
+        wanted.cpus() < share.cpus() - ROUNDING || wanted.gpus() < share.gpus() - ROUNDING;
+    // A shrink of unknown outcome limits this shard until the record has a newer version, which
+    // any write gives it.
+    PendingShrink pending = pendingShrinks.get(team.name());
+    boolean writeNow = grows || (pending != null && pending.version() == version);
+    if (!isDue(team.name(), writeNow, shrinks)) {
+      return;
+    }
+    shares.put(term.shard(), new double[] {wanted.cpus(), wanted.gpus()});
+    if (stored != null && shrinks) {
+      pendingShrinks.put(team.name(), new PendingShrink(version, wanted));
     }
-    double shards = context.settings().peers().size() + 1;
-    double[] limit = {team.cpusMax(), team.gpusMax()};
-    double[] want = new double[2];
-    boolean grows = false;
-    boolean shrinks = false;
-    for (int i = 0; i < 2; i++) {
-      double others = 0;
-      for (Map.Entry<String, double[]> share : shares.entrySet()) {
-        if (!share.getKey().equals(term.shard())) {
-          others += share.getValue()[i];
-        }
+    write(team.name(), version, new Records.Quota(shares));
+  }
+
+  /** Whether a share is written: at once where it grows, and after some time where it shrinks. */
+  private boolean isDue(String team, boolean writeNow, boolean shrinks) {
+    if (!writeNow && shrinks) {
+      long nowMs = context.now();
+      long sinceMs = shrinkableSince.computeIfAbsent(team, t -> nowMs);
+      if (nowMs - sinceMs < context.heartbeatIntervalsMs(SHRINK_AFTER_HEARTBEATS)) {
+        return false;
       }
-      double most = Math.max(0, limit[i] - others);
-      // Half of an even part is kept even when idle, so that new work need not wait for a write;
-      // but not where others have nearly all the rest: they may lack it.
-      double floor = limit[i] / shards / 2;
-      double wish = Math.min(Math.max(need[i], most < 2 * floor ? 0 : floor), most);
-      if (wish < need[i] && wish - used[i] < least[i] - SLACK) {
-        // Too little for any task that waits here, but several such rests are enough for one.
-        wish = Math.min(used[i], most);
+    }
+    shrinkableSince.remove(team);
+    return writeNow || shrinks;
+  }
+
+  private QuotaAmount wantedShare(
+      Settings.Team team, Map<String, double[]> shares, QuotaAmount share) {
+    double cpusOfOthers = 0;
+    double gpusOfOthers = 0;
+    for (Map.Entry<String, double[]> entry : shares.entrySet()) {
+      if (!entry.getKey().equals(term.shard())) {
+        cpusOfOthers += entry.getValue()[0];
+        gpusOfOthers += entry.getValue()[1];
       }
-      want[i] = Math.max(wish, Math.min(mine[i], used[i]));
-      grows |= want[i] > mine[i] + SLACK;
-      shrinks |= want[i] < mine[i] - SLACK;
     }
-    long now = context.now();
-    long version = kept == null ? 0 : kept.version();
-    Shrinking less = shrinking.get(team.name());
-    // A shrinking of unknown fate binds us until the record has a newer version: any write will do.
-    grows |= less != null && less.version() == version;
-    if (!grows && !shrinks) {
-      idleSince.remove(team.name());
-      return;
+    Demand demand = demand(team.name());
+    return new QuotaAmount(
+        wantedShare(
+            team.cpusMax(),
+            cpusOfOthers,
+            demand.used().cpus(),
+            demand.total().cpus(),
+            demand.smallestTask().cpus(),
+            share.cpus()),
+        wantedShare(
+            team.gpusMax(),
+            gpusOfOthers,
+            demand.used().gpus(),
+            demand.total().gpus(),
+            demand.smallestTask().gpus(),
+            share.gpus()));
+  }
+
+  /**
+   * The share of one resource that this shard should have.
+   *
+   * @param limit the team's limit
+   * @param ofOthers the sum of all other shards' shares
+   * @param used what the team may be using here
+   * @param needed what it uses and waits for here
+   * @param smallestTask the least that a waiting task asks for
+   * @param current the share as it is
+   */
+  private double wantedShare(
+      double limit,
+      double ofOthers,
+      double used,
+      double needed,
+      double smallestTask,
+      double current) {
+    double available = Math.max(0, limit - ofOthers);
+    // Half of an even part is kept even when idle, so that new work need not wait for a write;
+    // but not where others have nearly all the rest, as they may lack it.
+    double idleShare = limit / shardCount() / 2;
+    double wanted =
+        Math.min(Math.max(needed, available < 2 * idleShare ? 0 : idleShare), available);
+    if (wanted < needed && wanted - used < smallestTask - ROUNDING) {
+      // Too little for any task that waits here, but several such rests are enough for one.
+      wanted = Math.min(used, available);
     }
-    if (!grows) {
-      long since = idleSince.computeIfAbsent(team.name(), t -> now);
-      if (now - since < context.heartbeatIntervalsMs(2)) {
-        return;
+    return Math.max(wanted, Math.min(current, used));
+  }
+
+  private double shardCount() {
+    return context.settings().peers().size() + 1;
+  }
+
+  private Demand demand(String team) {
+    QuotaAmount used = used(team);
+    double cpus = used.cpus();
+    double gpus = used.gpus();
+    double leastCpus = Double.MAX_VALUE;
+    double leastGpus = Double.MAX_VALUE;
+    for (TaskRange range : ranges.all()) {
+      if (range.waiting() > 0
+          && range.record().team().equals(team)
+          && !term.policy().mustStop(range)) {
+        cpus += range.waiting() * range.record().cpus();
+        gpus += range.waiting() * range.record().gpus();
+        leastCpus = Math.min(leastCpus, range.record().cpus());
+        leastGpus = Math.min(leastGpus, range.record().gpus());
       }
     }
-    idleSince.remove(team.name());
-    shares.put(term.shard(), want);
-    if (kept != null && shrinks) {
-      shrinking.put(team.name(), new Shrinking(version, want[0], want[1]));
-    }
-    String key = Records.quota(team.name());
+    return new Demand(used, new QuotaAmount(cpus, gpus), new QuotaAmount(leastCpus, leastGpus));
+  }
+
+  private void write(String team, long version, Records.Quota quota) {
+    String key = Records.quota(team);
     List<KeyValueProtocol.Condition> conditions =
         List.of(new KeyValueProtocol.Condition(key, version), term.guard());
     List<KeyValueProtocol.Change> changes =
-        List.of(new KeyValueProtocol.Put(key, Records.write(new Records.Quota(shares)), 0));
-    writing.put(team.name(), true);
+        List.of(new KeyValueProtocol.Put(key, Records.write(quota), 0));
+    writing.add(team);
     context
         .store()
         .commit(
             new KeyValueClient.Transaction(conditions, changes),
             result -> {
+              long pauseMs = context.stateCache().watchIntervalMs() * RETRY_WATCH_INTERVALS;
               if (result instanceof KeyValueClient.Committed committed) {
                 context.stateCache().committed(changes, committed.revision());
+                pauseMs = 0;
               }
-              context
-                  .reactor()
-                  .schedule(
-                      result instanceof KeyValueClient.Committed
-                          ? 0
-                          : context.stateCache().watchIntervalMs() * 2,
-                      () -> writing.put(team.name(), false));
+              context.reactor().schedule(pauseMs, () -> writing.remove(team));
             });
   }
-
-  /** Whether a job fits its team's guarantee together with the team's earlier unfinished jobs. */
-  boolean guaranteed(TaskRange range) {
-    Settings.Team team = context.settings().team(range.spec().team());
-    StateCache.ActiveJob own = context.stateCache().job(range.key().job());
-    if (team == null || own == null || team.cpus() <= 0 && team.gpus() <= 0) {
-      return false;
-    }
-    double cpus = 0;
-    double gpus = 0;
-    for (StateCache.ActiveJob job : context.stateCache().jobs()) {
-      if (job.job() != null
-          && job.job().record().spec().team().equals(team.name())
-          && job.job().record().acceptedWall() <= own.job().record().acceptedWall()) {
-        JobSpec spec = job.job().record().spec();
-        cpus += spec.cpus() * spec.tasks();
-        gpus += spec.gpus() * spec.tasks();
-      }
-    }
-    return cpus <= team.cpus() && gpus <= team.gpus();
-  }
-
-  /** Whether a team is owed room that another takes beyond its own guarantee. */
-  boolean owed(String team, String from) {
-    if (team.equals(from)) {
-      return false;
-    }
-    Settings.Team mine = context.settings().team(team);
-    Settings.Team theirs = context.settings().team(from);
-    if (mine == null || theirs == null) {
-      return false;
-    }
-    double part = context.settings().peers().size() + 1;
-    TeamUsage usage = workers.usage();
-    return (mine.cpus() > 0
-            && usage.cpus(team) < mine.cpus() / part
-            && usage.cpus(from) > theirs.cpus() / part)
-        || (mine.gpus() > 0
-            && usage.gpus(team) < mine.gpus() / part
-            && usage.gpus(from) > theirs.gpus() / part);
-  }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -16,23 +16,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands waiting tasks on to a shard that has room, or where less waits for each CPU. Only tasks
- * that are nowhere go, as the tail of a range that becomes a range of its own. Those that were lost
- * go too: where the cloud has no more machines to give, they would wait here for ever.
+ * Reassigns waiting tasks to a shard that has room, or where less waits for each CPU. Only tasks
+ * that no worker may have are reassigned, as the tail of a range that becomes a range of its own.
+ * Tasks that were lost are among them: where the cloud has no more machines, they would otherwise
+ * wait here for ever.
  */
 public final class RangeReassignment {
   private static final Logger LOG = LoggerFactory.getLogger(RangeReassignment.class);
 
-  /** How many times more has to wait here than there, where neither has room. */
-  private static final double STEEPER = 1.5;
+  /** Time between two reassignments, in heartbeat intervals. */
+  private static final double PAUSE_HEARTBEATS = 0.2;
+
+  /**
+   * Where neither shard has room, tasks move if the waiting work per CPU here exceeds that of the
+   * other shard by this factor and {@link #MIN_PRESSURE_DIFFERENCE}.
+   */
+  private static final double MIN_PRESSURE_RATIO = 1.5;
+
+  private static final double MIN_PRESSURE_DIFFERENCE = 0.25;
+
+  /** Least CPUs by which a task is counted, as tasks may ask for none. */
+  private static final double MIN_CPUS = 0.1;
+
+  /**
+   * Operations of the transaction that ends a job, beside those of its present ranges: the range
+   * that is split off is one of them.
+   */
+  private static final int OTHER_OPERATIONS = 4;
 
   private final LeadershipTerm term;
   private final WorkerRegistry workers;
   private final TaskRanges ranges;
   private final ControllerContext context;
   private boolean writing;
-  private long nextAt;
+  private long nextAtMs;
 
+  /** Sets up reassignment for a shard. */
   public RangeReassignment(
       ControllerContext context, LeadershipTerm term, WorkerRegistry workers, TaskRanges ranges) {
     this.context = context;
@@ -41,38 +60,40 @@
     this.ranges = ranges;
   }
 
-  public void tick(long now) {
-    if (writing || now < nextAt || context.store().isCongested()) {
+  /** Reassigns tasks of one range at most; only one write is in flight at a time. */
+  public void tick(long nowMs) {
+    if (writing || nowMs < nextAtMs || context.store().isCongested()) {
       return;
     }
-    double waiting = -1;
-    double capacity = 0;
+    double waitingCpus = -1;
+    double capacityCpus = 0;
     for (TaskRange range : ranges.all()) {
-      int tail = tail(range);
+      int tail = movableTail(range);
       if (tail == 0) {
         continue;
       }
-      if (waiting < 0) {
-        waiting = ranges.waitingCpus();
-        capacity = workers.capacity();
+      if (waitingCpus < 0) { // summed once, and only if something can move
+        waitingCpus = ranges.waitingCpus();
+        capacityCpus = workers.capacity();
       }
-      if (hand(range, tail, waiting, capacity)) {
-        nextAt = now + context.heartbeatIntervalsMs(0.2);
+      if (reassign(range, tail, waitingCpus, capacityCpus)) {
+        nextAtMs = nowMs + context.heartbeatIntervalsMs(PAUSE_HEARTBEATS);
         return;
       }
     }
   }
 
   /**
-   * How many tasks at the end of the range are nowhere. One that has failed stays: we know of it.
+   * How many tasks at the end of the range no worker may have. A task that has failed stays, as the
+   * failures are only known here.
    */
-  private int tail(TaskRange range) {
+  private int movableTail(TaskRange range) {
     if (range.spec() == null
         || term.policy().mustStop(range)
         || range.isWriting()
         || ranges.blocked(range)
         || !range.record().caps().isEmpty()
-        || context.stateCache().rangesOf(range.key().job()).size() + 4
+        || context.stateCache().rangesOf(range.key().job()).size() + OTHER_OPERATIONS
             > context.settings().state().txnOps()) {
       return 0;
     }
@@ -83,75 +104,57 @@
         && !workers.hasDuplicate(range, size - 1 - tail)) {
       tail++;
     }
-    return range.spec().kind() == JobSpec.Kind.GANG && tail < size ? 0 : tail;
+    return isGang(range) && tail < size ? 0 : tail;
+  }
+
+  private static boolean isGang(TaskRange range) {
+    return range.spec().kind() == JobSpec.Kind.GANG;
   }
 
-  private boolean hand(TaskRange range, int tail, double waiting, double capacity) {
+  private boolean reassign(TaskRange range, int tail, double waitingCpus, double capacityCpus) {
     String zone = range.zone() != null ? range.zone() : range.spec().zone();
-    JobSplitter.Candidate to = context.loads().leastLoaded(range.spec(), zone, term.shard());
-    if (to == null || context.stateCache().shard(to.shard()) == null) {
+    JobSplitter.Candidate target = context.loads().leastLoaded(range.spec(), zone, term.shard());
+    if (target == null || context.stateCache().shard(target.shard()) == null) {
       return false;
     }
-    double cpus = Math.max(range.spec().cpus(), 0.1);
-    int count = 0;
-    if (to.freeTasks() > 0 && to.waitingCpus() < cpus) {
-      count = to.freeTasks();
-    } else {
-      if (waiting / Math.max(1, capacity) > STEEPER * to.pressure() + 0.25) {
-        // Level: what moves leaves both with as much for each CPU.
-        double level = (waiting + to.waitingCpus()) / Math.max(1, capacity + to.capacityCpus());
-        count = (int) ((waiting - level * capacity) / cpus);
-      }
-    }
-    count = Math.min(count, tail);
-    if (count <= 0 || range.spec().kind() == JobSpec.Kind.GANG && count < tail) {
+    int count = Math.min(tail, tasksToMove(range, target, waitingCpus, capacityCpus));
+    if (count <= 0 || (isGang(range) && count < tail)) {
       return false;
     }
-    move(range, count, to.shard());
+    move(range, count, target.shard());
     return true;
   }
 
-  private void move(TaskRange range, int count, String to) {
-    Records.Range whole = range.record();
-    int cut = whole.to() - count;
-    Records.RangeKey fresh =
-        new Records.RangeKey(
-            range.key().job(),
-            context.stateCache().rangesOf(range.key().job()).keySet().stream()
-                    .mapToInt(i -> i)
-                    .max()
-                    .orElse(0)
-                + 1);
-    String job = Records.job(range.key().job());
+  private static int tasksToMove(
+      TaskRange range, JobSplitter.Candidate target, double waitingCpus, double capacityCpus) {
+    double cpus = Math.max(range.spec().cpus(), MIN_CPUS);
+    if (target.freeTasks() > 0 && target.waitingCpus() < cpus) {
+      return target.freeTasks();
+    }
+    double pressure = waitingCpus / Math.max(1, capacityCpus);
+    if (pressure > MIN_PRESSURE_RATIO * target.pressure() + MIN_PRESSURE_DIFFERENCE) {
+      // What moves leaves both shards with the same waiting work per CPU.
+      double balancedPressure =
+          (waitingCpus + target.waitingCpus()) / Math.max(1, capacityCpus + target.capacityCpus());
+      return (int) ((waitingCpus - balancedPressure * capacityCpus) / cpus);
+    }
+    return 0;
+  }
+
+  /** Gives the last {@code count} tasks of a range to another shard. */
+  private void move(TaskRange range, int count, String shard) {
+    int cut = range.record().to() - count;
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    conditions.add(new KeyValueProtocol.Condition(Records.range(range.key()), range.version()));
-    conditions.add(new KeyValueProtocol.Condition(job, context.stateCache().version(job)));
-    long epoch = context.stateCache().shard(to).version();
-    conditions.add(new KeyValueProtocol.Condition(Records.shard(to), epoch));
-    if (cut == whole.from()) {
-      changes.add(
-          new KeyValueProtocol.Put(
-              Records.range(range.key()), Records.write(whole.ownedBy(to, epoch)), 0));
-    } else {
-      conditions.add(new KeyValueProtocol.Condition(Records.range(fresh), 0));
-      changes.add(
-          new KeyValueProtocol.Put(
-              Records.range(range.key()), Records.write(whole.between(whole.from(), cut)), 0));
-      changes.add(
-          new KeyValueProtocol.Put(
-              Records.range(fresh),
-              Records.write(whole.between(cut, whole.to()).ownedBy(to, epoch)),
-              0));
-    }
-    // From here on these tasks may be another shard's at any time: they are not to be started.
-    BitSet held = new BitSet();
-    held.set(cut - whole.from(), whole.size());
-    range.fresh().andNot(held);
-    held.stream().forEach(range.retries()::remove);
+    addMove(range, cut, shard, conditions, changes);
+    // From here on another shard may own these tasks at any time: they must not be started.
+    BitSet moving = new BitSet();
+    moving.set(cut - range.record().from(), range.record().size());
+    range.fresh().andNot(moving);
+    moving.stream().forEach(range.retries()::remove);
     range.beginWrite();
     writing = true;
-    LOG.debug("handing {} tasks of {} to {}", count, range.key(), to);
+    LOG.debug("reassigning {} tasks of {} to {}", count, range.key(), shard);
     term.write(
         conditions,
         changes,
@@ -160,8 +163,44 @@
           if (committed) {
             ranges.written(range);
           } else {
-            ranges.settle(range, held);
+            ranges.settle(range, moving);
           }
         });
   }
+
+  /** Adds what gives the tasks from {@code cut} on to another shard in its present epoch. */
+  private void addMove(
+      TaskRange range,
+      int cut,
+      String shard,
+      List<KeyValueProtocol.Condition> conditions,
+      List<KeyValueProtocol.Change> changes) {
+    Records.Range record = range.record();
+    String rangeKey = Records.range(range.key());
+    String jobKey = Records.job(range.key().job());
+    long epoch = context.stateCache().shard(shard).version();
+    conditions.add(new KeyValueProtocol.Condition(rangeKey, range.version()));
+    conditions.add(new KeyValueProtocol.Condition(jobKey, context.stateCache().version(jobKey)));
+    conditions.add(new KeyValueProtocol.Condition(Records.shard(shard), epoch));
+    if (cut == record.from()) {
+      changes.add(
+          new KeyValueProtocol.Put(rangeKey, Records.write(record.ownedBy(shard, epoch)), 0));
+      return;
+    }
+    Records.Range kept = record.between(record.from(), cut);
+    Records.Range moved = record.between(cut, record.to()).ownedBy(shard, epoch);
+    String newKey = Records.range(nextKey(range.key().job()));
+    conditions.add(new KeyValueProtocol.Condition(newKey, 0));
+    changes.add(new KeyValueProtocol.Put(rangeKey, Records.write(kept), 0));
+    changes.add(new KeyValueProtocol.Put(newKey, Records.write(moved), 0));
+  }
+
+  /** The key of a further range of a job. */
+  private Records.RangeKey nextKey(String job) {
+    int last = 0;
+    for (int index : context.stateCache().rangesOf(job).keySet()) {
+      last = Math.max(last, index);
+    }
+    return new Records.RangeKey(job, last + 1);
+  }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
+++ b/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
@@ -8,229 +8,137 @@
 import org.fieldtrestle.protocol.Priority;
 
 /**
- * Falcon's Selective Preemption: scores, conditions and the draw. Knows nothing of machines or
- * messages.
+ * Selective Preemption as in the Falcon paper, section III.C: the score of a task, the order in
+ * which waiting tasks are drawn, and the conditions under which one may preempt. It knows neither
+ * workers nor messages.
+ *
+ * <p>One exception to the paper: a job's priority comes before the score, which knows nothing of
+ * priorities.
  */
 public final class SelectivePreemption {
   private final OperatorSettings operatorSettings;
   private final RandomGenerator random;
 
+  /**
+   * Sets up the calculation.
+   *
+   * @param operatorSettings weights and thresholds
+   * @param random the source of the draws
+   */
   public SelectivePreemption(OperatorSettings operatorSettings, RandomGenerator random) {
     this.operatorSettings = operatorSettings;
     this.random = random;
   }
 
-  /** Equation 3: what a task without children scores. */
+  /**
+   * The score of a task without dependent tasks (equation 3); remaining time has a lower bound.
+   *
+   * @param remainingS estimated seconds until the task has finished
+   * @param waitedS seconds that the task has waited
+   */
   public double score(double remainingS, double waitedS) {
     return operatorSettings.remainingWeight() / Math.max(operatorSettings.floorS(), remainingS)
         + operatorSettings.waitingWeight() * Math.max(0, waitedS);
   }
 
-  /** Some waiting tasks that score alike: a range's tasks that wait since the same time. */
-  public record Waiting<T>(T what, Priority priority, double score, int count) {}
-
-  /**
-   * Draws the group whose task goes next. Only the highest priority among them takes part (our
-   * exception: a score knows nothing of priorities), and of these only tasks within the top (1 -
-   * delta) by score, each with weight equal to its reverse rank.
-   */
-  public <T> Waiting<T> next(List<Waiting<T>> waiting) {
-    Priority highest = null;
-    for (Waiting<T> one : waiting) {
-      if (one.count() > 0 && (highest == null || one.priority().above(highest))) {
-        highest = one.priority();
-      }
-    }
-    List<Waiting<T>> ranked = new ArrayList<>();
-    long k = 0;
-    for (Waiting<T> one : waiting) {
-      if (one.count() > 0 && one.priority() == highest) {
-        ranked.add(one);
-        k += one.count();
-      }
-    }
-    if (ranked.isEmpty()) {
-      return null;
-    }
-    ranked.sort(Comparator.comparingDouble((Waiting<T> w) -> w.score()).reversed());
-    long eligible = Math.max(1, (long) Math.floor((1 - operatorSettings.delta()) * k));
-    return draw(ranked, eligible);
+  /** Queues groups for drawing one task after the other. Scores must not change meanwhile. */
+  public <T> WaitingQueue<T> queue(List<QueuedGroup<T>> groups) {
+    return new WaitingQueue<>(groups, 1 - operatorSettings.delta(), random);
   }
 
   /**
-   * Draws one task after the other from the same waiting groups, as {@link #next} would from the
-   * list that is left each time. Scores do not change meanwhile, so that one sorting serves all.
+   * Draws the group whose task goes next, as a {@link WaitingQueue} of the groups would.
+   *
+   * @param groups at least one group, none of them empty
    */
-  public final class Queue<T> {
-    private final List<Slot<T>> slots = new ArrayList<>();
-
-    /** The first slot of the highest priority of which something is left. */
-    private int first;
-
-    public Queue(List<Waiting<T>> waiting) {
-      for (Waiting<T> one : waiting) {
-        if (one.count() > 0) {
-          slots.add(new Slot<>(one));
-        }
-      }
-      slots.sort(
-          Comparator.comparing((Slot<T> s) -> s.group.priority())
-              .thenComparing((a, b) -> Double.compare(b.group.score(), a.group.score())));
-    }
-
-    /** The group whose task goes next; null once nothing is left. */
-    public Slot<T> next() {
-      while (first < slots.size() && slots.get(first).left == 0) {
-        first++;
-      }
-      if (first == slots.size()) {
-        return null;
-      }
-      Priority highest = slots.get(first).group.priority();
-      long k = 0;
-      int end = first;
-      while (end < slots.size() && slots.get(end).group.priority() == highest) {
-        k += slots.get(end++).left;
-      }
-      long eligible = Math.max(1, (long) Math.floor((1 - operatorSettings.delta()) * k));
-      double at = random.nextDouble() * (eligible * (eligible + 1) / 2.0);
-      long rank = 0;
-      for (int i = first; i < end; i++) {
-        Slot<T> slot = slots.get(i);
-        long last = Math.min(eligible, rank + slot.left);
-        long taken = last - rank;
-        double weight = taken * ((eligible - rank) + (eligible - last + 1)) / 2.0;
-        if (slot.left > 0 && (at < weight || last == eligible)) {
-          return slot;
-        }
-        at -= weight;
-        rank = last;
-      }
-      throw new IllegalStateException("the eligible are among those that are left");
-    }
-  }
-
-  /** A waiting group in a {@link Queue}, and how many of its tasks are left there. */
-  public static final class Slot<T> {
-    private final Waiting<T> group;
-    private int left;
-
-    Slot(Waiting<T> group) {
-      this.group = group;
-      this.left = group.count();
-    }
-
-    public Waiting<T> group() {
-      return group;
-    }
-
-    public void takeOne() {
-      left--;
-    }
-
-    /** Takes all that are left out of the queue; how many they are. */
-    public int takeAll() {
-      int all = left;
-      left = 0;
-      return all;
-    }
+  public <T> QueuedGroup<T> draw(List<QueuedGroup<T>> groups) {
+    return queue(withHighestPriority(groups)).next().group();
   }
 
-  /** Reverse-rank draw among the first {@code eligible} tasks of groups in falling order. */
-  private <T> Waiting<T> draw(List<Waiting<T>> ranked, long eligible) {
-    double total = eligible * (eligible + 1) / 2.0;
-    double at = random.nextDouble() * total;
-    long rank = 0;
-    for (Waiting<T> one : ranked) {
-      long last = Math.min(eligible, rank + one.count());
-      long taken = last - rank;
-      // Ranks rank..last-1 weigh eligible-rank down to eligible-last+1.
-      double weight = taken * ((eligible - rank) + (eligible - last + 1)) / 2.0;
-      if (at < weight || last == eligible) {
-        return one;
+  private static <T> List<QueuedGroup<T>> withHighestPriority(List<QueuedGroup<T>> groups) {
+    Priority highest = Priority.LOW;
+    for (QueuedGroup<T> group : groups) {
+      if (group.priority().above(highest)) {
+        highest = group.priority();
       }
-      at -= weight;
-      rank = last;
     }
-    return ranked.get(ranked.size() - 1);
-  }
-
-  /**
-   * Equation 5: of k waiting tasks, this one outscores at least a delta-th. Priorities come first
-   * here too, and of tasks that score alike the earlier ranks before the later.
-   */
-  public <T> boolean outscoresEnough(Waiting<T> one, List<Waiting<T>> waiting) {
-    long k = 0;
-    long less = 0;
-    for (Waiting<T> other : waiting) {
-      k += other.count();
-      if (other == one) {
-        less += other.count() - 1;
-      } else if (one.priority().above(other.priority())
-          || one.priority() == other.priority() && other.score() < one.score()) {
-        less += other.count();
+    List<QueuedGroup<T>> drawable = new ArrayList<>();
+    for (QueuedGroup<T> group : groups) {
+      if (group.priority() == highest) {
+        drawable.add(group);
       }
     }
-    return k > 0 && less >= operatorSettings.delta() * k;
+    return drawable;
   }
 
   /**
-   * All for which {@link #outscoresEnough} holds, without comparing each with each: what a group
-   * outscores is what is of a lower priority, or of its own with a lower score.
+   * The groups whose next task fulfils condition C3 (equation 5): of k waiting tasks it outscores
+   * at least delta * k. Tasks of a lower priority count as outscored, and of tasks with the same
+   * score the earlier one ranks before the later.
+   *
+   * @param waiting all groups that wait for the same worker
    */
-  public <T> List<Waiting<T>> outscoringEnough(List<Waiting<T>> waiting) {
-    List<Waiting<T>> rising = new ArrayList<>(waiting);
-    rising.sort(
-        Comparator.comparing((Waiting<T> one) -> one.priority())
+  public <T> List<QueuedGroup<T>> fulfillingRankCondition(List<QueuedGroup<T>> waiting) {
+    List<QueuedGroup<T>> ascending = new ArrayList<>(waiting);
+    ascending.sort(
+        Comparator.comparing((QueuedGroup<T> group) -> group.priority())
             .reversed()
-            .thenComparingDouble(Waiting::score));
-    long k = 0;
-    for (Waiting<T> one : rising) {
-      k += one.count();
+            .thenComparingDouble(QueuedGroup::score));
+    long waitingTasks = 0;
+    for (QueuedGroup<T> group : ascending) {
+      waitingTasks += group.count();
     }
-    List<Waiting<T>> enough = new ArrayList<>();
-    long below = 0;
-    for (int from = 0; from < rising.size(); ) {
-      int to = from;
-      long alike = 0;
-      while (to < rising.size()
-          && rising.get(to).priority() == rising.get(from).priority()
-          && rising.get(to).score() == rising.get(from).score()) {
-        Waiting<T> one = rising.get(to++);
-        alike += one.count();
-        if (below + one.count() - 1 >= operatorSettings.delta() * k) {
-          enough.add(one);
+    double required = operatorSettings.delta() * waitingTasks;
+    List<QueuedGroup<T>> fulfilling = new ArrayList<>();
+    long outscored = 0;
+    int start = 0;
+    while (start < ascending.size()) {
+      int end = endOfEqualRank(ascending, start);
+      long equal = 0;
+      for (QueuedGroup<T> group : ascending.subList(start, end)) {
+        equal += group.count();
+        if (outscored + group.count() - 1 >= required) {
+          fulfilling.add(group);
         }
       }
-      below += alike;
-      from = to;
+      outscored += equal;
+      start = end;
     }
-    return enough;
+    return fulfilling;
   }
 
-  /** A running task that might have to give way. */
-  public record Running<T>(
-      T what, Priority priority, double score, double elapsedS, double estimateS, boolean owed) {}
+  /** The end (exclusive) of the groups that have the priority and the score of the first one. */
+  private static <T> int endOfEqualRank(List<QueuedGroup<T>> sorted, int start) {
+    QueuedGroup<T> first = sorted.get(start);
+    int end = start + 1;
+    while (end < sorted.size()
+        && sorted.get(end).priority() == first.priority()
+        && sorted.get(end).score() == first.score()) {
+      end++;
+    }
+    return end;
+  }
 
   /**
-   * The running tasks that a waiting one may displace, lowest score first. Condition 1 with our
-   * margin; only lower priorities, or work beyond its team's guarantee where the waiting task's
-   * team is owed ({@code owed}); and only those that have run a small share of their estimate.
+   * The running tasks that a waiting one may preempt, lowest score first. Condition C1 with a
+   * margin, and two exceptions to the paper: only tasks of a lower priority or reclaimable ones are
+   * preempted, and only those that have run a small share of their estimate.
    */
-  public <T, U> List<Running<U>> victims(Waiting<T> one, List<Running<U>> running) {
-    List<Running<U>> all = new ArrayList<>();
-    for (Running<U> victim : running) {
-      if ((one.priority().above(victim.priority()) || victim.owed())
-          && one.score() > victim.score() + operatorSettings.margin()
-          && victim.elapsedS() <= operatorSettings.victimShare() * victim.estimateS()) {
-        all.add(victim);
+  public <T, U> List<RunningTask<U>> victims(QueuedGroup<T> waiting, List<RunningTask<U>> running) {
+    List<RunningTask<U>> victims = new ArrayList<>();
+    for (RunningTask<U> candidate : running) {
+      if ((waiting.priority().above(candidate.priority()) || candidate.reclaimable())
+          && waiting.score() > candidate.score() + operatorSettings.margin()
+          && hasRunLittle(candidate.elapsedS(), candidate.estimateS())) {
+        victims.add(candidate);
       }
     }
-    all.sort(Comparator.comparingDouble((Running<U> v) -> v.score()));
-    return all;
+    victims.sort(Comparator.comparingDouble((RunningTask<U> victim) -> victim.score()));
+    return victims;
   }
 
-  public OperatorSettings operatorSettings() {
-    return operatorSettings;
+  /** Whether a task has run so small a share of its estimate that it may be preempted. */
+  boolean hasRunLittle(double elapsedS, double estimateS) {
+    return elapsedS <= operatorSettings.victimShare() * estimateS;
   }
 }
--- a/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
+++ b/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
@@ -2,14 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
+import java.util.NoSuchElementException;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
+import java.util.random.RandomGenerator;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
@@ -19,50 +22,52 @@
 import org.fieldtrestle.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
+/** Falcon's scores, draw and conditions against the paper's figures and against plain forms. */
 class SelectivePreemptionTest {
-  /** The paper's figures, whatever our defaults are. */
+  /** The paper's figures, whatever the defaults are. */
   private static final OperatorSettings PAPER =
       new OperatorSettings(0.5, 0.5, 1, 0.35, 0.5, 10, 0.3, 1);
 
   private final SelectivePreemption falcon =
       new SelectivePreemption(PAPER, new SplittableRandom(7));
 
-  private static SelectivePreemption.Waiting<String> waiting(
-      String name, Priority priority, double score) {
-    return new SelectivePreemption.Waiting<>(name, priority, score, 1);
+  private static QueuedGroup<String> waiting(String name, Priority priority, double score) {
+    return new QueuedGroup<>(name, priority, score, 1);
   }
 
   @Test
-  void theScoreIsEquationThreeWithAFloor() {
+  void scoreIsEquationThreeWithAFloor() {
     assertEquals(0.5 / 20 + 0.5 * 6, falcon.score(20, 6), 1e-12);
     assertEquals(0.5 + 0.5 * 6, falcon.score(0.001, 6), 1e-12);
   }
 
   @Test
-  void thePapersExampleOfTenTasks() {
-    List<SelectivePreemption.Waiting<String>> queue = new ArrayList<>();
+  void paperExampleOfTenTasks() {
+    List<QueuedGroup<String>> queue = new ArrayList<>();
     for (int i = 1; i <= 10; i++) {
       queue.add(waiting("t" + i, Priority.NORMAL, i));
     }
+    List<QueuedGroup<String>> fulfilling = falcon.fulfillingRankCondition(queue);
     for (int i = 1; i <= 10; i++) {
       // 10 * 0.35 = 3.5: a task has to outscore four others
-      assertEquals(i >= 5, falcon.outscoresEnough(queue.get(i - 1), queue), "t" + i);
+      assertEquals(i >= 5, fulfilling.contains(queue.get(i - 1)), "t" + i);
+      assertEquals(i >= 5, fulfillsRankCondition(queue.get(i - 1), queue), "t" + i);
     }
     for (int i = 0; i < 500; i++) {
-      double score = falcon.next(queue).score();
+      double score = falcon.draw(queue).score();
       assertTrue(score > 4, "drawn from the top floor(0.65 * 10) = 6: " + score);
     }
   }
 
   @Test
-  void theDrawWeighsByReverseRank() {
-    List<SelectivePreemption.Waiting<String>> queue = new ArrayList<>();
+  void drawWeighsByReverseRank() {
+    List<QueuedGroup<String>> queue = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       queue.add(waiting("t" + i, Priority.NORMAL, 100 - i));
     }
     int[] drawn = new int[20];
     for (int i = 0; i < 91_000; i++) {
-      drawn[Integer.parseInt(falcon.next(queue).what().substring(1))]++;
+      drawn[Integer.parseInt(falcon.draw(queue).tasks().substring(1))]++;
     }
     // 13 eligible: weights 13, 12, ... 1 of 91
     for (int rank = 0; rank < 13; rank++) {
@@ -72,79 +77,134 @@
   }
 
   @Property(tries = 300, seed = "31")
-  void aHigherPriorityIsAlwaysDrawnFirst(
+  void higherPriorityIsAlwaysDrawnFirst(
       @ForAll @Size(min = 1, max = 30) List<@DoubleRange(min = 0, max = 1000) Double> scores,
       @ForAll @Size(min = 1, max = 30) List<Priority> priorities) {
-    List<SelectivePreemption.Waiting<String>> queue = new ArrayList<>();
+    List<QueuedGroup<String>> queue = new ArrayList<>();
     Priority highest = Priority.LOW;
     for (int i = 0; i < scores.size(); i++) {
       Priority priority = priorities.get(i % priorities.size());
-      queue.add(new SelectivePreemption.Waiting<>("t" + i, priority, scores.get(i), 1 + i % 4));
+      queue.add(new QueuedGroup<>("t" + i, priority, scores.get(i), 1 + i % 4));
       highest = priority.above(highest) ? priority : highest;
     }
-    assertEquals(highest, falcon.next(queue).priority());
+    assertEquals(highest, falcon.draw(queue).priority());
   }
 
-  /** The plain form: the whole list is ranked anew for each task that is drawn. */
+  /** The queue, sorted once, and the single draw against ranking the whole list for each task. */
   @Property(tries = 300, seed = "33")
-  void oneSortingDrawsWhatRankingAnewEachTimeWould(
+  void queueDrawsAsRankingAnewForEachTaskWould(
       @ForAll @Size(min = 1, max = 25) List<@IntRange(max = 12) Integer> scores,
       @ForAll @Size(min = 1, max = 25) List<Priority> priorities,
       @ForAll @IntRange(min = 1, max = 9) int most,
       @ForAll long seed) {
-    List<SelectivePreemption.Waiting<Integer>> plain = new ArrayList<>();
+    List<QueuedGroup<Integer>> plain = new ArrayList<>();
     for (int i = 0; i < scores.size(); i++) {
       Priority priority = priorities.get(i % priorities.size());
-      plain.add(new SelectivePreemption.Waiting<>(i, priority, scores.get(i), 1 + (i * 7) % most));
+      plain.add(new QueuedGroup<>(i, priority, scores.get(i), 1 + (i * 7) % most));
     }
-    SelectivePreemption ranked = new SelectivePreemption(PAPER, new SplittableRandom(seed));
-    SelectivePreemption.Queue<Integer> queue =
-        new SelectivePreemption(PAPER, new SplittableRandom(seed)).new Queue<>(List.copyOf(plain));
+    SplittableRandom plainRandom = new SplittableRandom(seed);
+    SelectivePreemption single = new SelectivePreemption(PAPER, new SplittableRandom(seed));
+    WaitingQueue<Integer> queue =
+        new SelectivePreemption(PAPER, new SplittableRandom(seed)).queue(List.copyOf(plain));
     SplittableRandom outcome = new SplittableRandom(seed);
     while (!plain.isEmpty()) {
-      SelectivePreemption.Waiting<Integer> expected = ranked.next(plain);
-      SelectivePreemption.Slot<Integer> slot = queue.next();
-      assertEquals(expected.what(), slot.group().what());
+      QueuedGroup<Integer> expected = drawByRankingAnew(plain, plainRandom);
+      WaitingQueue.Entry<Integer> entry = queue.next();
+      assertEquals(expected.tasks(), entry.group().tasks());
+      assertEquals(expected, single.draw(plain));
       int at = plain.indexOf(expected);
       if (outcome.nextInt(4) == 0 || expected.count() == 1) { // found no room, or was the last
-        assertEquals(expected.count(), slot.takeAll());
+        assertEquals(expected.count(), entry.takeAll());
         plain.remove(at);
       } else {
-        slot.takeOne();
+        entry.takeOne();
         plain.set(
             at,
-            new SelectivePreemption.Waiting<>(
-                expected.what(), expected.priority(), expected.score(), expected.count() - 1));
+            new QueuedGroup<>(
+                expected.tasks(), expected.priority(), expected.score(), expected.count() - 1));
       }
     }
-    assertNull(queue.next());
+    assertFalse(queue.hasNext());
+    assertThrows(NoSuchElementException.class, queue::next);
+  }
+
+  /** The plain form of the draw: the whole list is ranked for each task that is drawn. */
+  private static <T> QueuedGroup<T> drawByRankingAnew(
+      List<QueuedGroup<T>> waiting, RandomGenerator random) {
+    Priority highest = Priority.LOW;
+    for (QueuedGroup<T> one : waiting) {
+      highest = one.priority().above(highest) ? one.priority() : highest;
+    }
+    List<QueuedGroup<T>> ranked = new ArrayList<>();
+    long tasks = 0;
+    for (QueuedGroup<T> one : waiting) {
+      if (one.priority() == highest) {
+        ranked.add(one);
+        tasks += one.count();
+      }
+    }
+    ranked.sort(Comparator.comparingDouble((QueuedGroup<T> one) -> one.score()).reversed());
+    long eligible = Math.max(1, (long) Math.floor((1 - PAPER.delta()) * tasks));
+    double at = random.nextDouble() * (eligible * (eligible + 1) / 2.0);
+    long rank = 0;
+    for (QueuedGroup<T> one : ranked) {
+      long last = Math.min(eligible, rank + one.count());
+      long taken = last - rank;
+      double weight = taken * ((eligible - rank) + (eligible - last + 1)) / 2.0;
+      if (at < weight || last == eligible) {
+        return one;
+      }
+      at -= weight;
+      rank = last;
+    }
+    return ranked.get(ranked.size() - 1);
   }
 
   @Property(tries = 300, seed = "34")
-  void conditionThreeForAllAtOnceIsConditionThreeForEach(
+  void rankConditionForAllAtOnceIsThatForEach(
       @ForAll @Size(max = 40) List<@IntRange(max = 15) Integer> scores,
       @ForAll @Size(min = 1, max = 40) List<Priority> priorities) {
-    List<SelectivePreemption.Waiting<Integer>> queue = new ArrayList<>();
+    List<QueuedGroup<Integer>> queue = new ArrayList<>();
     for (int i = 0; i < scores.size(); i++) {
       Priority priority = priorities.get(i % priorities.size());
-      queue.add(new SelectivePreemption.Waiting<>(i, priority, scores.get(i), 1 + i % 5));
+      queue.add(new QueuedGroup<>(i, priority, scores.get(i), 1 + i % 5));
     }
     Set<Integer> each = new TreeSet<>();
-    queue.stream().filter(w -> falcon.outscoresEnough(w, queue)).forEach(w -> each.add(w.what()));
+    for (QueuedGroup<Integer> one : queue) {
+      if (fulfillsRankCondition(one, queue)) {
+        each.add(one.tasks());
+      }
+    }
     Set<Integer> atOnce = new TreeSet<>();
-    falcon.outscoringEnough(queue).forEach(w -> atOnce.add(w.what()));
+    falcon.fulfillingRankCondition(queue).forEach(one -> atOnce.add(one.tasks()));
     assertEquals(each, atOnce);
   }
 
+  /** The plain form of equation 5: a group is compared with each of the others. */
+  private static <T> boolean fulfillsRankCondition(
+      QueuedGroup<T> group, List<QueuedGroup<T>> waiting) {
+    long tasks = 0;
+    long outscored = 0;
+    for (QueuedGroup<T> other : waiting) {
+      tasks += other.count();
+      if (other.equals(group)) {
+        outscored += other.count() - 1;
+      } else if (group.priority().above(other.priority())
+          || (group.priority() == other.priority() && other.score() < group.score())) {
+        outscored += other.count();
+      }
+    }
+    return tasks > 0 && outscored >= PAPER.delta() * tasks;
+  }
+
   @Test
-  void anAgedSwarmEvictsNobodyOfItsOwnPriority() {
-    SelectivePreemption.Waiting<String> aged = waiting("aged", Priority.NORMAL, 5000);
-    SelectivePreemption.Running<String> fresh =
-        new SelectivePreemption.Running<>("fresh", Priority.NORMAL, 1, 0, 50, false);
-    assertTrue(falcon.victims(aged, List.of(fresh)).isEmpty());
-    SelectivePreemption.Running<String> owed =
-        new SelectivePreemption.Running<>("owed", Priority.NORMAL, 1, 0, 50, true);
-    assertEquals(List.of(owed), falcon.victims(aged, List.of(fresh, owed)));
+  void highScoreAloneDoesNotPreemptTasksOfTheSamePriority() {
+    QueuedGroup<String> waiting = waiting("waiting", Priority.NORMAL, 5000);
+    RunningTask<String> running = new RunningTask<>("running", Priority.NORMAL, 1, 0, 50, false);
+    assertTrue(falcon.victims(waiting, List.of(running)).isEmpty());
+    RunningTask<String> reclaimable =
+        new RunningTask<>("reclaimable", Priority.NORMAL, 1, 0, 50, true);
+    assertEquals(List.of(reclaimable), falcon.victims(waiting, List.of(running, reclaimable)));
   }
 
   @Property(tries = 300, seed = "32")
@@ -152,13 +212,12 @@
       @ForAll @Size(max = 20) List<@DoubleRange(min = 0, max = 20) Double> scores,
       @ForAll @DoubleRange(min = 0, max = 20) double score,
       @ForAll @DoubleRange(min = 0, max = 60) double elapsedS) {
-    List<SelectivePreemption.Running<Integer>> running = new ArrayList<>();
+    List<RunningTask<Integer>> running = new ArrayList<>();
     for (int i = 0; i < scores.size(); i++) {
-      running.add(
-          new SelectivePreemption.Running<>(i, Priority.LOW, scores.get(i), elapsedS, 60, false));
+      running.add(new RunningTask<>(i, Priority.LOW, scores.get(i), elapsedS, 60, false));
     }
     double last = Double.NEGATIVE_INFINITY;
-    for (SelectivePreemption.Running<Integer> victim :
+    for (RunningTask<Integer> victim :
         falcon.victims(waiting("w", Priority.URGENT, score), running)) {
       assertTrue(victim.score() + PAPER.margin() < score);
       assertTrue(victim.elapsedS() <= PAPER.victimShare() * 60);
