--- /dev/null
+++ b/src/main/java/org/fieldtrestle/api/AdmissionCheck.java
@@ -0,0 +1,36 @@
+package org.fieldtrestle.api;
+
+import java.util.Optional;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.JobSpec;
+
+/** Finds jobs that could never run in this cluster, however long they waited. */
+final class AdmissionCheck {
+  private final ControllerContext context;
+
+  AdmissionCheck(ControllerContext context) {
+    this.context = context;
+  }
+
+  /** Returns why a job could never run, in words for the user; empty if it could. */
+  Optional<String> rejectionReason(JobSpec spec) {
+    Settings.Team team = context.settings().team(spec.team());
+    if (team == null) {
+      return Optional.of("unknown team");
+    }
+    if (exceedsQuota(spec, team)) {
+      return Optional.of("needs more than the team's limit");
+    }
+    if (context.types().stream().noneMatch(type -> type.allowedFor(spec))) {
+      return Optional.of("a task fits no allowed machine type");
+    }
+    return Optional.empty();
+  }
+
+  private static boolean exceedsQuota(JobSpec spec, Settings.Team team) {
+    int simultaneousTasks = spec.whole() ? spec.tasks() : 1;
+    return team.cpusMax() > 0 && spec.cpus() * simultaneousTasks > team.cpusMax()
+        || team.gpusMax() > 0 && spec.gpus() * simultaneousTasks > team.gpusMax();
+  }
+}
--- a/src/main/java/org/fieldtrestle/api/FinishedJobs.java
+++ b/src/main/java/org/fieldtrestle/api/FinishedJobs.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.fieldtrestle.protocol.KeyValueProtocol;
@@ -14,151 +15,168 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How jobs ended: remembered here for some of them, read from the state service for all others.
+ * How jobs ended: cached for some of them, read from the key-value store for all others.
  *
- * <p>After a restart users ask about more ended jobs, and about more that never were, than could be
- * read one by one within their patience. So a reading is a page of all ends from one job on: it
- * decides about every job asked about that lies within the page. The next page begins where this
- * one ended, so that each job has its turn whatever others are asked about.
+ * <p>After a restart users ask about more jobs than could be read one by one in time. One read
+ * therefore lists a page of all finished jobs and answers every pending query whose key lies within
+ * that page. The next page starts where the last one ended, so that every query is answered
+ * whatever other jobs are asked about.
  *
- * <p>Who asks never shares a reading that was sent before: the job may have been accepted and have
- * ended since.
+ * <p>A query is never answered by a read that was sent before it: the job may have been accepted
+ * and have ended in between.
  */
 final class FinishedJobs {
   private static final Logger LOG = LoggerFactory.getLogger(FinishedJobs.class);
 
-  /** Ended jobs that are remembered; all others are read again. */
-  private static final int MAX_REMEMBERED = 20_000;
+  private static final int MAX_CACHED_JOBS = 20_000;
 
-  /** Jobs that wait to be asked about; about more there is no answer. */
-  private static final int MAX_WAITING = 4096;
+  /** Jobs with pending queries; queries about further jobs are refused. */
+  private static final int MAX_PENDING_JOBS = 4096;
 
-  /** Ends that are read for each job that waits, as others lie between them. */
-  private static final int PAGE_FOR_EACH = 2;
+  /** Entries that are read for each pending job, as other finished jobs lie between them. */
+  private static final int ENTRIES_PER_PENDING_JOB = 2;
 
-  /** What is known of how a job ended. */
+  /** Sorts after the digits with which keys end. */
+  private static final String AFTER_DIGITS = "~";
+
+  /** The result of reading how a job ended. */
   sealed interface Outcome {}
 
-  /** It has ended like this. */
-  record Ended(Records.FinishedJob end) implements Outcome {}
+  /** The job has ended. */
+  record Finished(Records.FinishedJob end) implements Outcome {}
 
-  /** It had not ended when the question came, or was never accepted. */
-  record NotEnded() implements Outcome {}
+  /** The job had not ended when the query came, or was never accepted. */
+  record NotFinished() implements Outcome {}
 
-  /** That could not be found out. */
+  /** The store could not be read, or the record could not. */
   record Unavailable() implements Outcome {}
 
   private final KeyValueClient store;
-  private final BoundedCache<String, Records.FinishedJob> remembered =
-      new BoundedCache<>(MAX_REMEMBERED);
+  private final BoundedCache<String, Records.FinishedJob> cache =
+      new BoundedCache<>(MAX_CACHED_JOBS);
+
+  /** Callbacks of queries for which no read has been sent yet, by the key of the finished job. */
+  private TreeMap<String, List<Consumer<Outcome>>> pendingQueries = new TreeMap<>();
 
-  /** Who asks about jobs that no reading has been sent for yet, by the keys of their ends. */
-  private TreeMap<String, List<Consumer<Outcome>>> waiting = new TreeMap<>();
+  private boolean readEnqueued;
 
-  private boolean queued;
-  private String nextFrom = "";
+  /** Key from which the next page is read; empty: from the first pending one. */
+  private String nextPageStart = "";
 
   FinishedJobs(KeyValueClient store) {
     this.store = store;
   }
 
-  /** How a job ended, as far as that is remembered; null where it is not. */
-  Records.FinishedJob remembered(String job) {
-    return remembered.get(job);
+  /** Returns how a job ended, if that is cached. */
+  Optional<Records.FinishedJob> cached(String jobId) {
+    return Optional.ofNullable(cache.get(jobId));
   }
 
-  /** Remembers an end that is durable. */
-  void remember(String job, Records.FinishedJob end) {
-    remembered.put(job, end);
+  /** Caches the end of a job once it is committed. */
+  void cache(String jobId, Records.FinishedJob end) {
+    cache.put(jobId, end);
   }
 
-  /** Finds out from the state service whether and how a job has ended. */
-  void read(String job, Consumer<Outcome> done) {
-    String key = Records.finished(job);
-    if (!waiting.containsKey(key) && waiting.size() >= MAX_WAITING) {
-      done.accept(new Unavailable());
+  /** Reads from the store whether and how a job has ended. */
+  void read(String jobId, Consumer<Outcome> callback) {
+    String key = Records.finished(jobId);
+    if (!pendingQueries.containsKey(key) && pendingQueries.size() >= MAX_PENDING_JOBS) {
+      callback.accept(new Unavailable());
       return;
     }
-    waiting.computeIfAbsent(key, k -> new ArrayList<>()).add(done);
-    queue();
+    addPending(key, List.of(callback));
+    enqueueRead();
+  }
+
+  private void addPending(String key, List<Consumer<Outcome>> callbacks) {
+    pendingQueries.computeIfAbsent(key, k -> new ArrayList<>()).addAll(callbacks);
+  }
+
+  private TreeMap<String, List<Consumer<Outcome>>> takePending() {
+    TreeMap<String, List<Consumer<Outcome>>> taken = pendingQueries;
+    pendingQueries = new TreeMap<>();
+    return taken;
   }
 
-  private void queue() {
-    if (queued || waiting.isEmpty()) {
+  private void enqueueRead() {
+    if (readEnqueued || pendingQueries.isEmpty()) {
       return;
     }
-    queued = true; // before it is sent, which may be at once
-    if (!store.enqueueRead(this::send)) {
-      queued = false;
-      TreeMap<String, List<Consumer<Outcome>>> refused = waiting;
-      waiting = new TreeMap<>();
-      refused.values().forEach(askers -> tell(askers, new Unavailable()));
+    readEnqueued = true; // set first, as the read may be sent at once
+    if (!store.enqueueRead(this::sendRead)) {
+      readEnqueued = false;
+      completeAll(takePending(), new Unavailable());
     }
   }
 
-  private void send() {
-    queued = false;
-    TreeMap<String, List<Consumer<Outcome>>> asked = waiting;
-    waiting = new TreeMap<>();
-    String first = asked.ceilingKey(nextFrom);
-    if (first == null) {
-      first = asked.firstKey();
-    }
-    String from = first;
+  private void sendRead() {
+    readEnqueued = false;
+    TreeMap<String, List<Consumer<Outcome>>> queries = takePending();
+    String pageStart = pageStart(queries);
+    int pageSize = Math.min(KeyValueClient.MAX_PAGE, ENTRIES_PER_PENDING_JOB * queries.size());
     store.list(
-        Records.FINAL,
-        justBefore(from),
-        Math.min(KeyValueClient.MAX_PAGE, PAGE_FOR_EACH * asked.size()),
-        page -> received(asked, from, page));
+        Records.FINAL, keyBefore(pageStart), pageSize, page -> onPage(queries, pageStart, page));
+  }
+
+  private String pageStart(TreeMap<String, List<Consumer<Outcome>>> queries) {
+    String next = queries.ceilingKey(nextPageStart);
+    return next != null ? next : queries.firstKey();
   }
 
-  /**
-   * Sorts before a key and after all others that do: keys end in digits, which sort before the
-   * tilde.
-   */
-  private static String justBefore(String key) {
+  /** Returns a key that sorts before the given one and after all others that do. */
+  private static String keyBefore(String key) {
     int last = key.length() - 1;
-    return key.substring(0, last) + (char) (key.charAt(last) - 1) + "~";
+    return key.substring(0, last) + (char) (key.charAt(last) - 1) + AFTER_DIGITS;
   }
 
-  private void received(
-      TreeMap<String, List<Consumer<Outcome>>> asked, String from, KeyValueProtocol.Listing page) {
+  private void onPage(
+      TreeMap<String, List<Consumer<Outcome>>> queries,
+      String pageStart,
+      KeyValueProtocol.Listing page) {
     if (page == null) {
-      asked.values().forEach(askers -> tell(askers, new Unavailable()));
+      completeAll(queries, new Unavailable());
       return;
     }
-    Map<String, Outcome> ends = new HashMap<>();
-    String last = from;
+    Map<String, Outcome> outcomes = new HashMap<>();
+    String pageEnd = pageStart;
     for (KeyValueProtocol.Entry entry : page.entries()) {
-      ends.put(entry.key(), outcome(entry));
-      last = entry.key();
+      outcomes.put(entry.key(), outcome(entry));
+      pageEnd = entry.key();
     }
-    boolean toTheEnd = !page.more();
-    nextFrom = toTheEnd ? "" : last;
-    for (Map.Entry<String, List<Consumer<Outcome>>> one : asked.entrySet()) {
-      boolean within =
-          one.getKey().compareTo(from) >= 0 && (toTheEnd || one.getKey().compareTo(last) <= 0);
-      if (within) {
-        tell(one.getValue(), ends.getOrDefault(one.getKey(), new NotEnded()));
+    boolean lastPage = !page.more();
+    nextPageStart = lastPage ? "" : pageEnd;
+    for (Map.Entry<String, List<Consumer<Outcome>>> query : queries.entrySet()) {
+      String key = query.getKey();
+      boolean withinPage =
+          key.compareTo(pageStart) >= 0 && (lastPage || key.compareTo(pageEnd) <= 0);
+      if (withinPage) {
+        complete(query.getValue(), outcomes.getOrDefault(key, new NotFinished()));
       } else {
-        waiting.computeIfAbsent(one.getKey(), k -> new ArrayList<>()).addAll(one.getValue());
+        addPending(key, query.getValue());
       }
     }
-    queue();
+    enqueueRead();
   }
 
   private Outcome outcome(KeyValueProtocol.Entry entry) {
     try {
       Records.FinishedJob end = Records.readFinal(entry.value());
-      remember(entry.key().substring(Records.FINAL.length()), end);
-      return new Ended(end);
+      cache(entry.key().substring(Records.FINAL.length()), end);
+      return new Finished(end);
     } catch (Records.UnreadableRecordException e) {
-      LOG.error("unreadable value at state key {}: {}", entry.key(), e.getMessage());
+      LOG.atError()
+          .addKeyValue("key", entry.key())
+          .addKeyValue("reason", e.getMessage())
+          .log("unreadable value at state key");
       return new Unavailable();
     }
   }
 
-  private static void tell(List<Consumer<Outcome>> askers, Outcome outcome) {
-    askers.forEach(asker -> asker.accept(outcome));
+  private static void completeAll(Map<String, List<Consumer<Outcome>>> queries, Outcome outcome) {
+    queries.values().forEach(callbacks -> complete(callbacks, outcome));
+  }
+
+  private static void complete(List<Consumer<Outcome>> callbacks, Outcome outcome) {
+    callbacks.forEach(callback -> callback.accept(outcome));
   }
 }
--- a/src/main/java/org/fieldtrestle/api/ReadBarrier.java
+++ b/src/main/java/org/fieldtrestle/api/ReadBarrier.java
@@ -3,7 +3,6 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
-import java.util.Iterator;
 import java.util.List;
 import java.util.function.Consumer;
 import org.fieldtrestle.context.ControllerContext;
@@ -13,152 +12,161 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * What is told to a user must not be older than what any node told before. Whoever passes here
- * knows everything that was written before it came.
+ * Delays a read until the state cache contains everything that was written before the read was
+ * requested, so that an answer is never older than one that another controller gave before.
  *
- * <p>Either of two ways proves that: a revision that the state service named after the request came
- * has been followed, or a watch was opened after it came and has been answered. All who wait
- * together share one request for the revision; a watch that is answered serves them also where that
- * request is late or lost.
+ * <p>Either of two facts proves that: the state cache has applied a revision that the key-value
+ * store named after the read was requested, or a watch that was opened after it has been answered.
+ * All pending reads share one request for the revision; the answer of a watch completes them even
+ * if that request is late or lost.
  */
 final class ReadBarrier {
-  private static final int OUTAGE = 503;
+  private static final int SERVICE_UNAVAILABLE = 503;
 
-  private static final List<KeyValueProtocol.Condition> NO_CHANGE =
+  /** Compares a key that never exists; the answer names the store's present revision. */
+  private static final List<KeyValueProtocol.Condition> REVISION_REQUEST =
       List.of(new KeyValueProtocol.Condition(Records.LIVE + "barrier", 0));
 
-  private static final class Waiter {
-    final long askedAt;
-    final Consumer<Boolean> done;
+  private static final class PendingRead {
+    private static final long UNKNOWN = -1;
 
-    /** What has to be followed; below 0 while that is not known. */
-    long revision = -1;
+    private final long requestedAtMs;
+    private final Consumer<Boolean> callback;
 
-    boolean over;
+    /** The revision that has to be applied first. */
+    private long revision = UNKNOWN;
 
-    Waiter(long askedAt, Consumer<Boolean> done) {
-      this.askedAt = askedAt;
-      this.done = done;
+    private boolean completed;
+
+    PendingRead(long requestedAtMs, Consumer<Boolean> callback) {
+      this.requestedAtMs = requestedAtMs;
+      this.callback = callback;
+    }
+
+    boolean revisionUnknown() {
+      return revision == UNKNOWN;
+    }
+
+    boolean satisfiedBy(long appliedRevision, long freshAsOfMs) {
+      return requestedAtMs < freshAsOfMs || !revisionUnknown() && revision <= appliedRevision;
     }
   }
 
   private final Reactor reactor;
   private final ControllerContext context;
-  private final long gapMs;
-  private final long patienceMs;
+  private final long minRequestIntervalMs;
+  private final long timeoutMs;
 
-  /** All who wait, in the order in which they came. */
-  private final Deque<Waiter> waiters = new ArrayDeque<>();
+  /** In the order in which they were requested. */
+  private final Deque<PendingRead> pendingReads = new ArrayDeque<>();
 
-  private boolean asking;
-  private boolean expiring;
-  private long nextAt;
+  private boolean requestPending;
+  private boolean expiryScheduled;
+  private long nextRequestAtMs;
 
   /**
-   * @param patienceMs after which it is of no use to wait any longer
+   * Creates a barrier.
+   *
+   * @param timeoutMs after which a pending read fails
    */
-  ReadBarrier(ControllerContext context, long patienceMs) {
+  ReadBarrier(ControllerContext context, long timeoutMs) {
     this.context = context;
-    this.patienceMs = patienceMs;
+    this.timeoutMs = timeoutMs;
     this.reactor = context.reactor();
-    this.gapMs = context.stateCache().watchIntervalMs();
-    context.stateCache().addProgressListener(this::release);
+    this.minRequestIntervalMs = context.stateCache().watchIntervalMs();
+    context.stateCache().addProgressListener(this::completeSatisfied);
   }
 
-  /** Calls back with true once everything written before now is known; false where that failed. */
-  void pass(Consumer<Boolean> done) {
-    waiters.addLast(new Waiter(reactor.now(), done));
-    ask();
-    expireLater();
+  /**
+   * Calls back with true once the state cache contains everything that was written before this
+   * call; with false if that failed or timed out.
+   */
+  void await(Consumer<Boolean> callback) {
+    pendingReads.addLast(new PendingRead(reactor.now(), callback));
+    requestRevision();
+    scheduleExpiry();
   }
 
-  private boolean anyWithoutRevision() {
-    return !waiters.isEmpty() && waiters.peekLast().revision < 0;
+  private boolean anyRevisionUnknown() {
+    // A revision is given to all pending reads at a time, so that the latest shows it.
+    return !pendingReads.isEmpty() && pendingReads.peekLast().revisionUnknown();
   }
 
-  private void ask() {
-    if (asking || !anyWithoutRevision()) {
+  private void requestRevision() {
+    if (requestPending || !anyRevisionUnknown()) {
       return;
     }
-    asking = true;
-    long wait = nextAt - reactor.now();
-    if (wait > 0) {
-      reactor.schedule(wait, this::send);
+    requestPending = true;
+    long delayMs = nextRequestAtMs - reactor.now();
+    if (delayMs > 0) {
+      reactor.schedule(delayMs, this::sendRevisionRequest);
     } else {
-      send();
+      sendRevisionRequest();
     }
   }
 
-  private void send() {
-    List<Waiter> asked = new ArrayList<>();
-    for (Waiter waiter : waiters) {
-      if (waiter.revision < 0) {
-        asked.add(waiter);
-      }
-    }
-    if (asked.isEmpty()) { // a watch has served them meanwhile
-      asking = false;
+  private void sendRevisionRequest() {
+    List<PendingRead> reads = pendingReads.stream().filter(PendingRead::revisionUnknown).toList();
+    if (reads.isEmpty()) { // a watch has completed them meanwhile
+      requestPending = false;
       return;
     }
-    nextAt = reactor.now() + gapMs;
-    context.store().compare(NO_CHANGE, result -> answered(asked, result));
+    nextRequestAtMs = reactor.now() + minRequestIntervalMs;
+    context.store().compare(REVISION_REQUEST, result -> onRevision(reads, result));
   }
 
-  private void answered(List<Waiter> asked, KeyValueClient.Result result) {
-    asking = false;
+  private void onRevision(List<PendingRead> reads, KeyValueClient.Result result) {
+    requestPending = false;
     if (result instanceof KeyValueClient.Committed committed) {
-      asked.forEach(waiter -> waiter.revision = committed.revision());
-      release();
-    } else if (result instanceof KeyValueClient.Refused refused && refused.status() == OUTAGE) {
-      finish(asked, false);
+      reads.forEach(read -> read.revision = committed.revision());
+      completeSatisfied();
+    } else if (result instanceof KeyValueClient.Refused refused
+        && refused.status() == SERVICE_UNAVAILABLE) {
+      complete(reads, false);
     }
-    // Otherwise the next request is for them too.
-    ask();
+    // After any other result the next request covers these reads too.
+    requestRevision();
   }
 
-  /** Lets those go who know enough now. */
-  private void release() {
-    long followed = context.stateCache().appliedRevision();
-    long freshAsOf = context.stateCache().freshAsOf();
-    List<Waiter> served = new ArrayList<>();
-    for (Waiter waiter : waiters) {
-      if (waiter.askedAt < freshAsOf || waiter.revision >= 0 && waiter.revision <= followed) {
-        served.add(waiter);
-      }
-    }
-    finish(served, true);
+  private void completeSatisfied() {
+    long appliedRevision = context.stateCache().appliedRevision();
+    long freshAsOfMs = context.stateCache().freshAsOf();
+    complete(
+        pendingReads.stream()
+            .filter(read -> read.satisfiedBy(appliedRevision, freshAsOfMs))
+            .toList(),
+        true);
   }
 
-  private void expireLater() {
-    if (expiring || waiters.isEmpty()) {
+  private void scheduleExpiry() {
+    if (expiryScheduled || pendingReads.isEmpty()) {
       return;
     }
-    expiring = true;
-    long due = waiters.peekFirst().askedAt + patienceMs;
-    reactor.schedule(Math.max(0, due - reactor.now()), this::expire);
+    expiryScheduled = true;
+    long expiresAtMs = pendingReads.peekFirst().requestedAtMs + timeoutMs;
+    reactor.schedule(Math.max(0, expiresAtMs - reactor.now()), this::expire);
   }
 
   private void expire() {
-    expiring = false;
-    List<Waiter> late = new ArrayList<>();
-    for (Iterator<Waiter> all = waiters.iterator(); all.hasNext(); ) {
-      Waiter waiter = all.next();
-      if (waiter.askedAt + patienceMs > reactor.now()) {
+    expiryScheduled = false;
+    List<PendingRead> expired = new ArrayList<>();
+    for (PendingRead read : pendingReads) {
+      if (read.requestedAtMs + timeoutMs > reactor.now()) {
         break;
       }
-      late.add(waiter);
+      expired.add(read);
     }
-    finish(late, false);
-    expireLater();
+    complete(expired, false);
+    scheduleExpiry();
   }
 
-  private void finish(List<Waiter> leaving, boolean passed) {
-    List<Waiter> present = leaving.stream().filter(waiter -> !waiter.over).toList();
-    if (present.isEmpty()) {
+  private void complete(List<PendingRead> reads, boolean passed) {
+    List<PendingRead> completing = reads.stream().filter(read -> !read.completed).toList();
+    if (completing.isEmpty()) {
       return;
     }
-    present.forEach(waiter -> waiter.over = true);
-    waiters.removeIf(waiter -> waiter.over);
-    present.forEach(waiter -> waiter.done.accept(passed));
+    completing.forEach(read -> read.completed = true);
+    pendingReads.removeIf(read -> read.completed);
+    completing.forEach(read -> read.callback.accept(passed));
   }
 }
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/api/SubmissionHandler.java
@@ -0,0 +1,187 @@
+package org.fieldtrestle.api;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.protocol.UserProtocol;
+import org.fieldtrestle.state.KeyValueClient;
+import org.fieldtrestle.state.Records;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Accepts jobs. A job is accepted once its record is committed to the key-value store; submitting
+ * an accepted job again returns its stage.
+ */
+final class SubmissionHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
+
+  /** Submissions that may wait for the store at a time; others are throttled. */
+  private static final int MAX_CONCURRENT_SUBMISSIONS = 24;
+
+  /** Retries after a shard of the plan changed leaders. */
+  private static final int MAX_CONFLICT_RETRIES = 3;
+
+  /** How long a retry waits for the conflicting write to be applied, in watch intervals. */
+  private static final int CONFLICT_WAIT_WATCH_INTERVALS = 4;
+
+  private final ControllerContext context;
+  private final StoreAvailability availability;
+  private final StatusHandler statusHandler;
+  private final FinishedJobs finishedJobs;
+  private final AdmissionCheck admissionCheck;
+  private final AcceptancePlanner planner;
+  private int submissionsInProgress;
+
+  SubmissionHandler(
+      ControllerContext context,
+      StoreAvailability availability,
+      StatusHandler statusHandler,
+      FinishedJobs finishedJobs) {
+    this.context = context;
+    this.availability = availability;
+    this.statusHandler = statusHandler;
+    this.finishedJobs = finishedJobs;
+    this.admissionCheck = new AdmissionCheck(context);
+    this.planner = new AcceptancePlanner(context);
+  }
+
+  /** Accepts the job that a request body describes, or reports why not. */
+  void submit(byte[] body, Consumer<RequestOutcome> reply) {
+    JobSpec spec;
+    try {
+      spec = UserProtocol.readJob(body);
+    } catch (Json.MalformedJsonException e) {
+      reply.accept(new RequestOutcome.Invalid(e.getMessage()));
+      return;
+    }
+    submit(spec, reply);
+  }
+
+  private void submit(JobSpec spec, Consumer<RequestOutcome> reply) {
+    if (availability.isUnresponsive()) {
+      reply.accept(availability.unavailable());
+      return;
+    }
+    if (isKnown(spec.id())) {
+      statusHandler.query(spec.id(), reply);
+      return;
+    }
+    if (context.types().isEmpty()) {
+      reply.accept(availability.unavailable());
+      return;
+    }
+    Optional<String> rejectionReason = admissionCheck.rejectionReason(spec);
+    if (rejectionReason.isPresent()) {
+      rejectUnlessAccepted(
+          spec.id(), new RequestOutcome.Unsatisfiable(rejectionReason.get()), reply);
+      return;
+    }
+    if (submissionsInProgress >= MAX_CONCURRENT_SUBMISSIONS || context.store().isCongested()) {
+      context.metrics().refusedSubmissions++;
+      reply.accept(new RequestOutcome.Throttled());
+      return;
+    }
+    submissionsInProgress++;
+    accept(
+        spec,
+        outcome -> {
+          submissionsInProgress--;
+          reply.accept(outcome);
+        },
+        MAX_CONFLICT_RETRIES);
+  }
+
+  private boolean isKnown(String jobId) {
+    return finishedJobs.cached(jobId).isPresent() || context.stateCache().job(jobId) != null;
+  }
+
+  /**
+   * Rejects a job unless it was accepted before: settings and machine types may have changed since,
+   * but an accepted job stays accepted.
+   */
+  private void rejectUnlessAccepted(
+      String jobId, RequestOutcome rejection, Consumer<RequestOutcome> reply) {
+    statusHandler.query(
+        jobId,
+        outcome -> reply.accept(outcome instanceof RequestOutcome.NotFound ? rejection : outcome));
+  }
+
+  private void accept(JobSpec spec, Consumer<RequestOutcome> reply, int retriesLeft) {
+    AcceptancePlanner.Plan plan = planner.plan(spec);
+    if (plan.recordBytes() > planner.maxRecordBytes()) {
+      // The split depends on the present loads of the shards: an earlier one may have fitted.
+      rejectUnlessAccepted(
+          spec.id(), new RequestOutcome.Invalid("larger than what can be kept of a job"), reply);
+      return;
+    }
+    context
+        .store()
+        .commit(
+            plan.transaction(), result -> onCommitResult(spec, plan, result, reply, retriesLeft));
+  }
+
+  private void onCommitResult(
+      JobSpec spec,
+      AcceptancePlanner.Plan plan,
+      KeyValueClient.Result result,
+      Consumer<RequestOutcome> reply,
+      int retriesLeft) {
+    if (result instanceof KeyValueClient.Committed committed) {
+      onAccepted(spec, plan, committed.revision());
+      replyAccepted(spec.id(), reply);
+    } else if (result instanceof KeyValueClient.Conflict conflict) {
+      if (jobExists(conflict, spec.id())) {
+        statusHandler.query(spec.id(), reply);
+      } else {
+        retryAfterConflict(spec, conflict, reply, retriesLeft);
+      }
+    } else {
+      context.metrics().refusedSubmissions++;
+      reply.accept(availability.unavailable());
+    }
+  }
+
+  private void onAccepted(JobSpec spec, AcceptancePlanner.Plan plan, long revision) {
+    context.loads().taken(spec, plan.parts());
+    context.stateCache().committed(plan.transaction().changes(), revision);
+    LOG.debug(
+        "job {} of class {} accepted in {} ranges",
+        spec.id(),
+        spec.jobClass(),
+        plan.parts().size());
+  }
+
+  /** Reports the acceptance; if the commit was answered late, the job may have ended already. */
+  private void replyAccepted(String jobId, Consumer<RequestOutcome> reply) {
+    if (context.stateCache().job(jobId) == null) {
+      statusHandler.query(jobId, reply);
+    } else {
+      reply.accept(new RequestOutcome.Accepted(jobId));
+    }
+  }
+
+  private static boolean jobExists(KeyValueClient.Conflict conflict, String jobId) {
+    return conflict.keys().contains(Records.job(jobId))
+        || conflict.keys().contains(Records.finished(jobId));
+  }
+
+  private void retryAfterConflict(
+      JobSpec spec,
+      KeyValueClient.Conflict conflict,
+      Consumer<RequestOutcome> reply,
+      int retriesLeft) {
+    if (retriesLeft == 0) {
+      reply.accept(availability.unavailable());
+      return;
+    }
+    context
+        .stateCache()
+        .await(
+            conflict.revision(),
+            context.stateCache().watchIntervalMs() * CONFLICT_WAIT_WATCH_INTERVALS,
+            applied -> accept(spec, reply, retriesLeft - 1));
+  }
+}
