--- /dev/null
+++ b/src/main/java/org/fieldtrestle/state/QuotaAmount.java
@@ -0,0 +1,7 @@
+package org.fieldtrestle.state;
+
+/** An amount of the resources that a quota limits. */
+public record QuotaAmount(double cpus, double gpus) {
+  /** Nothing of either. */
+  public static final QuotaAmount NONE = new QuotaAmount(0, 0);
+}
--- a/src/main/java/org/fieldtrestle/state/RecordCodec.java
+++ b/src/main/java/org/fieldtrestle/state/RecordCodec.java
@@ -229,14 +229,14 @@
         value,
         FORM,
         json -> {
-          Map<String, QuotaShare> shares = new TreeMap<>();
+          Map<String, QuotaAmount> shares = new TreeMap<>();
           for (var share : json.path("shares").properties()) {
             double cpus = share.getValue().path(0).asDouble(-1);
             double gpus = share.getValue().path(1).asDouble(-1);
             if (!(cpus >= 0) || !(gpus >= 0)) {
               throw new MalformedJsonException("shares");
             }
-            shares.put(share.getKey(), new QuotaShare(cpus, gpus));
+            shares.put(share.getKey(), new QuotaAmount(cpus, gpus));
           }
           return new QuotaRecord(shares);
         });
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatOrder.java
@@ -0,0 +1,65 @@
+package org.fieldtrestle.worker;
+
+import org.fieldtrestle.protocol.Heartbeat;
+import org.fieldtrestle.protocol.WorkerProtocol;
+
+/** The incarnation of one worker and the order of its messages, which may arrive late or twice. */
+final class HeartbeatOrder {
+  private static final long NONE = -1;
+
+  private long incarnation = NONE;
+
+  /** The last message of the incarnation, an answer to a direct command included. */
+  private long sequence = NONE;
+
+  /** The last heartbeat of the incarnation, without the answers to direct commands. */
+  private long heartbeatSequence = NONE;
+
+  long incarnation() {
+    return incarnation;
+  }
+
+  long sequence() {
+    return sequence;
+  }
+
+  /** Whether any incarnation of the worker was heard of. */
+  boolean hasIncarnation() {
+    return incarnation != NONE;
+  }
+
+  boolean isNewer(Heartbeat message) {
+    return message.newerThan(incarnation, sequence);
+  }
+
+  boolean isOfIncarnation(Heartbeat message) {
+    return message.incarnation() == incarnation;
+  }
+
+  /**
+   * Whether a heartbeat is a copy of one that came before, or so late that its worker no longer
+   * waits for an answer.
+   *
+   * @param sinceLastMs time since the last message of the worker
+   */
+  boolean isOutdated(Heartbeat heartbeat, long sinceLastMs) {
+    if (!isOfIncarnation(heartbeat)) {
+      return heartbeat.incarnation() < incarnation;
+    }
+    return heartbeat.sequence() <= heartbeatSequence
+        || (heartbeat.sequence() < sequence && sinceLastMs > WorkerProtocol.HEARTBEAT_TIMEOUT_MS);
+  }
+
+  void acceptMessage(long messageSequence) {
+    sequence = messageSequence;
+  }
+
+  void acceptHeartbeat(long messageSequence) {
+    heartbeatSequence = Math.max(heartbeatSequence, messageSequence);
+  }
+
+  void beginIncarnation(long next) {
+    incarnation = next;
+    heartbeatSequence = NONE;
+  }
+}
--- a/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
+++ b/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
@@ -231,8 +231,8 @@
   void quotasKeepTheSharesOfEachShard() throws Exception {
     QuotaRecord quota = RecordCodec.decodeQuota(value("quota"));
     assertEquals(List.of("trestle-0", "trestle-1"), List.copyOf(quota.shares().keySet()));
-    assertEquals(new QuotaShare(12.5, 0), quota.shares().get("trestle-0"));
-    assertEquals(new QuotaShare(100, 8), quota.shares().get("trestle-1"));
+    assertEquals(new QuotaAmount(12.5, 0), quota.shares().get("trestle-0"));
+    assertEquals(new QuotaAmount(100, 8), quota.shares().get("trestle-1"));
     String team = "night shift/50%";
     assertStored(
         "quota", new StateKey.QuotaKey(team), StateKeys.quota(team), RecordCodec.encode(quota));
