--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -1,6 +1,5 @@
 package org.fieldtrestle.api;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -15,7 +14,7 @@
 import org.fieldtrestle.routing.JobSplitter;
 import org.fieldtrestle.state.InitialRange;
 import org.fieldtrestle.state.JobRecord;
-import org.fieldtrestle.state.RecordCodec;
+import org.fieldtrestle.state.StateChanges;
 import org.fieldtrestle.state.StateKeys;
 import org.fieldtrestle.state.Transaction;
 
@@ -58,13 +57,14 @@
     List<JobSplitter.Part> parts = split(spec, zone);
     Map<String, Long> epochs = epochsOfShards(parts);
     // One record holds the job and all its ranges; a range gets its own once it differs.
-    JsonNode value =
-        RecordCodec.encode(
+    KeyValueProtocol.Put put =
+        StateChanges.put(
+            StateKeys.job(spec.id()),
             new JobRecord(spec, context.reactor().wall(), zone, recordedParts(parts, epochs)));
-    List<KeyValueProtocol.Change> changes =
-        List.of(new KeyValueProtocol.Put(StateKeys.job(spec.id()), value, 0));
     return new Plan(
-        parts, new Transaction(conditions(spec, epochs), changes), Json.bytes(value).length);
+        parts,
+        new Transaction(conditions(spec, epochs), List.of(put)),
+        Json.bytes(put.value()).length);
   }
 
   private List<JobSplitter.Part> split(JobSpec spec, String zone) {
--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -6,7 +6,6 @@
 import java.util.function.Consumer;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.protocol.CloudProtocol;
-import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.protocol.ListedMachine;
 import org.fieldtrestle.protocol.MachinePage;
 import org.fieldtrestle.protocol.MachineType;
@@ -99,8 +98,7 @@
       if (answer.status() == 400) {
         return new Wrong();
       }
-      if (answer.status() == 503
-          && Json.parseOrEmpty(answer.body()).path("error").asText("").equals("no capacity")) {
+      if (answer.status() == 503 && CloudProtocol.isNoCapacity(answer.body())) {
         return new NoCapacity();
       }
     }
--- a/src/main/java/org/fieldtrestle/protocol/CloudProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/CloudProtocol.java
@@ -26,6 +26,8 @@
   /** How many machines are listed at once. */
   public static final int PAGE_SIZE = 500;
 
+  private static final String NO_CAPACITY = "no capacity";
+
   private CloudProtocol() {}
 
   /**
@@ -91,6 +93,11 @@
     return names;
   }
 
+  /** Whether a request for machines was refused because the cloud has none of the kind now. */
+  public static boolean isNoCapacity(byte[] body) {
+    return Json.parseOrEmpty(body).path("error").asText("").equals(NO_CAPACITY);
+  }
+
   /** Writes a request to return machines. */
   public static byte[] writeReturn(List<String> machines) {
     ObjectNode json = Json.object();
--- a/src/main/java/org/fieldtrestle/protocol/JobStage.java
+++ b/src/main/java/org/fieldtrestle/protocol/JobStage.java
@@ -1,6 +1,6 @@
 package org.fieldtrestle.protocol;
 
-/** The stage of a job as its user is told of it. */
+/** The stage of a job in answers to its user. */
 public enum JobStage {
   /** No task runs. */
   QUEUED("queued"),
--- a/src/main/java/org/fieldtrestle/state/StateKey.java
+++ b/src/main/java/org/fieldtrestle/state/StateKey.java
@@ -34,7 +34,7 @@
   /** One part of a shard's machine inventory. */
   record InventoryKey(String shard, int part) implements StateKey {}
 
-  /** A machine of some inventory. It has no key of its own; listeners are told of it by this. */
+  /** A machine of some inventory; not a key of the store, but what listeners are called with. */
   record MachineKey(String machine) implements StateKey {}
 
   /** The record of an adopted machine, see {@link StateKeys#orphan}. */
--- a/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
@@ -1,6 +1,5 @@
 package org.fieldtrestle.worker;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -8,7 +7,6 @@
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.state.RangeRecord;
-import org.fieldtrestle.state.RecordCodec;
 import org.fieldtrestle.state.StateChanges;
 import org.fieldtrestle.state.StateKeys;
 import org.fieldtrestle.state.Transaction;
@@ -157,13 +155,14 @@
       if (!range.writes().isDue(nowMs) || range.stopState().isEnded()) {
         continue;
       }
-      JsonNode value = RecordCodec.encode(range.recordWithFinished());
-      bytes += value.toString().length() + CHANGE_OVERHEAD_BYTES;
+      KeyValueProtocol.Put put =
+          StateChanges.put(StateKeys.range(range.key()), range.recordWithFinished());
+      bytes += put.value().toString().length() + CHANGE_OVERHEAD_BYTES;
       if (batch.size() >= context.settings().state().txnOps() / 2 || bytes > MAX_BATCH_BYTES) {
         break;
       }
       conditions.addAll(unchanged(range));
-      changes.add(new KeyValueProtocol.Put(StateKeys.range(range.key()), value, 0));
+      changes.add(put);
       range.beginWrite();
       range.writes().cancelScheduled();
       batch.add(range);
--- a/src/test/java/org/fieldtrestle/protocol/ProtocolsTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/ProtocolsTest.java
@@ -160,17 +160,17 @@
     assertThrows(MalformedFrameException.class, () -> PeerProtocol.decode(wrong));
   }
 
-  private static final String REPORT =
+  private static final String HEARTBEAT =
       """
       {"bench":"host-1","address":"10.1.0.2:9000","rig":"g8","yard":"a","loaners":true,"shift":1,\
       "tally":88,"warrant":41,"recallS":1.5,"newer":{"deep":[{"boards":[1]}]},"boards":[{"more":[{}],\
       "board":"job-1/2","try":3,"stage":"exited","cause":"done"}]}""";
 
   @Test
-  void aReportThatIsCutOffOrDamagedIsRefusedByName() throws MalformedJsonException {
-    assertEquals(1, WorkerProtocol.readHeartbeat(utf8(REPORT)).tasks().size());
-    for (int cut = 0; cut < REPORT.length(); cut++) {
-      byte[] shorter = utf8(REPORT.substring(0, cut));
+  void aHeartbeatThatIsCutOffOrDamagedIsRefusedByName() throws MalformedJsonException {
+    assertEquals(1, WorkerProtocol.readHeartbeat(utf8(HEARTBEAT)).tasks().size());
+    for (int cut = 0; cut < HEARTBEAT.length(); cut++) {
+      byte[] shorter = utf8(HEARTBEAT.substring(0, cut));
       assertThrows(
           MalformedJsonException.class,
           () -> WorkerProtocol.readHeartbeat(shorter),
@@ -192,26 +192,26 @@
       {"job-1/2", "job-1", "task"}
     };
     for (String[] damage : damages) {
-      String text = REPORT.replace(damage[0], damage[1]);
+      String text = HEARTBEAT.replace(damage[0], damage[1]);
       MalformedJsonException refused =
           assertThrows(
               MalformedJsonException.class, () -> WorkerProtocol.readHeartbeat(utf8(text)), text);
       assertEquals(damage[2], refused.getMessage(), text);
     }
     assertThrows(
-        MalformedJsonException.class, () -> WorkerProtocol.readHeartbeat(utf8(REPORT + "x")));
+        MalformedJsonException.class, () -> WorkerProtocol.readHeartbeat(utf8(HEARTBEAT + "x")));
     Heartbeat odd =
         WorkerProtocol.readHeartbeat(
-            utf8(REPORT.replace("\"cause\":\"done\"", "\"cause\":{\"a\":[1]}")));
+            utf8(HEARTBEAT.replace("\"cause\":\"done\"", "\"cause\":{\"a\":[1]}")));
     assertEquals(ExitCause.NONE, odd.tasks().get(0).cause());
   }
 
   @Property(tries = 200, seed = "43")
-  void reportsAreReadWithAllTheirTasks(
+  void heartbeatsAreReadWithAllTheirTasks(
       @ForAll @LongRange(min = 0, max = 1L << 60) long token,
       @ForAll @Size(max = 20) List<@IntRange(max = 99_999) Integer> indexes)
       throws MalformedJsonException {
-    ObjectNode report =
+    ObjectNode heartbeat =
         Json.object()
             .put("bench", "host-000231")
             .put("address", "10.1.0.232:9000")
@@ -222,7 +222,7 @@
             .put("tally", 88)
             .put("warrant", token)
             .putNull("recallS");
-    var list = report.putArray("boards");
+    var list = heartbeat.putArray("boards");
     for (int index : indexes) {
       list.addObject()
           .put("board", "job-000412/" + index)
@@ -230,7 +230,7 @@
           .put("stage", "exited")
           .put("cause", "done");
     }
-    Heartbeat read = WorkerProtocol.readHeartbeat(Json.bytes(report));
+    Heartbeat read = WorkerProtocol.readHeartbeat(Json.bytes(heartbeat));
     assertEquals(token, read.fencingToken());
     assertEquals(indexes, read.tasks().stream().map(t -> t.task().index()).toList());
     assertTrue(read.tasks().stream().allMatch(t -> t.cause() == ExitCause.DONE));
--- a/src/test/java/org/fieldtrestle/state/RecordCodecTest.java
+++ b/src/test/java/org/fieldtrestle/state/RecordCodecTest.java
@@ -40,7 +40,7 @@
   }
 
   @Property(tries = 200, seed = "15")
-  void rostersAreReadAsTheyWereWritten(
+  void inventoriesAreReadAsTheyWereWritten(
       @ForAll @Size(max = 60) Map<@IntRange(max = 2000) Integer, @IntRange(max = 5) Integer> some)
       throws UnreadableRecordException {
     StateKey.InventoryKey key = new StateKey.InventoryKey("trestle-1", 2);
