--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -1,8 +1,8 @@
 package org.fieldtrestle.cloud;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.protocol.CloudProtocol;
@@ -12,160 +12,162 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Our side of the cloud, within this controller's part of its limit. */
+/**
+ * Client of the cloud, within this controller's share of its request limit. All methods are called
+ * on the event loop, where the callbacks run too.
+ */
 public final class CloudClient {
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
 
+  /** Part of this controller's share of the request limit that is used. */
+  private static final double USED_SHARE = 0.9;
+
+  /** Time between two readings of the machine types, in lags of the machine list. */
+  private static final int TYPES_INTERVAL_LAGS = 5;
+
   private final Reactor reactor;
   private final Http.Caller caller;
   private final String address;
-  private final long gapMs;
-  private final long timeoutMs;
-
-  /** What changes the fleet goes before what only looks at it: a list has many pages. */
-  private final ArrayDeque<Runnable> changes = new ArrayDeque<>();
-
-  private final ArrayDeque<Runnable> looks = new ArrayDeque<>();
-  private long nextAt;
-  private boolean scheduled;
+  private final long requestIntervalMs;
+  private final long listLagMs;
+  private final RateLimitedQueue queue;
   private List<CloudProtocol.MachineType> types = List.of();
 
+  /** Sets up the client; nothing is sent before {@link #start}. */
   public CloudClient(Reactor reactor, Http.Caller caller, Settings settings) {
     this.reactor = reactor;
     this.caller = caller;
     this.address = settings.cloudAddress();
-    this.gapMs = Math.round(1000 / (settings.share(settings.cloud().rps()) * 0.9));
-    this.timeoutMs = Math.round(settings.cloud().listLagS() * 1000);
+    this.requestIntervalMs =
+        Math.round(1000 / (settings.share(settings.cloud().rps()) * USED_SHARE));
+    this.listLagMs = Math.round(settings.cloud().listLagS() * 1000);
+    this.queue = new RateLimitedQueue(reactor, requestIntervalMs);
   }
 
-  /** The machine types; empty until the cloud has told. */
+  /** The machine types with their prices; empty until they were read for the first time. */
   public List<CloudProtocol.MachineType> types() {
     return types;
   }
 
-  /** Reads the types now and again and again, as spot prices move. */
+  /** By how much the machine list may lag behind, in ms; also the timeout of a request. */
+  public long listLagMs() {
+    return listLagMs;
+  }
+
+  /** Reads the machine types now and then periodically, as spot prices change. */
   public void start() {
-    call(
-        "GET",
+    read(
         CloudProtocol.TYPES,
-        Http.Response.EMPTY,
         outcome -> {
-          if (outcome instanceof Http.Answer answer && answer.status() == 200) {
-            try {
-              types = CloudProtocol.readTypes(answer.body());
-            } catch (Json.MalformedJsonException e) {
-              LOG.warn("machine types are not as agreed: {}", e.getMessage());
-            }
-          }
-          reactor.schedule(types.isEmpty() ? gapMs : timeoutMs * 5, this::start);
+          readTypes(outcome);
+          reactor.schedule(
+              types.isEmpty() ? requestIntervalMs : listLagMs * TYPES_INTERVAL_LAGS, this::start);
         });
   }
 
-  /** How a rental went. */
-  public sealed interface Rent {}
-
-  public record Rented(List<String> machines) implements Rent {}
-
-  public record NoCapacity() implements Rent {}
-
-  /** May be repeated under the same name. */
-  public record Again() implements Rent {}
-
-  /** The cloud will not have it under any name. */
-  public record Wrong() implements Rent {}
+  private void readTypes(Http.Outcome outcome) {
+    if (outcome instanceof Http.Answer answer && answer.status() == 200) {
+      try {
+        types = CloudProtocol.readTypes(answer.body());
+      } catch (Json.MalformedJsonException e) {
+        LOG.atWarn().addKeyValue("reason", e.getMessage()).log("machine types are malformed");
+      }
+    }
+  }
 
-  public void rent(
-      String request, String type, String zone, boolean spot, int count, Consumer<Rent> done) {
-    call(
-        "POST",
+  /** Rents machines. */
+  public void rent(RentalRequest request, Consumer<RentalResult> done) {
+    change(
         CloudProtocol.MACHINES,
-        CloudProtocol.rent(request, type, zone, spot, count),
-        outcome -> done.accept(rent(outcome)));
+        CloudProtocol.rent(
+            request.id(), request.type(), request.zone(), request.spot(), request.count()),
+        outcome -> done.accept(rentalResult(outcome)));
   }
 
-  private static Rent rent(Http.Outcome outcome) {
-    if (outcome instanceof Http.Answer answer) {
-      if (answer.status() == 200) {
-        try {
-          return new Rented(CloudProtocol.readRented(answer.body()));
-        } catch (Json.MalformedJsonException e) {
-          return new Again();
-        }
-      }
-      if (answer.status() == 400) {
-        return new Wrong();
-      }
-      if (answer.status() == 503
-          && Json.parseOrEmpty(answer.body()).path("error").asText("").equals("no capacity")) {
-        return new NoCapacity();
+  private static RentalResult rentalResult(Http.Outcome outcome) {
+    if (!(outcome instanceof Http.Answer answer)) {
+      return new RentalResult.OutcomeUnknown();
+    }
+    if (answer.status() == 200) {
+      try {
+        return new RentalResult.Rented(CloudProtocol.readRented(answer.body()));
+      } catch (Json.MalformedJsonException e) {
+        return new RentalResult.OutcomeUnknown();
       }
     }
-    return new Again();
+    if (answer.status() == 400) {
+      return new RentalResult.Rejected();
+    }
+    if (answer.status() == 503 && isNoCapacity(answer.body())) {
+      return new RentalResult.NoCapacity();
+    }
+    return new RentalResult.OutcomeUnknown();
+  }
+
+  private static boolean isNoCapacity(byte[] body) {
+    return Json.parseOrEmpty(body).path("error").asText("").equals("no capacity");
   }
 
-  /** Returns machines; true once they and all that was on them are gone. */
+  /**
+   * Returns machines to the cloud.
+   *
+   * @param done is given true once the machines and all that was on them are gone; false if that is
+   *     not known, in which case the request may be repeated
+   */
   public void terminate(List<String> machines, Consumer<Boolean> done) {
-    call(
-        "POST",
+    change(
         CloudProtocol.RETURN,
         CloudProtocol.terminate(machines),
         outcome -> done.accept(outcome instanceof Http.Answer answer && answer.status() == 200));
   }
 
-  /** Reads the whole machine list; null where that failed. */
-  public void list(Consumer<List<CloudProtocol.Listed>> done) {
-    page("", new ArrayList<>(), done);
+  /**
+   * Reads the whole machine list, page by page.
+   *
+   * @param done is given the list, or empty if any page could not be read
+   */
+  public void list(Consumer<Optional<List<CloudProtocol.Listed>>> done) {
+    readPage("", new ArrayList<>(), done);
   }
 
-  private void page(
-      String after, List<CloudProtocol.Listed> sofar, Consumer<List<CloudProtocol.Listed>> done) {
-    call(
-        "GET",
+  private void readPage(
+      String after,
+      List<CloudProtocol.Listed> listed,
+      Consumer<Optional<List<CloudProtocol.Listed>>> done) {
+    read(
         CloudProtocol.listPath(after),
-        Http.Response.EMPTY,
         outcome -> {
-          if (outcome instanceof Http.Answer answer && answer.status() == 200) {
-            try {
-              CloudProtocol.Page page = CloudProtocol.readPage(answer.body());
-              sofar.addAll(page.machines());
-              if (page.more() && !page.machines().isEmpty()) {
-                page(page.machines().get(page.machines().size() - 1).machine(), sofar, done);
-              } else {
-                done.accept(sofar);
-              }
-              return;
-            } catch (Json.MalformedJsonException e) {
-              LOG.warn("machine list is not as agreed: {}", e.getMessage());
-            }
+          Optional<CloudProtocol.Page> page = page(outcome);
+          if (page.isEmpty()) {
+            done.accept(Optional.empty());
+            return;
+          }
+          List<CloudProtocol.Listed> machines = page.get().machines();
+          listed.addAll(machines);
+          if (page.get().more() && !machines.isEmpty()) {
+            readPage(machines.get(machines.size() - 1).machine(), listed, done);
+          } else {
+            done.accept(Optional.of(listed));
           }
-          done.accept(null);
         });
   }
 
-  private void call(String method, String path, byte[] body, Consumer<Http.Outcome> done) {
-    (method.equals("GET") ? looks : changes)
-        .addLast(() -> caller.call(address, method, path, body, timeoutMs, done));
-    drain();
+  private static Optional<CloudProtocol.Page> page(Http.Outcome outcome) {
+    if (outcome instanceof Http.Answer answer && answer.status() == 200) {
+      try {
+        return Optional.of(CloudProtocol.readPage(answer.body()));
+      } catch (Json.MalformedJsonException e) {
+        LOG.atWarn().addKeyValue("reason", e.getMessage()).log("machine list is malformed");
+      }
+    }
+    return Optional.empty();
   }
 
-  private void drain() {
-    if (scheduled || changes.isEmpty() && looks.isEmpty()) {
-      return;
-    }
-    long wait = nextAt - reactor.now();
-    if (wait > 0) {
-      scheduled = true;
-      reactor.schedule(
-          wait,
-          () -> {
-            scheduled = false;
-            drain();
-          });
-      return;
-    }
-    // Two may go close together: the cloud allows bursts.
-    nextAt = Math.max(nextAt + gapMs, reactor.now() - gapMs);
-    (changes.isEmpty() ? looks : changes).removeFirst().run();
-    drain();
+  private void read(String path, Consumer<Http.Outcome> done) {
+    queue.addRead(() -> caller.call(address, "GET", path, Http.Response.EMPTY, listLagMs, done));
+  }
+
+  private void change(String path, byte[] body, Consumer<Http.Outcome> done) {
+    queue.addChange(() -> caller.call(address, "POST", path, body, listLagMs, done));
   }
 }
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -512,13 +512,8 @@
               LOG.info("machine {} reports and is nobody's, adopting it", id);
               shard
                   .inventory()
-                  .add(
-                      id,
-                      report.type(),
-                      report.zone(),
-                      report.spot(),
-                      true,
-                      owned -> adopting.remove(id));
+                  .adopt(
+                      id, report.type(), report.zone(), report.spot(), () -> adopting.remove(id));
             });
   }
 
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -0,0 +1,198 @@
+package org.fieldtrestle.scaling;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.protocol.CloudProtocol.MachineType;
+import org.fieldtrestle.protocol.JobSpec;
+import org.fieldtrestle.worker.FailureTracker;
+import org.fieldtrestle.worker.LeadershipTerm;
+import org.fieldtrestle.worker.TaskAttempt;
+import org.fieldtrestle.worker.TaskRange;
+import org.fieldtrestle.worker.TaskRanges;
+import org.fieldtrestle.worker.Worker;
+import org.fieldtrestle.worker.WorkerRegistry;
+
+/** Estimates how many machines the waiting tasks need to be done in time. */
+final class DemandEstimator {
+  /** Share of the slack before a deadline that may pass before the last waiting task starts. */
+  private static final double SLACK_SHARE = 0.75;
+
+  /** The least such share for classes of which nearly all jobs have to meet their deadlines. */
+  private static final double MIN_SLACK_SHARE = 0.1;
+
+  /** Share of arriving work for which machines are rented beside those for waiting work. */
+  private static final double ARRIVING_SHARE = 0.5;
+
+  /** Time within which work without a deadline is to be done, in boots of a machine. */
+  private static final double WITHIN_BOOTS = 4;
+
+  /** A machine that is rented now is of no help sooner, however late the job is. */
+  private static final double MIN_WITHIN_BOOTS = 2;
+
+  private static final double MAX_WITHIN_BOOTS = 6;
+
+  /** Least seconds that a running task is expected to go on for. */
+  private static final double MIN_REMAINING_S = 2;
+
+  /** Least share of a boot that a machine which is not up yet is expected to take. */
+  private static final double MIN_REMAINING_BOOT = 0.2;
+
+  /** Share of a machine that may be missing without one more being rented. */
+  private static final double TOLERATED_SHORTAGE = 0.2;
+
+  private final ControllerContext context;
+  private final LeadershipTerm term;
+  private final WorkerRegistry workers;
+  private final TaskRanges ranges;
+  private final FailureTracker failures;
+  private final MachineHealth health;
+  private final WorkloadRate workload;
+  private final MachineTypeSelector types;
+
+  DemandEstimator(
+      ControllerContext context,
+      LeadershipTerm term,
+      WorkerRegistry workers,
+      TaskRanges ranges,
+      FailureTracker failures,
+      MachineHealth health,
+      WorkloadRate workload,
+      MachineTypeSelector types) {
+    this.context = context;
+    this.term = term;
+    this.workers = workers;
+    this.ranges = ranges;
+    this.failures = failures;
+    this.health = health;
+    this.workload = workload;
+    this.types = types;
+  }
+
+  /** What the waiting tasks of all ranges need, the most urgent first. */
+  List<MachineDemand> demands(long nowMs) {
+    List<MachineDemand> demands = new ArrayList<>();
+    for (TaskRange range : ranges.all()) {
+      // While a worker has not reported, waiting tasks of an inherited range may be on it, and none
+      // of them may start anyway: every restart would rent a second fleet for them.
+      if (range.spec() != null
+          && !term.policy().mustStop(range)
+          && range.waiting() > 0
+          && !ranges.blocked(range)) {
+        Optional<MachineType> type = types.cheapestFor(range.spec());
+        if (type.isPresent()) {
+          demands.add(demand(range, type.get(), nowMs));
+        }
+      }
+    }
+    demands.sort(Comparator.comparingDouble(MachineDemand::withinS));
+    return demands;
+  }
+
+  private MachineDemand demand(TaskRange range, MachineType type, long nowMs) {
+    JobSpec spec = range.spec();
+    double machineS =
+        (spec.estimateS() + type.imageFetchS(spec) / 2)
+            * range.waiting()
+            / type.tasksPerMachine(spec);
+    String zone = range.zone() != null ? range.zone() : spec.zone();
+    double wantedS = WITHIN_BOOTS * type.bootS();
+    if (spec.deadlineS() >= 0) {
+      double waitedS = (nowMs - range.waitingSince()) / 1000.0;
+      double slackS = spec.deadlineS() - waitedS - spec.estimateS() - type.imageFetchS(spec);
+      wantedS = slackS * slackShare(spec) + spec.estimateS();
+    }
+    double withinS =
+        Math.min(
+            Math.max(wantedS, MIN_WITHIN_BOOTS * type.bootS()), MAX_WITHIN_BOOTS * type.bootS());
+    return new MachineDemand(range, type, spec.spot(), zone, machineS, withinS);
+  }
+
+  /**
+   * The share of its slack that a job may wait: the less, the more of its class must be in time.
+   */
+  private double slackShare(JobSpec spec) {
+    double share = SLACK_SHARE;
+    for (Settings.Objective objective : context.settings().objectives()) {
+      if (objective.kind().equals("deadline")
+          && objective.jobClass().equals(spec.jobClass())
+          && objective.times() <= 1) {
+        share = Math.min(share, Math.max(MIN_SLACK_SHARE, 5 * (1 - objective.share())));
+      }
+    }
+    return share;
+  }
+
+  /**
+   * How many more machines the demands of one kind need.
+   *
+   * @param kind one of the demands of that kind
+   * @param demands all demands, the most urgent first
+   */
+  int missingMachines(MachineDemand kind, List<MachineDemand> demands, long nowMs) {
+    MachineType type = kind.type();
+    int machines = 0;
+    double bootingS = 0;
+    double busyS = 0;
+    for (Worker worker : workers.all()) {
+      if (!isAvailableFor(kind, worker, nowMs)) {
+        continue;
+      }
+      machines++;
+      if (!worker.isUp()) {
+        bootingS +=
+            Math.max(
+                type.bootS() * MIN_REMAINING_BOOT, type.bootS() - worker.ageMs(nowMs) / 1000.0);
+      }
+      busyS = addBusyS(busyS, worker, type, nowMs);
+    }
+    // Without any machine even the least work would wait for ever.
+    int missing = machines == 0 ? 1 : 0;
+    double waitingS = 0;
+    for (MachineDemand demand : demands) {
+      if (demand.isSameKind(kind)) {
+        // The most urgent work is done first: each later demand adds to those before it.
+        waitingS += demand.machineS();
+        // Work goes on arriving meanwhile; part of it finds room that ending tasks leave.
+        double arrivingS = workload.busyMachines() * demand.withinS() * ARRIVING_SHARE;
+        double availableS = machines * demand.withinS() - bootingS - busyS;
+        double shortage =
+            (waitingS + arrivingS - Math.max(0, availableS)) / (demand.withinS() - type.bootS());
+        missing = Math.max(missing, (int) Math.ceil(shortage - TOLERATED_SHORTAGE));
+      }
+    }
+    return missing;
+  }
+
+  private boolean isAvailableFor(MachineDemand kind, Worker worker, long nowMs) {
+    return !worker.isDraining()
+        && !(worker.isLeaseExpired() && health.isSilent(worker, nowMs))
+        && kind.isServedBy(worker)
+        && !failures.avoids(kind.range(), worker);
+  }
+
+  /** Adds the seconds for which a worker's tasks take a whole machine of a type. */
+  private static double addBusyS(double sumS, Worker worker, MachineType type, long nowMs) {
+    double busyS = sumS;
+    for (TaskAttempt task : worker.attempts()) {
+      if (task.live() && task.range() != null && task.range().spec() != null) {
+        busyS +=
+            Math.max(MIN_REMAINING_S, remainingS(task, type, nowMs))
+                / type.tasksPerMachine(task.range().spec());
+      }
+    }
+    return busyS;
+  }
+
+  private static double remainingS(TaskAttempt task, MachineType type, long nowMs) {
+    JobSpec spec = task.range().spec();
+    double fetchS =
+        task.runningSince() >= 0
+            ? 0
+            : Math.max(0, type.imageFetchS(spec) - (nowMs - task.placedAt()) / 1000.0);
+    return fetchS + task.remainingS(nowMs, spec.estimateS());
+  }
+}
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/scaling/FleetStatus.java
@@ -0,0 +1,62 @@
+package org.fieldtrestle.scaling;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.worker.Worker;
+import org.fieldtrestle.worker.WorkerRegistry;
+
+/** Sums over a shard's workers that the checks of each worker use; taken once a tick. */
+final class FleetStatus {
+  /** A worker counts as silent for its zone after so many heartbeat intervals. */
+  private static final double SILENT_HEARTBEATS = 2;
+
+  private static final class ZoneCount {
+    private int up;
+    private int silent;
+  }
+
+  private final ControllerContext context;
+  private final WorkerRegistry workers;
+  private final long nowMs;
+  private final Map<String, ZoneCount> zones = new HashMap<>();
+  private int spotMachines;
+
+  FleetStatus(ControllerContext context, WorkerRegistry workers, long nowMs) {
+    this.context = context;
+    this.workers = workers;
+    this.nowMs = nowMs;
+    for (Worker worker : workers.all()) {
+      if (worker.isSpot() && !worker.isDraining()) {
+        spotMachines++;
+      }
+      if (worker.isUp()) {
+        ZoneCount zone = zones.computeIfAbsent(worker.zone(), name -> new ZoneCount());
+        zone.up++;
+        zone.silent += isSilent(worker) ? 1 : 0;
+      }
+    }
+  }
+
+  private boolean isSilent(Worker worker) {
+    return workers.silentFor(worker, nowMs) > context.heartbeatIntervalsMs(SILENT_HEARTBEATS);
+  }
+
+  /** How many spot machines are not draining. */
+  int spotMachines() {
+    return spotMachines;
+  }
+
+  /**
+   * Whether at least half of the other workers in a worker's zone are silent too: a network
+   * partition then, and not the machines.
+   *
+   * @param worker a worker that is up
+   */
+  boolean isZoneSilent(Worker worker) {
+    ZoneCount zone = zones.get(worker.zone());
+    int others = zone.up - 1;
+    int silentOthers = zone.silent - (isSilent(worker) ? 1 : 0);
+    return silentOthers > 0 && silentOthers * 2 >= others;
+  }
+}
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -1,272 +1,144 @@
 package org.fieldtrestle.scaling;
 
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
-import java.util.function.Consumer;
 import org.fieldtrestle.context.ControllerContext;
-import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.state.Records;
 import org.fieldtrestle.worker.LeadershipTerm;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes which machines are a shard's, many of them in one value: hundreds come up within a minute,
- * and a write for each would take all that the state service allows. What comes in while a write is
- * under way, and for a short while after, goes into the next.
+ * Writes the durable list of a shard's machines. Many machines share a value and many updates a
+ * write: hundreds of machines come up within a minute, and a write for each would take all that the
+ * key-value store allows. Updates that come in while a write is in flight, and for a short while
+ * after, go into the next one.
  */
 public final class MachineInventory {
   private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
 
-  /** Share of a value that is filled, and what a machine takes of it at the most. */
-  private static final double FILLED = 0.8;
-
-  private static final int BYTES_EACH = 24;
-
-  /** What a transaction may hold, less what is in it beside values. */
-  private static final double MOST_KB = 56;
-
-  /** Writes of this shard's part of what the state service allows that go by between two. */
-  private static final double APART = 3;
-
-  /** What is to become of a machine in the roster. */
-  private sealed interface Wish {}
-
-  private record Add(Records.Machine machine, boolean adopted, Consumer<Boolean> done)
-      implements Wish {}
-
-  private record Up() implements Wish {}
-
-  private record Remove() implements Wish {}
+  /** Time between two writes, in writes of this controller's share of the store's write rate. */
+  private static final double WRITE_INTERVAL_WRITES = 3;
 
   private final LeadershipTerm term;
   private final ControllerContext context;
-  private final Map<String, Wish> wishes = new LinkedHashMap<>();
+
+  /** The last update of each machine that is not written yet, in the order of the first one. */
+  private final Map<String, PendingUpdate> pending = new LinkedHashMap<>();
+
+  /** Whether a write is scheduled or in flight. */
   private boolean busy;
-  private long notBefore;
 
+  private long nextWriteAtMs;
+
+  /** Sets up the inventory of a shard for one term. */
   public MachineInventory(ControllerContext context, LeadershipTerm term) {
     this.context = context;
     this.term = term;
   }
 
+  /** Adds a machine that this shard has rented, unless another shard has adopted it before. */
+  void addRented(String id, String type, String zone, boolean spot) {
+    long rentedAt = context.reactor().wall();
+    Records.Machine machine = new Records.Machine(term.shard(), 0, type, zone, spot, rentedAt, 0);
+    update(id, new PendingUpdate.Add(machine, false, () -> {}));
+  }
+
   /**
-   * A machine becomes ours, unless somebody else is quicker.
+   * Adds a machine without a record, unless another shard adds it before. It counts as up, as
+   * another controller may have started tasks on it.
    *
-   * @param adopted it was rented by somebody else, or nobody knows by whom, and may be up
+   * @param decided called once the machine is added, or is known not to be
    */
-  public void add(
-      String id, String type, String zone, boolean spot, boolean adopted, Consumer<Boolean> done) {
-    long upIn = adopted ? term.epoch() : 0;
-    long since = adopted ? 0 : context.reactor().wall();
-    wish(
-        id,
-        new Add(
-            new Records.Machine(term.shard(), 0, type, zone, spot, since, upIn), adopted, done));
+  public void adopt(String id, String type, String zone, boolean spot, Runnable decided) {
+    Records.Machine machine =
+        new Records.Machine(term.shard(), 0, type, zone, spot, 0, term.epoch());
+    update(id, new PendingUpdate.Add(machine, true, decided));
   }
 
-  /** Tasks may be started on a machine once this is durable. */
+  /** Marks a machine as up. Tasks may be started on it once that is durable. */
   public void up(String id) {
-    wish(id, new Up());
+    update(id, new PendingUpdate.MarkUp());
   }
 
-  /** A machine is gone. */
+  /** Removes a machine that is gone. */
   void remove(String id) {
-    wish(id, new Remove());
+    update(id, new PendingUpdate.Remove());
   }
 
-  private void wish(String id, Wish wish) {
-    if (wishes.get(id) instanceof Add before) {
-      context.reactor().execute(() -> before.done().accept(false));
+  private void update(String id, PendingUpdate update) {
+    if (pending.put(id, update) instanceof PendingUpdate.Add replaced) {
+      context.reactor().execute(replaced.decided());
     }
-    wishes.put(id, wish);
-    soon();
+    scheduleWrite();
   }
 
-  private void soon() {
+  private void scheduleWrite() {
     if (!busy) {
       busy = true;
-      context.reactor().schedule(Math.max(0, notBefore - context.now()), this::write);
+      context.reactor().schedule(Math.max(0, nextWriteAtMs - context.now()), this::write);
     }
   }
 
-  /** One transaction being put together. */
-  private final class Batch {
-    final Map<String, Wish> taken = new LinkedHashMap<>();
-    final List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    final List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    final Map<Records.InventoryKey, TreeMap<String, Records.Machine>> parts =
-        new TreeMap<>(BY_PART);
-
-    TreeMap<String, Records.Machine> part(Records.InventoryKey key) {
-      return parts.computeIfAbsent(
-          key, k -> new TreeMap<>(context.stateCache().inventories().getOrDefault(k, Map.of())));
-    }
-
-    /** Room for one more machine: the state service limits both. */
-    boolean open() {
-      return changes.size() + parts.size() + 4 < context.settings().state().txnOps()
-          && conditions.size() + 2 * parts.size() + 16 < 4 * context.settings().state().txnOps();
-    }
-
-    /**
-     * Whether another part still fits the transaction. One that does not waits for the next, while
-     * machines of those that are in it go on: else a shard of many parts writes few at a time.
-     */
-    private boolean fits(int part) {
-      return parts.containsKey(key(part))
-          || (parts.size() + 1) * context.settings().state().valueKb() <= MOST_KB;
-    }
-
-    void include(String id, Wish wish) {
-      Records.Machine known = context.stateCache().machines().get(id);
-      boolean ours = known != null && known.shard().equals(term.shard());
-      if (wish instanceof Add add) {
-        if (known != null) {
-          wishes.remove(id, wish);
-          context.reactor().execute(() -> add.done().accept(ours));
-          return;
-        }
-        add(id, add);
-        return;
-      } else if (!ours) {
-        wishes.remove(id, wish);
-        return;
-      } else if (!fits(known.part())) {
-        return;
-      } else if (wish instanceof Up) {
-        part(key(known.part())).put(id, known.upIn(term.epoch()));
-      } else {
-        part(key(known.part())).remove(id);
-        if (context.stateCache().version(Records.orphan(id)) != 0) {
-          changes.add(new KeyValueProtocol.Delete(Records.orphan(id)));
-        }
-      }
-      taken.put(id, wish);
-    }
-
-    private int sizeOf(int part) {
-      Map<String, Records.Machine> changed = parts.get(key(part));
-      return changed != null
-          ? changed.size()
-          : context.stateCache().inventories().getOrDefault(key(part), Map.of()).size();
-    }
-
-    private void add(String id, Add add) {
-      int number = 0;
-      int most = (int) (context.settings().state().valueKb() * 1024 * FILLED / BYTES_EACH);
-      while (sizeOf(number) >= most
-          || !context.stateCache().readable(Records.inventory(key(number)))) {
-        number++;
-      }
-      if (!fits(number)) {
-        return;
-      }
-      taken.put(id, add);
-      Records.Machine m = add.machine();
-      part(key(number))
-          .put(
-              id,
-              new Records.Machine(
-                  m.shard(), number, m.type(), m.zone(), m.spot(), m.sinceWall(), m.upIn()));
-      String stray = Records.orphan(id);
-      conditions.add(new KeyValueProtocol.Condition(stray, context.stateCache().version(stray)));
-      if (add.adopted()) {
-        changes.add(new KeyValueProtocol.Put(stray, Records.writeOrphan(term.shard()), 0));
-      }
-    }
-
-    /** Nobody else may have entered a machine that we adopt since we looked. */
-    private void othersUnchanged() {
-      for (String other : context.stateCache().shards().keySet()) {
-        if (!other.equals(term.shard())) {
-          int number = 0;
-          long version;
-          do {
-            String key = Records.inventory(new Records.InventoryKey(other, number++));
-            version = context.stateCache().version(key);
-            conditions.add(new KeyValueProtocol.Condition(key, version));
-          } while (version != 0);
-        }
-      }
-    }
-
-    void finish() {
-      if (taken.values().stream().anyMatch(w -> w instanceof Add add && add.adopted())) {
-        othersUnchanged();
-      }
-      parts.forEach(
-          (key, machines) -> {
-            String name = Records.inventory(key);
-            long version = context.stateCache().version(name);
-            if (machines.equals(context.stateCache().inventories().getOrDefault(key, Map.of()))) {
-              return; // looked at only
-            }
-            conditions.add(new KeyValueProtocol.Condition(name, version));
-            changes.add(new KeyValueProtocol.Put(name, Records.writeInventory(machines), 0));
-          });
-    }
-  }
-
-  private static final Comparator<Records.InventoryKey> BY_PART =
-      Comparator.comparingInt(Records.InventoryKey::part);
-
-  private Records.InventoryKey key(int part) {
-    return new Records.InventoryKey(term.shard(), part);
-  }
-
   private void write() {
     busy = false;
-    if (term.isOver() || wishes.isEmpty()) {
+    if (term.isOver() || pending.isEmpty()) {
       return;
     }
-    Batch batch = new Batch();
-    for (Map.Entry<String, Wish> one : new LinkedHashMap<>(wishes).entrySet()) {
-      if (!batch.open()) {
-        break;
-      }
-      batch.include(one.getKey(), one.getValue());
-    }
-    if (batch.taken.isEmpty()) {
+    InventoryBatch batch = collectBatch();
+    if (batch.updates().isEmpty()) {
       return;
     }
-    batch.finish();
-    if (batch.changes.isEmpty()) { // all of it is so already
-      done(batch, true);
+    batch.complete();
+    if (batch.changes().isEmpty()) { // the store holds all of it already
+      written(batch);
       return;
     }
     busy = true;
-    notBefore =
-        context.now()
-            + Math.round(
-                1000 * APART / context.settings().share(context.settings().state().writeRps()));
+    double writesPerS = context.settings().share(context.settings().state().writeRps());
+    nextWriteAtMs = context.now() + Math.round(1000 * WRITE_INTERVAL_WRITES / writesPerS);
     term.write(
-        batch.conditions,
-        batch.changes,
+        batch.conditions(),
+        batch.changes(),
         committed -> {
           busy = false;
-          done(batch, committed);
-          if (!wishes.isEmpty()) {
-            soon();
+          if (committed) {
+            written(batch);
+          }
+          // Updates that are not written stay pending and are compared with the state anew.
+          if (!pending.isEmpty()) {
+            scheduleWrite();
           }
         });
   }
 
-  private void done(Batch batch, boolean committed) {
-    if (!committed) {
-      return; // looked at anew, as the state has been read on
+  /** Puts pending updates into a batch until it is full; obsolete ones are dropped. */
+  private InventoryBatch collectBatch() {
+    InventoryBatch batch = new InventoryBatch(context, term);
+    var updates = pending.entrySet().iterator();
+    while (updates.hasNext() && batch.hasCapacity()) {
+      Map.Entry<String, PendingUpdate> entry = updates.next();
+      PendingUpdate update = entry.getValue();
+      if (batch.include(entry.getKey(), update) == InventoryBatch.Inclusion.OBSOLETE) {
+        updates.remove();
+        if (update instanceof PendingUpdate.Add add) {
+          context.reactor().execute(add.decided());
+        }
+      }
     }
-    LOG.debug("{} machines written", batch.taken.size());
-    batch.taken.forEach(
-        (id, wish) -> {
-          wishes.remove(id, wish);
-          if (wish instanceof Add add) {
-            add.done().accept(true);
-          }
-        });
+    return batch;
+  }
+
+  private void written(InventoryBatch batch) {
+    LOG.debug("{} machines written", batch.updates().size());
+    batch
+        .updates()
+        .forEach(
+            (id, update) -> {
+              pending.remove(id, update); // one that has replaced it meanwhile stays
+              if (update instanceof PendingUpdate.Add add) {
+                add.decided().run();
+              }
+            });
   }
 }
