--- a/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -42,7 +42,8 @@
     this.workload = new WorkloadRate(context, types);
     this.health = new MachineHealth(context, workers, failures);
     this.listReconciler = new CloudListReconciler(context, term, workers, inventory, health);
-    this.scaleIn = new ScaleIn(context, term, workers, inventory, health, workload, reservedCpus);
+    this.scaleIn =
+        new ScaleIn(context, term, workers, ranges, inventory, health, workload, reservedCpus);
     DemandEstimator demand =
         new DemandEstimator(context, term, workers, ranges, failures, health, workload, types);
     this.scaleOut = new ScaleOut(context, term, workers, inventory, demand, workload);
--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -111,7 +111,7 @@
     // quota and inherited tasks for the former leader's lease and its own, and each of several
     // failovers in a row would begin that anew.
     if (missingLists.merge(worker.id(), 1, Integer::sum) >= GONE_AFTER_LISTS
-        && (worker.lastHeartbeatAt() < 0 || health.isSilent(worker, nowMs))) {
+        && (!worker.hasReported() || health.isSilent(worker, nowMs))) {
       if (!worker.isDraining()) {
         MachineHealth.drain(worker, "no longer listed");
       }
--- a/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
@@ -38,7 +38,7 @@
   /** Drains a machine that is of no use any more; returns whether it did. */
   boolean drainIfUseless(Worker worker, MachineType type, FleetStatus fleet, long nowMs) {
     checkForSlowTasks(worker, nowMs);
-    if (worker.lastHeartbeatAt() < 0
+    if (!worker.hasReported()
         && !worker.isUp()
         && worker.ageMs(nowMs) > type.bootS() * (MAX_BOOTS * 1000)) {
       drain(worker, "never came up");
@@ -68,7 +68,7 @@
   private void checkForSlowTasks(Worker worker, long nowMs) {
     for (TaskAttempt task : worker.attempts()) {
       if (task.state() == TaskAttempt.State.RUNNING) {
-        failures.crawled(task, nowMs);
+        failures.checkRunTime(task, nowMs);
       }
     }
   }
@@ -81,11 +81,11 @@
   /** Whether a worker that sends heartbeats has not received the answers to them for too long. */
   boolean isUnresponsive(Worker worker, long nowMs) {
     long leaseMs = context.settings().workerLeaseMs();
-    if (worker.unresponsiveSince() >= 0) {
+    if (worker.isUnresponsive()) {
       return workers.listenedFor(worker.unresponsiveSince(), nowMs) > leaseMs / 2;
     }
     return !worker.isReconciled()
-        && worker.lastHeartbeatAt() >= 0
+        && worker.hasReported()
         && workers.listenedFor(worker.since(), nowMs)
             > leaseMs + context.heartbeatIntervalsMs(RECONCILIATION_HEARTBEATS);
   }
--- a/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
@@ -8,6 +8,7 @@
 import org.fieldtrestle.protocol.CloudProtocol;
 import org.fieldtrestle.protocol.CloudProtocol.MachineType;
 import org.fieldtrestle.worker.LeadershipTerm;
+import org.fieldtrestle.worker.TaskRanges;
 import org.fieldtrestle.worker.Worker;
 import org.fieldtrestle.worker.WorkerRegistry;
 
@@ -36,6 +37,7 @@
   private final ControllerContext context;
   private final LeadershipTerm term;
   private final WorkerRegistry workers;
+  private final TaskRanges ranges;
   private final MachineInventory inventory;
   private final MachineHealth health;
   private final WorkloadRate workload;
@@ -46,6 +48,7 @@
       ControllerContext context,
       LeadershipTerm term,
       WorkerRegistry workers,
+      TaskRanges ranges,
       MachineInventory inventory,
       MachineHealth health,
       WorkloadRate workload,
@@ -53,6 +56,7 @@
     this.context = context;
     this.term = term;
     this.workers = workers;
+    this.ranges = ranges;
     this.inventory = inventory;
     this.health = health;
     this.workload = workload;
@@ -96,7 +100,7 @@
       }
       if (worker.isCordoned()) {
         cordoned.add(worker);
-      } else if (workers.usable(worker, nowMs)) {
+      } else if (workers.isUsable(worker, nowMs)) {
         open.add(worker);
         surplusCpus += type.cpus() - worker.usedCpus();
       }
@@ -171,7 +175,7 @@
   }
 
   private boolean mayBeReturned(Worker worker, long nowMs) {
-    if (worker.spotNoticeUntil() >= 0) {
+    if (worker.hasSpotNotice()) {
       // It is charged until the cloud takes it back, and may finish its tasks until then.
       return worker.empty()
           || (nowMs > worker.spotNoticeUntil() + context.heartbeatIntervalsMs(1)
@@ -189,9 +193,9 @@
     if (worker == null) {
       return;
     }
-    context.metrics().returned++;
+    context.metrics().countReturned();
     worker.markTerminated();
-    workers.loseTasks(worker, "returned (" + worker.drainReason() + ")");
+    ranges.outcomes().workerLost(worker, "returned (" + worker.drainReason() + ")");
     inventory.remove(id);
   }
 }
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -195,7 +195,7 @@
   }
 
   private void rented(List<String> machines, RentalRequest request, Offer offer) {
-    context.metrics().rented += machines.size();
+    context.metrics().countRented(machines.size());
     LOG.atInfo()
         .addKeyValue("count", machines.size())
         .addKeyValue("requested", request.count())
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -66,7 +66,7 @@
     for (Worker worker : workers.all()) {
       MachineType type = context.type(worker.machineType());
       if (type == null
-          || !workers.usable(worker, nowMs)
+          || !workers.isUsable(worker, nowMs)
           || hasStoppingTask(worker)
           || !victimSelector.hasPossibleVictim(worker, nowMs)) {
         continue;
@@ -104,9 +104,9 @@
 
   private void subtractStoppingTasks(PreemptionDemand demand, long nowMs) {
     for (Worker worker : workers.all()) {
-      if (workers.usable(worker, nowMs)) {
+      if (workers.isUsable(worker, nowMs)) {
         for (TaskAttempt task : worker.attempts()) {
-          if (task.live() && task.isStop()) {
+          if (task.live() && task.isStopping()) {
             demand.subtractStopping(task.cpus());
           }
         }
@@ -116,7 +116,7 @@
 
   private static boolean hasStoppingTask(Worker worker) {
     for (TaskAttempt task : worker.attempts()) {
-      if (task.live() && task.isStop()) {
+      if (task.live() && task.isStopping()) {
         return true;
       }
     }
@@ -182,7 +182,7 @@
 
   private void stop(TaskAttempt victim, JobSpec preemptedBy) {
     LOG.debug("task {} preempted by {} ({})", victim, preemptedBy.id(), preemptedBy.priority());
-    context.metrics().evicted++;
+    context.metrics().countEvicted();
     JobSpec spec = victim.range().spec();
     decisions.stop(victim, spec.hasCheckpoints() ? spec.saveS() : 0);
   }
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -150,8 +150,7 @@
     // From here on another shard may own these tasks at any time: they must not be started.
     BitSet moving = new BitSet();
     moving.set(cut - range.record().from(), range.record().size());
-    range.fresh().andNot(moving);
-    moving.stream().forEach(range.retries()::remove);
+    range.reserveForReassignment(moving);
     range.beginWrite();
     writing = true;
     LOG.debug("reassigning {} tasks of {} to {}", count, range.key(), shard);
@@ -161,9 +160,9 @@
         committed -> {
           writing = false;
           if (committed) {
-            ranges.written(range);
+            ranges.progress().endWrite(range);
           } else {
-            ranges.settle(range, moving);
+            ranges.progress().settleReassignment(range, moving);
           }
         });
   }
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -98,7 +98,8 @@
     if (groups.isEmpty()) {
       return;
     }
-    PlacementPass pass = new PlacementPass(nowMs, groups, workers.rooms(nowMs), reserve.cpus());
+    PlacementPass pass =
+        new PlacementPass(nowMs, groups, workers.freeResources(nowMs), reserve.cpus());
     // Workers that have the image come first: a task that would fetch must not take room that
     // another task, whose image is there, waits for as well.
     List<QueuedGroup<WaitingTasks>> withoutImage = place(pass, groups, true);
--- a/src/main/java/org/fieldtrestle/scheduling/VictimSelector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/VictimSelector.java
@@ -80,7 +80,10 @@
   }
 
   private static boolean mayBeStopped(TaskAttempt task) {
-    return task.live() && !task.isSpared() && task.range() != null && task.range().spec() != null;
+    return task.live()
+        && !task.isExemptFromPreemption()
+        && task.range() != null
+        && task.range().spec() != null;
   }
 
   /** Seconds since a task was placed: a fetch of its image is work that would be lost too. */
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -7,6 +7,7 @@
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Priority;
 import org.fieldtrestle.worker.CommandPolicy;
+import org.fieldtrestle.worker.Retry;
 import org.fieldtrestle.worker.TaskRange;
 import org.fieldtrestle.worker.TaskRanges;
 import org.fieldtrestle.worker.WorkerRegistry;
@@ -64,7 +65,7 @@
 
   private boolean mayStart(TaskRange range) {
     if (ranges.blocked(range)) {
-      policy.refused(StartRefusal.MACHINES_UNRESOLVED);
+      policy.countRefusal(StartRefusal.MACHINES_UNRESOLVED);
       return false;
     }
     return policy.mayStart(range);
@@ -120,14 +121,14 @@
   private void collectRetries(TaskRange range, long nowMs, List<QueuedGroup<WaitingTasks>> groups) {
     JobSpec spec = range.spec();
     for (var entry : range.retries().int2ObjectEntrySet()) {
-      TaskRange.Retry retry = entry.getValue();
+      Retry retry = entry.getValue();
       int offset = entry.getIntKey();
-      if (retry.notBefore <= nowMs && !workers.hasDuplicate(range, offset)) {
+      if (retry.notBefore() <= nowMs && !workers.hasDuplicate(range, offset)) {
         groups.add(
             new QueuedGroup<>(
                 new WaitingTasks(range, offset),
                 spec.priority(),
-                falcon.score(spec.estimateS(), scoredWaitS(range, retry.waitingSince, nowMs)),
+                falcon.score(spec.estimateS(), scoredWaitS(range, retry.waitingSince(), nowMs)),
                 1));
       }
     }
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
@@ -31,7 +31,8 @@
 
   /** For how many seconds the tasks have waited. */
   double waitedS(long nowMs) {
-    long sinceMs = neverPlaced() ? range.waitingSince() : range.retries().get(offset).waitingSince;
+    long sinceMs =
+        neverPlaced() ? range.waitingSince() : range.retries().get(offset).waitingSince();
     return (nowMs - sinceMs) / 1000.0;
   }
 }
