--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -52,7 +52,7 @@
 
   /** Plans the acceptance of a job by the present loads and epochs of the shards. */
   Plan plan(JobSpec spec) {
-    String zone = spec.oneZone() ? context.loads().roomiestZone(spec, allowedZones(spec)) : null;
+    String zone = spec.oneZone() ? context.loads().roomiestZone(allowedZones(spec)) : null;
     List<JobSplitter.Part> parts = split(spec, zone);
     Map<String, Long> epochs = epochsOfShards(parts);
     // One record holds the job and all its ranges; a range gets its own once it differs.
--- a/src/main/java/org/fieldtrestle/api/SubmissionHandler.java
+++ b/src/main/java/org/fieldtrestle/api/SubmissionHandler.java
@@ -145,7 +145,7 @@
   }
 
   private void onAccepted(JobSpec spec, AcceptancePlanner.Plan plan, long revision) {
-    context.loads().taken(spec, plan.parts());
+    context.loads().addAssigned(spec, plan.parts());
     context.stateCache().committed(plan.transaction().changes(), revision);
     LOG.debug(
         "job {} of class {} accepted in {} ranges",
--- a/src/main/java/org/fieldtrestle/controller/PeerBroadcaster.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerBroadcaster.java
@@ -39,7 +39,7 @@
     for (ShardLeader shard : shards.all()) {
       if (shard.isActive()) {
         PeerProtocol.ShardLoad load = shard.load();
-        context.loads().heard(load);
+        context.loads().update(load);
         broadcast(load);
       }
     }
--- a/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
@@ -54,7 +54,7 @@
       return; // delayed in the network: its sender's status may be another one now
     }
     if (message instanceof PeerProtocol.ShardLoad load && !shards.contains(load.shard())) {
-      context.loads().heard(load);
+      context.loads().update(load);
     } else if (message instanceof PeerProtocol.Liveness alive) {
       liveness.received(alive);
     } else if (message instanceof PeerProtocol.RedirectCount report) {
--- a/src/main/java/org/fieldtrestle/routing/JobSplitter.java
+++ b/src/main/java/org/fieldtrestle/routing/JobSplitter.java
@@ -8,100 +8,133 @@
 import java.util.TreeMap;
 import org.fieldtrestle.protocol.JobSpec;
 
-/** Splits a job into ranges over shards by their free room. */
+/** Splits a job into task ranges over shards by their free room and waiting work. */
 public final class JobSplitter {
+  /** Least CPUs by which a task is counted, as tasks may ask for none. */
+  private static final double MIN_CPUS = 0.1;
+
+  /** Steps per candidate in which tasks without free room are distributed. */
+  private static final int STEPS_PER_CANDIDATE = 4;
+
   private JobSplitter() {}
 
   /**
-   * A shard that may take tasks: how many it has room for now, what waits there already, and the
-   * CPUs of its machines.
+   * A shard that tasks may be assigned to.
+   *
+   * @param shard its name
+   * @param freeTasks how many of the job's tasks it has room for now
+   * @param waitingCpus CPUs of the tasks that wait there already
+   * @param capacityCpus CPUs of its machines
    */
   public record Candidate(String shard, int freeTasks, double waitingCpus, double capacityCpus) {
-    /** What waits, measured in all of its machines. */
+    /** Waiting work per CPU of its machines. */
     public double pressure() {
       return waitingCpus / Math.max(1, capacityCpus);
     }
   }
 
-  /** Tasks from {@code from} up to but without {@code to} for a shard. */
+  /**
+   * A range of tasks that is assigned to a shard.
+   *
+   * @param shard the shard's name
+   * @param from the first task
+   * @param to the task after the last one
+   * @param caps how many of these tasks may be in each zone at a time; empty if not limited
+   */
   public record Part(String shard, int from, int to, Map<String, Integer> caps) {}
 
   /**
-   * Free room first, most of it first, so that small jobs stay together and their image is fetched
-   * by few machines; what is left goes where least waits. No part holds more than {@code maxPart}.
+   * Splits a job. Free room is used first, most of it first, so that small jobs stay together and
+   * their image is fetched by few machines; remaining tasks go where least work waits.
+   *
+   * @param candidates at least one shard
+   * @param maxPart the most tasks that a part may hold
+   * @param zones all zones of the cluster
    */
   public static List<Part> split(
       JobSpec spec, List<Candidate> candidates, int maxPart, List<String> zones) {
+    List<Candidate> byFreeTasks = new ArrayList<>(candidates);
+    byFreeTasks.sort(Comparator.comparingInt(Candidate::freeTasks).reversed());
+    Map<String, Integer> counts = tasksByShard(spec, byFreeTasks);
+    List<Part> parts = new ArrayList<>();
+    int from = 0;
+    for (Candidate candidate : byFreeTasks) {
+      int left = counts.getOrDefault(candidate.shard(), 0);
+      while (left > 0) {
+        int to = from + Math.min(left, maxPart);
+        parts.add(new Part(candidate.shard(), from, to, caps(spec, from, to, zones)));
+        left -= to - from;
+        from = to;
+      }
+    }
+    return parts;
+  }
+
+  /** How many tasks each shard is assigned. */
+  private static Map<String, Integer> tasksByShard(JobSpec spec, List<Candidate> byFreeTasks) {
     Map<String, Integer> counts = new HashMap<>();
-    List<Candidate> byRoom = new ArrayList<>(candidates);
-    byRoom.sort(Comparator.comparingInt(Candidate::freeTasks).reversed());
-    int left = spec.tasks();
     if (spec.spread() || spec.kind() == JobSpec.Kind.GANG) {
-      // In small parts a zone limit would round to nothing, and a gang starts as a whole: such a
+      // A zone limit would round to nothing in small parts, and a gang starts as a whole: such a
       // job stays with one shard.
-      counts.put(byRoom.get(0).shard(), left);
-      left = 0;
+      counts.put(byFreeTasks.get(0).shard(), spec.tasks());
+      return counts;
     }
-    for (Candidate candidate : byRoom) {
-      int taken = Math.min(left, Math.max(0, candidate.freeTasks()));
-      if (taken > 0) {
-        counts.merge(candidate.shard(), taken, Integer::sum);
-        left -= taken;
+    int left = spec.tasks();
+    for (Candidate candidate : byFreeTasks) {
+      int assigned = Math.min(left, Math.max(0, candidate.freeTasks()));
+      if (assigned > 0) {
+        counts.merge(candidate.shard(), assigned, Integer::sum);
+        left -= assigned;
       }
     }
-    spread(spec, byRoom, counts, left);
-    List<Part> parts = new ArrayList<>();
-    int from = 0;
-    for (Candidate candidate : byRoom) {
-      int count = counts.getOrDefault(candidate.shard(), 0);
-      while (count > 0) {
-        int size = Math.min(count, maxPart);
-        parts.add(
-            new Part(candidate.shard(), from, from + size, caps(spec, from, from + size, zones)));
-        from += size;
-        count -= size;
-      }
+    if (left > 0) {
+      levelWaitingWork(spec, byFreeTasks, left, counts);
     }
-    return parts;
+    return counts;
   }
 
-  /** Levels what waits: each next bite goes where least waits for its CPUs. */
-  private static void spread(
-      JobSpec spec, List<Candidate> candidates, Map<String, Integer> counts, int left) {
-    if (left == 0) {
-      return;
-    }
-    double cpus = Math.max(spec.cpus(), 0.1);
-    Map<String, Double> waiting = new HashMap<>();
-    candidates.forEach(c -> waiting.put(c.shard(), c.waitingCpus()));
-    // One with few machines rents for what it is given. Were it given little for having few, the
-    // first to rent would get nearly all the work, and so nearly all the machines.
-    double usual = 0;
+  /** Assigns tasks in steps, each to the shard with the least waiting work per CPU then. */
+  private static void levelWaitingWork(
+      JobSpec spec, List<Candidate> candidates, int tasks, Map<String, Integer> counts) {
+    double cpus = Math.max(spec.cpus(), MIN_CPUS);
+    Map<String, Double> waitingCpus = new HashMap<>();
+    double averageCapacity = 0;
     for (Candidate candidate : candidates) {
-      usual += candidate.capacityCpus() / candidates.size();
+      waitingCpus.put(candidate.shard(), candidate.waitingCpus());
+      averageCapacity += candidate.capacityCpus() / candidates.size();
     }
-    double floor = Math.max(cpus, usual);
-    int bite = Math.max(1, left / (4 * candidates.size()));
+    // A shard with few machines counts as average, as it rents for what it is assigned. If it were
+    // assigned little, the first shard to rent would get nearly all work, and so all machines.
+    double minCapacity = Math.max(cpus, averageCapacity);
+    int step = Math.max(1, tasks / (STEPS_PER_CANDIDATE * candidates.size()));
+    int left = tasks;
     while (left > 0) {
-      Candidate least = candidates.get(0);
-      for (Candidate candidate : candidates) {
-        if (waiting.get(candidate.shard()) / Math.max(floor, candidate.capacityCpus())
-            < waiting.get(least.shard()) / Math.max(floor, least.capacityCpus())) {
-          least = candidate;
-        }
+      String shard = leastPressured(candidates, waitingCpus, minCapacity);
+      int assigned = Math.min(step, left);
+      counts.merge(shard, assigned, Integer::sum);
+      waitingCpus.merge(shard, assigned * cpus, Double::sum);
+      left -= assigned;
+    }
+  }
+
+  private static String leastPressured(
+      List<Candidate> candidates, Map<String, Double> waitingCpus, double minCapacity) {
+    Candidate least = candidates.get(0);
+    for (Candidate candidate : candidates) {
+      if (waitingCpus.get(candidate.shard()) / Math.max(minCapacity, candidate.capacityCpus())
+          < waitingCpus.get(least.shard()) / Math.max(minCapacity, least.capacityCpus())) {
+        least = candidate;
       }
-      int taken = Math.min(bite, left);
-      counts.merge(least.shard(), taken, Integer::sum);
-      waiting.merge(least.shard(), taken * cpus, Double::sum);
-      left -= taken;
     }
+    return least.shard();
   }
 
   /**
    * How many of the tasks from..to may be in each zone at a time, so that the caps of all ranges
-   * together keep to the job's. Each gets its proportional part, rounded so that they sum exactly.
+   * together keep to the job's zone limit. Each range gets its proportional part, rounded so that
+   * they add up exactly.
    */
-  static Map<String, Integer> caps(JobSpec spec, int from, int to, List<String> zones) {
+  private static Map<String, Integer> caps(JobSpec spec, int from, int to, List<String> zones) {
     if (!spec.spread()) {
       return Map.of();
     }
--- a/src/main/java/org/fieldtrestle/routing/ShardLoads.java
+++ b/src/main/java/org/fieldtrestle/routing/ShardLoads.java
@@ -3,138 +3,175 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.PeerProtocol;
 import org.fieldtrestle.transport.Reactor;
 
-/** How the shards stand, as far as their controllers have told lately. */
+/**
+ * The loads of all shards, as their leaders have reported them lately, plus what this controller
+ * has assigned to them since.
+ */
 public final class ShardLoads {
-  private static final class Known {
-    PeerProtocol.ShardLoad load;
-    long at;
-    double cpusTaken;
+  /** The most tasks that are counted for one report, as a task may ask for no resources. */
+  private static final double MAX_FREE_TASKS = 1e6;
+
+  /** The last report of a shard's leader. */
+  private static final class Report {
+    private PeerProtocol.ShardLoad load;
+    private long receivedAtMs;
+
+    /** CPUs of tasks that were assigned to the shard since the report. */
+    private double assignedCpus;
+
+    private Report(PeerProtocol.ShardLoad load) {
+      this.load = load;
+    }
   }
 
   private final Reactor reactor;
-  private final String self;
-  private final long freshMs;
-  private final Map<String, Known> known = new TreeMap<>();
+  private final String ownShard;
+  private final long maxAgeMs;
+  private final Map<String, Report> reports = new TreeMap<>();
 
   /**
-   * @param freshMs a shard not heard of for so long is given nothing
+   * Sets up the loads; none is known at first.
+   *
+   * @param ownShard the shard that is named after this controller
+   * @param maxAgeMs age in ms after which a report is out of date, so that its shard is assigned
+   *     nothing
    */
-  public ShardLoads(Reactor reactor, String self, long freshMs) {
+  public ShardLoads(Reactor reactor, String ownShard, long maxAgeMs) {
     this.reactor = reactor;
-    this.self = self;
-    this.freshMs = freshMs;
+    this.ownShard = ownShard;
+    this.maxAgeMs = maxAgeMs;
   }
 
-  /** An older epoch's or a repeated frame costs nothing: the next replaces it. */
-  public void heard(PeerProtocol.ShardLoad load) {
-    Known one = known.computeIfAbsent(load.shard(), m -> new Known());
-    if (one.load != null && load.epoch() < one.load.epoch()) {
+  /** Takes a report of a shard's leader, unless one of a later epoch was received before. */
+  public void update(PeerProtocol.ShardLoad load) {
+    Report report = reports.computeIfAbsent(load.shard(), shard -> new Report(load));
+    if (load.epoch() < report.load.epoch()) {
       return;
     }
-    one.load = load;
-    one.at = reactor.now();
-    one.cpusTaken = 0;
+    report.load = load;
+    report.receivedAtMs = reactor.now();
+    report.assignedCpus = 0;
   }
 
-  private boolean fresh(Known one) {
-    return reactor.now() - one.at <= freshMs;
+  private boolean isFresh(Report report) {
+    return reactor.now() - report.receivedAtMs <= maxAgeMs;
   }
 
-  /** Those that may be given ranges; our own shard where none is known. */
+  /**
+   * The shards that tasks of a job may be assigned to; this controller's own where no load is
+   * known.
+   *
+   * @param zone the only zone that free resources count in; null if all zones do
+   */
   public List<JobSplitter.Candidate> candidates(JobSpec spec, String zone) {
-    List<JobSplitter.Candidate> all = new ArrayList<>();
-    for (Map.Entry<String, Known> entry : known.entrySet()) {
-      Known one = entry.getValue();
-      if (!fresh(one)) {
-        continue;
-      }
-      int free = 0;
-      for (PeerProtocol.FreeCapacity room : one.load.rooms()) {
-        if ((zone == null || zone.equals(room.zone()))
-            && (spec.zone() == null || spec.zone().equals(room.zone()))) {
-          free += tasksIn(room, spec, one.cpusTaken);
-        }
+    List<JobSplitter.Candidate> candidates = new ArrayList<>();
+    for (Map.Entry<String, Report> entry : reports.entrySet()) {
+      Report report = entry.getValue();
+      if (isFresh(report)) {
+        candidates.add(
+            new JobSplitter.Candidate(
+                entry.getKey(),
+                freeTasks(report, spec, zone),
+                report.load.waitingCpus() + report.assignedCpus,
+                report.load.capacityCpus()));
       }
-      all.add(
-          new JobSplitter.Candidate(
-              entry.getKey(),
-              free,
-              one.load.waitingCpus() + one.cpusTaken,
-              one.load.capacityCpus()));
     }
-    if (all.isEmpty()) {
-      all.add(new JobSplitter.Candidate(self, 0, 0, 0));
+    if (candidates.isEmpty()) {
+      candidates.add(new JobSplitter.Candidate(ownShard, 0, 0, 0));
     }
-    return all;
+    return candidates;
   }
 
-  private static int tasksIn(PeerProtocol.FreeCapacity room, JobSpec spec, double taken) {
-    double most = 1e6;
+  /** How many tasks of a job a shard has room for, in the zones where they may run. */
+  private static int freeTasks(Report report, JobSpec spec, String zone) {
+    int tasks = 0;
+    for (PeerProtocol.FreeCapacity free : report.load.rooms()) {
+      if ((zone == null || zone.equals(free.zone()))
+          && (spec.zone() == null || spec.zone().equals(free.zone()))) {
+        tasks += freeTasks(free, spec, report.assignedCpus);
+      }
+    }
+    return tasks;
+  }
+
+  private static int freeTasks(PeerProtocol.FreeCapacity free, JobSpec spec, double assignedCpus) {
+    double tasks = MAX_FREE_TASKS;
     if (spec.cpus() > 0) {
-      most = Math.min(most, (room.cpus() - taken) / spec.cpus());
+      tasks = Math.min(tasks, (free.cpus() - assignedCpus) / spec.cpus());
     }
     if (spec.gpus() > 0) {
-      most = Math.min(most, room.gpus() / spec.gpus());
+      tasks = Math.min(tasks, free.gpus() / spec.gpus());
     }
     if (spec.memoryGb() > 0) {
-      most = Math.min(most, room.memoryGb() / spec.memoryGb());
+      tasks = Math.min(tasks, free.memoryGb() / spec.memoryGb());
     }
-    return (int) Math.max(0, Math.floor(most));
+    return (int) Math.max(0, Math.floor(tasks));
   }
 
-  /** The CPUs of all shards' machines but one's. */
-  public double capacityOfOthers(String except) {
+  /** The CPUs of the machines of all shards but one. */
+  public double capacityOfOthers(String shard) {
     double sum = 0;
-    for (Map.Entry<String, Known> entry : known.entrySet()) {
-      if (!entry.getKey().equals(except) && fresh(entry.getValue())) {
+    for (Map.Entry<String, Report> entry : reports.entrySet()) {
+      if (!entry.getKey().equals(shard) && isFresh(entry.getValue())) {
         sum += entry.getValue().load.capacityCpus();
       }
     }
     return sum;
   }
 
-  /** The fresh shard other than this one where least waits for its CPUs; null if there is none. */
-  public JobSplitter.Candidate leastLoaded(JobSpec spec, String zone, String except) {
+  /**
+   * The shard with room for most tasks of a job, or with the least waiting work per CPU where that
+   * is the same.
+   *
+   * @param zone the only zone that free resources count in; null if all zones do
+   * @param except a shard that is left out
+   * @return empty if the load of no other shard is known
+   */
+  public Optional<JobSplitter.Candidate> leastLoaded(JobSpec spec, String zone, String except) {
     JobSplitter.Candidate best = null;
-    for (JobSplitter.Candidate one : candidates(spec, zone)) {
-      if (one.shard().equals(except) || !known.containsKey(one.shard())) {
+    for (JobSplitter.Candidate candidate : candidates(spec, zone)) {
+      if (candidate.shard().equals(except) || !reports.containsKey(candidate.shard())) {
         continue;
       }
       if (best == null
-          || one.freeTasks() > best.freeTasks()
-          || one.freeTasks() == best.freeTasks() && one.pressure() < best.pressure()) {
-        best = one;
+          || candidate.freeTasks() > best.freeTasks()
+          || (candidate.freeTasks() == best.freeTasks()
+              && candidate.pressure() < best.pressure())) {
+        best = candidate;
       }
     }
-    return best;
+    return Optional.ofNullable(best);
   }
 
-  /** What was handed out since a shard last told counts as taken. */
-  public void taken(JobSpec spec, List<JobSplitter.Part> parts) {
+  /** Counts tasks as taken until their shard's next report. */
+  public void addAssigned(JobSpec spec, List<JobSplitter.Part> parts) {
     for (JobSplitter.Part part : parts) {
-      Known one = known.get(part.shard());
-      if (one != null) {
-        one.cpusTaken += (part.to() - part.from()) * spec.cpus();
+      Report report = reports.get(part.shard());
+      if (report != null) {
+        report.assignedCpus += (part.to() - part.from()) * spec.cpus();
       }
     }
   }
 
-  /** The zone with most free CPUs, of those in which the job may be. */
-  public String roomiestZone(JobSpec spec, List<String> zones) {
-    Map<String, Double> free = new TreeMap<>();
-    for (Known one : known.values()) {
-      if (fresh(one)) {
-        one.load.rooms().forEach(room -> free.merge(room.zone(), room.cpus(), Double::sum));
+  /** The zone with most free CPUs, out of at least one. */
+  public String roomiestZone(List<String> zones) {
+    Map<String, Double> freeCpus = new TreeMap<>();
+    for (Report report : reports.values()) {
+      if (isFresh(report)) {
+        for (PeerProtocol.FreeCapacity free : report.load.rooms()) {
+          freeCpus.merge(free.zone(), free.cpus(), Double::sum);
+        }
       }
     }
     String best = zones.get(0);
     for (String zone : zones) {
-      if (free.getOrDefault(zone, 0.0) > free.getOrDefault(best, 0.0)) {
+      if (freeCpus.getOrDefault(zone, 0.0) > freeCpus.getOrDefault(best, 0.0)) {
         best = zone;
       }
     }
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
+import java.util.Optional;
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.KeyValueProtocol;
@@ -113,8 +114,13 @@
 
   private boolean reassign(TaskRange range, int tail, double waitingCpus, double capacityCpus) {
     String zone = range.zone() != null ? range.zone() : range.spec().zone();
-    JobSplitter.Candidate target = context.loads().leastLoaded(range.spec(), zone, term.shard());
-    if (target == null || context.stateCache().shard(target.shard()) == null) {
+    Optional<JobSplitter.Candidate> leastLoaded =
+        context.loads().leastLoaded(range.spec(), zone, term.shard());
+    if (leastLoaded.isEmpty()) {
+      return false;
+    }
+    JobSplitter.Candidate target = leastLoaded.get();
+    if (context.stateCache().shard(target.shard()) == null) {
       return false;
     }
     int count = Math.min(tail, tasksToMove(range, target, waitingCpus, capacityCpus));
--- a/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
+++ b/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
@@ -12,6 +12,7 @@
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Priority;
 
+/** Splits of jobs over shards with random free room. */
 class JobSplitterTest {
   private static JobSpec job(int tasks, boolean spread) {
     return new JobSpec(
