--- a/src/main/java/org/fieldtrestle/api/AdmissionCheck.java
+++ b/src/main/java/org/fieldtrestle/api/AdmissionCheck.java
@@ -30,7 +30,7 @@
 
   private static boolean exceedsQuota(JobSpec spec, Settings.Team team) {
     int simultaneousTasks = spec.whole() ? spec.tasks() : 1;
-    return team.cpusMax() > 0 && spec.cpus() * simultaneousTasks > team.cpusMax()
-        || team.gpusMax() > 0 && spec.gpus() * simultaneousTasks > team.gpusMax();
+    return (team.cpusMax() > 0 && spec.cpus() * simultaneousTasks > team.cpusMax())
+        || (team.gpusMax() > 0 && spec.gpus() * simultaneousTasks > team.gpusMax());
   }
 }
--- a/src/main/java/org/fieldtrestle/api/FinishedJobs.java
+++ b/src/main/java/org/fieldtrestle/api/FinishedJobs.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -56,7 +57,7 @@
       new BoundedCache<>(MAX_CACHED_JOBS);
 
   /** Callbacks of queries for which no read has been sent yet, by the key of the finished job. */
-  private TreeMap<String, List<Consumer<Outcome>>> pendingQueries = new TreeMap<>();
+  private NavigableMap<String, List<Consumer<Outcome>>> pendingQueries = new TreeMap<>();
 
   private boolean readEnqueued;
 
@@ -92,8 +93,8 @@
     pendingQueries.computeIfAbsent(key, k -> new ArrayList<>()).addAll(callbacks);
   }
 
-  private TreeMap<String, List<Consumer<Outcome>>> takePending() {
-    TreeMap<String, List<Consumer<Outcome>>> taken = pendingQueries;
+  private NavigableMap<String, List<Consumer<Outcome>>> takePending() {
+    NavigableMap<String, List<Consumer<Outcome>>> taken = pendingQueries;
     pendingQueries = new TreeMap<>();
     return taken;
   }
@@ -111,14 +112,14 @@
 
   private void sendRead() {
     readEnqueued = false;
-    TreeMap<String, List<Consumer<Outcome>>> queries = takePending();
+    NavigableMap<String, List<Consumer<Outcome>>> queries = takePending();
     String pageStart = pageStart(queries);
     int pageSize = Math.min(KeyValueClient.MAX_PAGE, ENTRIES_PER_PENDING_JOB * queries.size());
     store.list(
         Records.FINAL, keyBefore(pageStart), pageSize, page -> onPage(queries, pageStart, page));
   }
 
-  private String pageStart(TreeMap<String, List<Consumer<Outcome>>> queries) {
+  private String pageStart(NavigableMap<String, List<Consumer<Outcome>>> queries) {
     String next = queries.ceilingKey(nextPageStart);
     return next != null ? next : queries.firstKey();
   }
@@ -130,7 +131,7 @@
   }
 
   private void onPage(
-      TreeMap<String, List<Consumer<Outcome>>> queries,
+      NavigableMap<String, List<Consumer<Outcome>>> queries,
       String pageStart,
       KeyValueProtocol.Listing page) {
     if (page == null) {
--- a/src/main/java/org/fieldtrestle/api/ReadBarrier.java
+++ b/src/main/java/org/fieldtrestle/api/ReadBarrier.java
@@ -48,7 +48,7 @@
     }
 
     boolean satisfiedBy(long appliedRevision, long freshAsOfMs) {
-      return requestedAtMs < freshAsOfMs || !revisionUnknown() && revision <= appliedRevision;
+      return requestedAtMs < freshAsOfMs || (!revisionUnknown() && revision <= appliedRevision);
     }
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -4,20 +4,20 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.SplittableRandom;
 import org.fieldtrestle.transport.HttpClient;
 import org.junit.jupiter.api.Test;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Many running jobs are cancelled within a fifth of a second, and the state service begins to fail
- * at one moment after another of that time and the next: once what a controller may not have heard
- * of is bounded by its fence, no task of theirs is started, whichever step the failure falls
- * between.
+ * Many running jobs are cancelled within a fifth of a second, and the key-value store begins to
+ * fail at one moment after another of that time and the next. Once the leadership fence bounds what
+ * a controller may not have heard of, no task of theirs is started, whichever step the failure
+ * falls between.
  *
- * <p>By hand, more machines or other steps: {@code mvn -B test -Dtest=CancellationSweepTest
- * -Dsweep.machines=4000 -DargLine=-Xmx6g}.
+ * <p>By hand, more machines or other steps, with the figures of each step in {@code
+ * target/surefire-reports}: {@code mvn -o -B test -Dtest=CancellationSweepTest -DargLine="-Xmx6g
+ * -Dsweep.machines=4000 -Dorg.slf4j.simpleLogger.log.org.fieldtrestle.simulation=info"}.
  */
 class CancellationSweepTest {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationSweepTest.class);
@@ -32,24 +32,24 @@
   private static final long SETTLED_MS = 90_000;
   private static final long AFTERWARDS_MS = 40_000;
 
-  /** What the state service does, given the cluster and for how long. */
+  /** A failure of the key-value store for some time. */
   private interface Failure {
     void begin(SimulatedCluster cluster, long ms);
   }
 
   @Test
-  void whereTheStateServiceRefusesEverybody() {
-    sweep((cluster, ms) -> cluster.state.outage(ms));
+  void cancelledTasksStayStoppedWhenTheStoreRefusesEverybody() {
+    sweep((cluster, ms) -> cluster.store.outage(ms));
   }
 
   @Test
-  void whereTheStateServiceRefusesOneController() {
-    sweep((cluster, ms) -> cluster.isolate("trestle-" + cluster.time.between(0, 2), ms));
+  void cancelledTasksStayStoppedWhenTheStoreRefusesOneController() {
+    sweep((cluster, ms) -> cluster.faults.refuse("trestle-" + cluster.time.between(0, 2), ms));
   }
 
   @Test
-  void whereTheStateServiceIsSlow() {
-    sweep((cluster, ms) -> cluster.net.slow(SimulatedCluster.STATE, 700, ms));
+  void cancelledTasksStayStoppedWhenTheStoreIsSlow() {
+    sweep((cluster, ms) -> cluster.network.slow(ClusterLayout.STORE_ADDRESS, 700, ms));
   }
 
   private static void sweep(Failure failure) {
@@ -62,54 +62,66 @@
 
   private static void play(Failure failure, int offsetMs, List<String> failed) {
     SimulatedCluster cluster =
-        new SimulatedCluster(
-            new SplittableRandom(offsetMs + 1), MACHINES, Deployment.timberFleet());
-    cluster.net.largestAnswer = HttpClient.MAX_RESPONSE;
-    List<SimulatedCluster.Job> jobs = submitJobs(cluster);
+        SimulatedCluster.builder()
+            .seed(offsetMs + 1)
+            .machines(MACHINES)
+            .deployment(Deployment.timberFleet())
+            .start();
+    cluster.network.limitAnswers(HttpClient.MAX_RESPONSE);
+    List<SimulatedJob> jobs = submitJobs(cluster);
     cluster.time.runUntil(SETTLED_MS);
-    List<SimulatedCluster.Job> running =
-        jobs.stream().filter(job -> cluster.rules.on(job.id) > 0).limit(CANCELLED).toList();
+    List<SimulatedJob> running =
+        jobs.stream()
+            .filter(job -> cluster.invariants.runningTasksOf(job.id()) > 0)
+            .limit(CANCELLED)
+            .toList();
     assertEquals(CANCELLED, running.size(), "enough jobs run");
     long failsMs = cluster.cancelMs + 12_000;
-    cluster.trouble(failsMs + offsetMs);
+    cluster.faults.note(failsMs + offsetMs);
     for (int i = 0; i < CANCELLED; i++) {
-      SimulatedCluster.Job job = running.get(i);
-      cluster.time.after(i * CANCELLED_WITHIN_MS / CANCELLED, () -> cluster.cancel(job));
+      SimulatedJob job = running.get(i);
+      cluster.time.after(i * CANCELLED_WITHIN_MS / CANCELLED, () -> cluster.users.cancel(job));
     }
     cluster.time.after(offsetMs, () -> failure.begin(cluster, failsMs));
     cluster.time.runUntil(SETTLED_MS + failsMs + AFTERWARDS_MS);
+    addFailures(cluster, running, offsetMs, failed);
+  }
+
+  private static void addFailures(
+      SimulatedCluster cluster, List<SimulatedJob> cancelled, int offsetMs, List<String> failed) {
+    List<String> violations = cluster.invariants.violations();
+    long lastStartMs = cluster.invariants.lastStartOrderedAfterCancellationMs();
+    LOG.atInfo()
+        .addKeyValue("offsetMs", offsetMs)
+        .addKeyValue("startsOrdered", cluster.invariants.startsOrderedAfterCancellation())
+        .addKeyValue("lastAfterMs", lastStartMs)
+        .addKeyValue("violations", violations.stream().limit(5).toList())
+        .log("sweep step is over");
     String where = "failing from " + offsetMs + " ms on";
-    LOG.info(
-        "{}: {} starts ordered after a confirmation, the latest {} ms after, broken {}",
-        where,
-        cluster.rules.orderedAfterCancel,
-        cluster.rules.orderedLatestAfterCancelMs,
-        cluster.rules.broken.stream().limit(5).toList());
-    if (!cluster.rules.broken.isEmpty()) {
-      failed.add(
-          where + ": " + cluster.rules.broken.size() + " times " + cluster.rules.broken.get(0));
+    if (!violations.isEmpty()) {
+      failed.add(where + ": " + violations.size() + " times " + violations.get(0));
     }
-    if (cluster.rules.orderedLatestAfterCancelMs > cluster.cancelMs - cluster.leaseMs) {
-      failed.add(where + ": a start after " + cluster.rules.orderedLatestAfterCancelMs + " ms");
+    if (lastStartMs > cluster.cancelMs - cluster.leaseMs) {
+      failed.add(where + ": a start after " + lastStartMs + " ms");
     }
-    for (SimulatedCluster.Job job : running) {
-      if (cluster.rules.on(job.id) > 0) {
-        failed.add(where + ": " + job.id + " is still on machines");
+    for (SimulatedJob job : cancelled) {
+      if (cluster.invariants.runningTasksOf(job.id()) > 0) {
+        failed.add(where + ": " + job.id() + " is still on machines");
       }
     }
   }
 
-  private static List<SimulatedCluster.Job> submitJobs(SimulatedCluster cluster) {
+  private static List<SimulatedJob> submitJobs(SimulatedCluster cluster) {
     int tasks = MACHINES * SimulatedCloud.CPUS / CPUS_PER_TASK / JOBS;
-    List<SimulatedCluster.Job> jobs = new ArrayList<>();
+    List<SimulatedJob> jobs = new ArrayList<>();
     for (int i = 1; i <= JOBS; i++) {
       jobs.add(
-          cluster.submit(
+          cluster.users.submit(
               "job-" + i,
               job -> {
-                job.tasks = tasks;
-                job.cpus = CPUS_PER_TASK;
-                job.runMs = LONG_RUN_MS;
+                job.tasks(tasks);
+                job.cpus(CPUS_PER_TASK);
+                job.runMs(LONG_RUN_MS);
               }));
     }
     return jobs;
--- /dev/null
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
@@ -0,0 +1,87 @@
+package org.fieldtrestle.simulation;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.IntFunction;
+import org.fieldtrestle.config.Settings;
+
+/** Names, addresses and settings of the processes of a simulated cluster. */
+final class ClusterLayout {
+  static final String STORE_ADDRESS = "10.2.0.1:2379";
+  static final String CLOUD_ADDRESS = "10.2.0.2:8443";
+
+  /** The controllers, by their labels. */
+  static final List<String> LABELS = List.of("trestle-0", "trestle-1", "trestle-2");
+
+  /** The zone of the key-value store, the cloud and the users. */
+  static final String REGIONAL = "regional";
+
+  /** The worker on the machine that was rented as the n-th. */
+  static final IntFunction<String> WORKER_ADDRESS =
+      number -> "10.1." + number / 250 + "." + (number % 250 + 1) + ":9000";
+
+  /** The team that has a quota. */
+  static final String LIMITED_TEAM = "limited";
+
+  static final double LIMITED_TEAM_CPUS = 40;
+
+  private ClusterLayout() {}
+
+  /** Where a controller serves users and workers. */
+  static String address(String label) {
+    return "10.0.0." + number(label) + ":8080";
+  }
+
+  private static String peerAddress(String label) {
+    return "10.0.0." + number(label) + ":8081";
+  }
+
+  private static char number(String label) {
+    return label.charAt(label.length() - 1);
+  }
+
+  /** The controller that serves the others at an address. */
+  static String labelOfPeer(String peerAddress) {
+    return "trestle-" + peerAddress.charAt(peerAddress.indexOf(':') - 1);
+  }
+
+  static String zone(String label) {
+    return label.endsWith("1") ? "b" : "a";
+  }
+
+  /** The CPUs that a team may use at a time. */
+  static double quotaCpus(String team) {
+    return team.equals(LIMITED_TEAM) ? LIMITED_TEAM_CPUS : Double.MAX_VALUE;
+  }
+
+  /** The settings of a controller. */
+  static Settings settings(String label, Deployment deployment) {
+    List<Settings.Peer> peers = new ArrayList<>();
+    for (String other : LABELS) {
+      if (!other.equals(label)) {
+        peers.add(new Settings.Peer(other, zone(other), peerAddress(other)));
+      }
+    }
+    return new Settings(
+        label,
+        zone(label),
+        "0.0.0.0:1",
+        peerAddress(label),
+        peers,
+        CLOUD_ADDRESS,
+        STORE_ADDRESS,
+        List.of("a", "b"),
+        100,
+        List.of(
+            new Settings.Team(LIMITED_TEAM, 16, LIMITED_TEAM_CPUS, 0, 0),
+            new Settings.Team("open", 16, 0, 0, 0)),
+        List.of(new Settings.Objective("wait", "rush", 0.9, 1, 5)),
+        new Settings.Workers(
+            deployment.heartbeatIntervalsMs() / 1000.0,
+            deployment.leaseMs() / 1000.0,
+            deployment.cancelMs() / 1000.0),
+        deployment.state(),
+        deployment.cloud(),
+        deployment.limits());
+  }
+}
--- a/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
@@ -13,8 +13,8 @@
 /**
  * Incident: cancelled tasks were started again at production size.
  *
- * <p>Seen: a job was confirmed as cancelled, the state service was out for 75 s, and just after the
- * outage five tasks of the job were started once more and stopped 130 ms later.
+ * <p>Seen: a job was confirmed as cancelled, the key-value store was out for 75 s, and just after
+ * the outage five tasks of the job were started once more and stopped 130 ms later.
  *
  * <p>How it came about: the controller that confirmed the cancellation also led the job's range. It
  * learned of the end of the job by the answer to its own commit, the outage began before its next
@@ -31,12 +31,14 @@
 
   private static final int MACHINES = 90;
 
-  /** Each fills a machine, so that after an outage many machines report within a moment. */
+  /**
+   * Each fills a machine, so that after an outage many machines send heartbeats within a moment.
+   */
   private static final int TASKS = 60;
 
   private static final long LONG_RUN_MS = 400_000;
 
-  /** Within the time-out of a request to the state service, and well after the next watches. */
+  /** Within the time-out of a request to the key-value store, and well after the next watches. */
   private static final long ANSWER_LATE_MS = 1200;
 
   /** After how long the fleet is up and everything runs. */
@@ -46,10 +48,10 @@
     for (Deployment deployment : Deployment.smallOfEachKind()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
         SimulatedCluster cluster =
-            new SimulatedCluster(new SplittableRandom(seed), MACHINES, deployment);
+            SimulatedCluster.builder().seed(seed).machines(MACHINES).deployment(deployment).start();
         scenario.accept(cluster);
         String where = "seed " + seed + ", lease " + deployment.leaseMs();
-        assertEquals(List.of(), cluster.rules.broken, where);
+        assertEquals(List.of(), cluster.invariants.violations(), where);
       }
     }
   }
@@ -58,26 +60,27 @@
    * A job whose ranges its own record alone names: they get records of their own in the transaction
    * that cancels it. As its tasks are spread over the zones, none is handed on while it waits.
    */
-  private static SimulatedCluster.Job runningJob(SimulatedCluster cluster) {
-    SimulatedCluster.Job job =
-        cluster.submit(
+  private static SimulatedJob runningJob(SimulatedCluster cluster) {
+    SimulatedJob job =
+        cluster.users.submit(
             "job-1",
             one -> {
-              one.tasks = TASKS;
-              one.cpus = SimulatedCloud.CPUS;
-              one.runMs = LONG_RUN_MS;
-              one.spread = true;
+              one.tasks(TASKS);
+              one.cpus(SimulatedCloud.CPUS);
+              one.runMs(LONG_RUN_MS);
+              one.spread(true);
             });
     run(cluster, SETTLED_MS);
-    assertTrue(cluster.rules.on(job.id) >= TASKS / 2, "it runs");
+    assertTrue(cluster.invariants.runningTasksOf(job.id()) >= TASKS / 2, "it runs");
     assertEquals(
-        0, cluster.state.rangeRecordsOf(job.id), "its ranges have no records of their own");
+        0, cluster.store.rangeRecordsOf(job.id()), "its ranges have no records of their own");
     return job;
   }
 
-  private static void assertNoneStarted(SimulatedCluster cluster, SimulatedCluster.Job job) {
-    assertEquals(0, cluster.rules.on(job.id));
-    assertEquals(0, cluster.rules.orderedAfterCancel, "started after the confirmation");
+  private static void assertNoneStarted(SimulatedCluster cluster, SimulatedJob job) {
+    assertEquals(0, cluster.invariants.runningTasksOf(job.id()));
+    assertEquals(
+        0, cluster.invariants.startsOrderedAfterCancellation(), "started after the confirmation");
   }
 
   private static void run(SimulatedCluster cluster, long ms) {
@@ -85,7 +88,7 @@
   }
 
   private static boolean endsAJob(String path, byte[] body) {
-    return path.equals("/commit") && new String(body).contains("ft/final/");
+    return path.equals("/commit") && new String(body, StandardCharsets.UTF_8).contains("ft/final/");
   }
 
   /**
@@ -96,10 +99,10 @@
    * @return counts the pages of the state that the controller reads from then on
    */
   private static AtomicInteger cancelUnwatched(
-      SimulatedCluster cluster, SimulatedCluster.Job job, Runnable confirmed) {
+      SimulatedCluster cluster, SimulatedJob job, Runnable confirmed) {
     String leader = cluster.leaderOf(job);
     AtomicInteger pagesRead = new AtomicInteger();
-    cluster.stateAnswerLateMs =
+    cluster.delayStoreAnswers(
         (controller, path, body) -> {
           if (!controller.equals(leader)) {
             return 0;
@@ -110,26 +113,26 @@
           if (path.startsWith("/kv?")) {
             pagesRead.incrementAndGet();
           }
-          return path.startsWith("/watch") ? SimulatedCluster.LateAnswers.LOST : 0;
-        };
-    cluster.cancelAt(leader, job);
+          return path.startsWith("/watch") ? MessageObserver.LOST : 0;
+        });
+    cluster.users.cancelAt(leader, job);
     run(cluster, 200);
-    assertEquals("cancelled", cluster.rules.lastOf(job.id), "confirmed by its leader");
+    assertEquals("cancelled", cluster.invariants.lastStageOf(job.id()), "confirmed by its leader");
     return pagesRead;
   }
 
   private static void watchAgain(SimulatedCluster cluster) {
-    cluster.stateAnswerLateMs = (controller, path, body) -> 0;
+    cluster.delayStoreAnswers((controller, path, body) -> 0);
   }
 
   @Test
-  void afterAnOutageThatBeganBeforeTheNextWatchNothingOfItIsStarted() {
+  void noTaskStartsAfterAnOutageThatBeganBeforeTheNextWatch() {
     forEachDeployment(
         cluster -> {
-          SimulatedCluster.Job job = runningJob(cluster);
+          SimulatedJob job = runningJob(cluster);
           long outageMs = cluster.cancelMs + 12_000;
-          cluster.trouble(outageMs);
-          cancelUnwatched(cluster, job, () -> cluster.state.outage(outageMs));
+          cluster.faults.note(outageMs);
+          cancelUnwatched(cluster, job, () -> cluster.store.outage(outageMs));
           watchAgain(cluster);
           run(cluster, outageMs + 30_000);
           assertNoneStarted(cluster, job);
@@ -137,15 +140,16 @@
   }
 
   @Test
-  void afterReadingTheStateFromTheStartNothingOfItIsStarted() {
+  void noTaskStartsAfterTheStateIsReadFromTheStart() {
     forEachDeployment(
         cluster -> {
-          SimulatedCluster.Job job = runningJob(cluster);
+          SimulatedJob job = runningJob(cluster);
           String leader = cluster.leaderOf(job);
           long cutMs = cluster.cancelMs + 12_000;
-          cluster.trouble(cutMs);
+          cluster.faults.note(cutMs);
           AtomicInteger pagesRead =
-              cancelUnwatched(cluster, job, () -> cluster.lose(leader, cutMs, "state"));
+              cancelUnwatched(
+                  cluster, job, () -> cluster.faults.disconnect(leader, cutMs, Link.STORE));
           run(cluster, cutMs);
           for (int i = 0; i < 1000 && pagesRead.get() == 0; i++) {
             run(cluster, 10);
@@ -158,15 +162,15 @@
   }
 
   @Test
-  void afterARestartOfTheControllerThatConfirmedItNothingOfItIsStarted() {
+  void noTaskStartsAfterARestartOfTheConfirmingController() {
     forEachDeployment(
         cluster -> {
-          SimulatedCluster.Job job = runningJob(cluster);
+          SimulatedJob job = runningJob(cluster);
           String leader = cluster.leaderOf(job);
-          cluster.trouble(cluster.cancelMs);
+          cluster.faults.note(cluster.cancelMs);
           // Just after the user has the answer.
           cancelUnwatched(
-              cluster, job, () -> cluster.time.after(20, () -> cluster.kill(leader, 300)));
+              cluster, job, () -> cluster.time.after(20, () -> cluster.faults.kill(leader, 300)));
           watchAgain(cluster);
           run(cluster, cluster.cancelMs + 30_000);
           assertNoneStarted(cluster, job);
@@ -174,18 +178,19 @@
   }
 
   @Test
-  void whileTheNextWatchIsLateItsTasksAreStoppedAndNotStartedElsewhere() {
+  void tasksStopAndStartNowhereElseWhileTheNextWatchIsLate() {
     forEachDeployment(
         cluster -> {
-          SimulatedCluster.Job job = runningJob(cluster);
+          SimulatedJob job = runningJob(cluster);
           SimulatedWorker first =
               cluster.cloud.machines.values().stream()
-                  .filter(machine -> machine.holds(job.id + "/0"))
+                  .filter(machine -> machine.holds(job.id() + "/0"))
                   .findFirst()
                   .orElseThrow();
           cancelUnwatched(cluster, job, () -> cluster.cloud.remove(first.id));
-          run(cluster, cluster.heartbeatIntervalsMs * 2);
-          assertEquals(0, cluster.rules.on(job.id), "stopped with the next command");
+          run(cluster, cluster.heartbeatIntervalMs * 2);
+          assertEquals(
+              0, cluster.invariants.runningTasksOf(job.id()), "stopped with the next command");
           watchAgain(cluster);
           run(cluster, 30_000);
           assertNoneStarted(cluster, job);
@@ -197,33 +202,38 @@
    * after the job was cancelled through another controller, and after both were followed.
    */
   @Test
-  void anAcceptanceThatIsAnsweredAfterTheCancellationWasFollowedStartsNothing() {
+  void noTaskStartsWhenTheAcceptanceIsAnsweredAfterTheCancellation() {
     forEachDeployment(
         cluster -> {
           runningJob(cluster);
-          cluster.stateAnswerLateMs =
+          cluster.delayStoreAnswers(
               (controller, path, body) ->
-                  controller.equals("trestle-0") && new String(body).contains("ft/live/job/job-2")
+                  controller.equals("trestle-0")
+                          && new String(body, StandardCharsets.UTF_8).contains("ft/live/job/job-2")
                       ? ANSWER_LATE_MS
-                      : 0;
-          SimulatedCluster.Job job =
-              cluster.define(
+                      : 0);
+          SimulatedJob job =
+              cluster.users.define(
                   "job-2",
                   one -> {
-                    one.tasks = MACHINES;
-                    one.runMs = LONG_RUN_MS;
+                    one.tasks(MACHINES);
+                    one.runMs(LONG_RUN_MS);
                   });
           List<Integer> answers = new ArrayList<>();
-          cluster.submitAt("trestle-0", job, answer -> answers.add(answer.status()));
+          cluster.users.submitAt("trestle-0", job, answer -> answers.add(answer.status()));
           run(cluster, ANSWER_LATE_MS / 4);
-          cluster.cancelAt("trestle-1", job);
+          cluster.users.cancelAt("trestle-1", job);
           run(cluster, ANSWER_LATE_MS / 4);
-          assertEquals("cancelled", cluster.rules.lastOf(job.id), "before the late answer");
+          assertEquals(
+              "cancelled", cluster.invariants.lastStageOf(job.id()), "before the late answer");
           assertEquals(List.of(), answers, "the submission is not answered yet");
-          int onTheirWay = cluster.rules.orderedAfterCancel;
+          int onTheirWay = cluster.invariants.startsOrderedAfterCancellation();
           run(cluster, 30_000);
-          assertEquals(0, cluster.rules.on(job.id));
-          assertEquals(onTheirWay, cluster.rules.orderedAfterCancel, "no further start is ordered");
+          assertEquals(0, cluster.invariants.runningTasksOf(job.id()));
+          assertEquals(
+              onTheirWay,
+              cluster.invariants.startsOrderedAfterCancellation(),
+              "no further start is ordered");
           assertEquals(List.of(200), answers, "as known already, not as accepted just now");
         });
   }
--- /dev/null
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
@@ -0,0 +1,268 @@
+package org.fieldtrestle.simulation;
+
+import static org.fieldtrestle.simulation.Scenarios.assertCancelled;
+import static org.fieldtrestle.simulation.Scenarios.assertDone;
+import static org.fieldtrestle.simulation.Scenarios.assertJobsDone;
+import static org.fieldtrestle.simulation.Scenarios.assertNoViolations;
+import static org.fieldtrestle.simulation.Scenarios.startCluster;
+import static org.fieldtrestle.simulation.Scenarios.submit;
+import static org.fieldtrestle.simulation.Scenarios.submitJobs;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.BiConsumer;
+import java.util.function.Predicate;
+import java.util.function.Supplier;
+import org.junit.jupiter.api.Test;
+
+/** Single faults of controllers: tasks and leases survive them, and jobs end. */
+class ControllerFaultsTest {
+  @Test
+  void jobsEndWhenAControllerReachesOnlyItsWorkersForAWhile() {
+    SimulatedCluster cluster = startCluster(12);
+    for (int i = 0; i < 4; i++) {
+      submit(cluster, "job-" + i, 8, i == 1 ? 200_000 : 15_000);
+    }
+    cluster.time.runUntil(25_000);
+    cluster.faults.disconnect("trestle-0", 80_000, Link.STORE, Link.PEERS);
+    cluster.faults.note(80_000);
+    cluster.time.after(3000, () -> cluster.users.cancel(cluster.jobs.get("job-1")));
+    cluster.time.runUntil(60_000);
+    submit(cluster, "job-9", 10, 10_000);
+    cluster.time.runUntil(250_000);
+    assertNoViolations(cluster);
+    assertCancelled(cluster, "job-1");
+    assertDone(cluster, "job-0", "job-2", "job-3", "job-9");
+  }
+
+  @Test
+  void controllerIsNotReadyWhileTheStoreRefusesItAlone() {
+    SimulatedCluster cluster = startCluster(12);
+    cluster.time.runUntil(10_000);
+    cluster.faults.refuse("trestle-1", 60_000);
+    cluster.time.runUntil(16_000);
+    assertFalse(cluster.isReady("trestle-1"), "users are better off elsewhere");
+    assertTrue(cluster.isReady("trestle-0") && cluster.isReady("trestle-2"));
+    cluster.time.runUntil(76_000);
+    assertTrue(cluster.isReady("trestle-1"), "and it is back by itself");
+    cluster.store.outage(20_000);
+    cluster.time.runUntil(90_000);
+    for (String label : cluster.labels()) {
+      assertTrue(cluster.isReady(label), "leaving helps nobody where nobody is served: " + label);
+    }
+  }
+
+  @Test
+  void jobsAreAnsweredAfterAnOutageThatOutlastsWatches() {
+    SimulatedCluster cluster = startCluster(12);
+    submit(cluster, "job-1", 8, 120_000);
+    submit(cluster, "job-2", 4, 2000);
+    cluster.time.runUntil(30_000);
+    cluster.store.outage(40_000);
+    // The last one hears nothing for a while more, and what it has missed is forgotten meanwhile.
+    cluster.time.after(40_000, () -> cluster.faults.disconnect("trestle-2", 25_000, Link.STORE));
+    cluster.time.after(50_000, () -> submit(cluster, "job-3", 2, 2000));
+    cluster.time.after(64_000, cluster.store::compact);
+    cluster.faults.note(65_000);
+    // One goes on, and has to find out that its watch is too old.
+    for (String label : cluster.labels().subList(0, 2)) {
+      cluster.time.after(10_000, () -> cluster.faults.kill(label, 300));
+    }
+    cluster.time.runUntil(110_000);
+    for (String label : cluster.labels()) {
+      assertEquals(200, cluster.users.statusAt(label, "job-1"), label);
+    }
+    cluster.time.runUntil(300_000);
+    assertNoViolations(cluster);
+    assertDone(cluster, "job-1", "job-2");
+  }
+
+  @Test
+  void jobsEndWhenNewLeadersRestartAgainAndAgain() {
+    SimulatedCluster cluster = startCluster(12);
+    submitJobs(cluster, 5, 10, 20_000);
+    cluster.time.runUntil(25_000);
+    cluster.faults.note(60_000);
+    cluster.faults.kill("trestle-0", 55_000);
+    for (long at = 24_000; at < 34_000; at += 700) {
+      cluster.time.after(at, () -> cluster.faults.kill("trestle-1", 80));
+      cluster.time.after(at + 300, () -> cluster.faults.kill("trestle-2", 250));
+    }
+    cluster.time.runUntil(300_000);
+    assertNoViolations(cluster);
+    assertJobsDone(cluster, 5);
+  }
+
+  @Test
+  void jobsEndWhenAControllerPausesForLongerThanItsLease() {
+    for (long ms = 24_000; ms <= 48_000; ms += 6000) {
+      SimulatedCluster cluster = startCluster(12);
+      submitJobs(cluster, 6, 12, 20_000);
+      cluster.time.runUntil(30_000);
+      cluster.faults.note(ms + 10_000);
+      cluster.faults.freeze("trestle-0", ms);
+      cluster.time.after(2000, () -> cluster.users.cancel(cluster.jobs.get("job-3")));
+      cluster.time.runUntil(330_000);
+      assertNoViolations(cluster);
+      assertCancelled(cluster, "job-3");
+      assertDone(cluster, "job-0", "job-1", "job-2", "job-4", "job-5");
+    }
+  }
+
+  @Test
+  void jobsEndWhenAnswersToAFailoverAreLost() {
+    for (long seed = 1; seed <= 6; seed++) {
+      SimulatedCluster cluster = SimulatedCluster.builder().seed(seed).machines(12).start();
+      submitJobs(cluster, 5, 10, 20_000);
+      cluster.time.runUntil(25_000);
+      cluster.faults.note(60_000);
+      cluster.faults.kill("trestle-0", 400_000);
+      cluster.time.after(
+          20_000, () -> cluster.network.loseAnswers(0.7)); // also answers to the new leader
+      cluster.time.after(40_000, () -> cluster.network.loseAnswers(0));
+      cluster.time.runUntil(300_000);
+      assertNoViolations(cluster);
+      assertJobsDone(cluster, 5);
+    }
+  }
+
+  @Test
+  void noShardChangesHandsWhenControllersDoNotReachEachOther() {
+    SimulatedCluster cluster =
+        SimulatedCluster.builder().seed(37).machines(12).timing(4000, 22_000, 52_000).start();
+    submit(cluster, "job-1", 48, 300_000);
+    cluster.time.runUntil(60_000);
+    // Workers are just being redirected to their leader, as after a failover.
+    cluster.faults.note(60_000);
+    cluster.faults.kill("trestle-1", 35_000);
+    cluster.time.runUntil(98_000);
+    cluster.labels().forEach(label -> cluster.faults.disconnect(label, 40_000, Link.PEERS));
+    cluster.time.runUntil(105_000);
+    List<Long> before = cluster.store.shardEpochs();
+    cluster.time.runUntil(140_000);
+    assertNoViolations(cluster);
+    assertEquals(before, cluster.store.shardEpochs(), "no shard changes hands");
+  }
+
+  @Test
+  void noWorkerLeaseExpiresWhenAControllerIsCutOffFromItsWorkers() {
+    assertNoLeaseExpires(
+        () -> SimulatedCluster.builder().seed(29).machines(12).timing(6000, 34_000, 64_000).start(),
+        50_000,
+        (cluster, label) -> cluster.faults.disconnect(label, 50_000, Link.WORKERS));
+  }
+
+  @Test
+  void noWorkerLeaseExpiresWhenAControllerIsFrozen() {
+    assertNoLeaseExpires(
+        () -> SimulatedCluster.builder().seed(31).machines(12).timing(4000, 22_000, 52_000).start(),
+        40_000,
+        (cluster, label) -> cluster.faults.freeze(label, 28_000));
+  }
+
+  @Test
+  void lostTasksAreReassignedToAShardThatHasRoom() {
+    SimulatedCluster cluster = startCluster(9);
+    // Short tasks beside long ones leave room on every machine once they have ended.
+    for (int i = 0; i < 9; i++) {
+      int number = i;
+      cluster.time.after(2000L * i, () -> submit(cluster, "job-" + number, 2, 400_000));
+      cluster.time.after(2000L * i, () -> submit(cluster, "job-" + (100 + number), 2, 25_000));
+    }
+    cluster.time.runUntil(60_000);
+    String label = cluster.leaderOf(cluster.jobs.get("job-0"));
+    List<SimulatedWorker> lost =
+        cluster.cloud.machines.values().stream().filter(m -> m.reportsTo().equals(label)).toList();
+    // All machines of one shard end, and the cloud has no more to give.
+    cluster.cloud.limit(cluster.cloud.machines.size() - lost.size());
+    lost.forEach(SimulatedWorker::die);
+    cluster.time.runUntil(65_000);
+    int left = runningLongTasks(cluster);
+    assertTrue(left > 0 && left < 18, "some of the long ones are lost: " + left);
+    cluster.time.runUntil(160_000);
+    assertNoViolations(cluster);
+    assertTrue(
+        runningLongTasks(cluster) > left, "lost ones run with other shards; left were " + left);
+  }
+
+  /**
+   * A leader that does not know of the end of its term may start a lost task again. The next leader
+   * hears of that only after it has found the task on its first machine.
+   */
+  @Test
+  void taskThatAFormerLeaderStartedAgainStartsNowhereElse() {
+    // Heartbeats so rare that trying one controller after the other does not yet count as silence.
+    SimulatedCluster cluster =
+        SimulatedCluster.builder().seed(23).machines(12).timing(6000, 34_000, 64_000).start();
+    submit(cluster, "job-1", 34, 100_000); // not all machines are full
+    cluster.time.runUntil(40_000);
+    Restart restart =
+        findRestart(cluster, "job-1", 34)
+            .orElseThrow(
+                () -> new AssertionError("a controller has two machines, one of them with room"));
+    String task = restart.task();
+    SimulatedWorker next = restart.to();
+    restart.from().die();
+    next.startForFormerLeader(task, 1);
+    // It reports the task, but cannot be told to stop it until its lease has expired.
+    next.faults.deafen(60_000);
+    submit(cluster, "job-2", 10, 100_000); // takes what looks like room there
+    cluster.time.runUntil(45_000);
+    assertTrue(next.holds(task), "it has begun");
+    cluster.time.runUntil(300_000);
+    assertNoViolations(cluster);
+    assertDone(cluster, "job-1");
+  }
+
+  /** Does something to each controller in turn that must not cost a task that runs. */
+  private static void assertNoLeaseExpires(
+      Supplier<SimulatedCluster> clusters, long forMs, BiConsumer<SimulatedCluster, String> fault) {
+    for (String label : List.of("trestle-0", "trestle-1", "trestle-2")) {
+      SimulatedCluster cluster = clusters.get();
+      submit(cluster, "job-1", 48, 300_000);
+      cluster.time.runUntil(60_000);
+      int starts = cluster.invariants.starts();
+      cluster.faults.note(forMs);
+      fault.accept(cluster, label);
+      cluster.time.runUntil(150_000);
+      assertNoViolations(cluster);
+      assertEquals(
+          starts, cluster.invariants.starts(), "no lease ran out on the machines of " + label);
+    }
+  }
+
+  private static int runningLongTasks(SimulatedCluster cluster) {
+    int count = 0;
+    for (int i = 0; i < 9; i++) {
+      count += cluster.invariants.runningTasksOf("job-" + i);
+    }
+    return count;
+  }
+
+  /** A task on a machine, and another machine of the same controller with room for it. */
+  private record Restart(String task, SimulatedWorker from, SimulatedWorker to) {}
+
+  private static Optional<Restart> findRestart(SimulatedCluster cluster, String job, int tasks) {
+    for (int i = 0; i < tasks; i++) {
+      String task = job + "/" + i;
+      SimulatedWorker from = machine(cluster, m -> m.holds(task)).orElseThrow();
+      String label = from.reportsTo();
+      Optional<SimulatedWorker> to =
+          machine(cluster, m -> m.hasRoom(4) && !m.holds(task) && m.reportsTo().equals(label));
+      if (to.isPresent()) {
+        return Optional.of(new Restart(task, from, to.get()));
+      }
+    }
+    return Optional.empty();
+  }
+
+  private static Optional<SimulatedWorker> machine(
+      SimulatedCluster cluster, Predicate<SimulatedWorker> condition) {
+    return cluster.cloud.machines.values().stream()
+        .filter(machine -> machine.isUp() && condition.test(machine))
+        .findFirst();
+  }
+}
--- a/src/test/java/org/fieldtrestle/simulation/ControllerStartTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerStartTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
 /** When a controller that has just started accepts requests of users and workers. */
@@ -18,30 +17,32 @@
 
   private static SimulatedCluster stopped() {
     SimulatedCluster cluster =
-        new SimulatedCluster(new SplittableRandom(1), 1, 2500, LEASE_MS, 46_000);
+        SimulatedCluster.builder().seed(1).machines(1).timing(2500, LEASE_MS, 46_000).start();
     cluster.time.runUntil(10_000);
-    cluster.kill(LABEL, DOWN_FOR_LONG_MS);
+    cluster.faults.kill(LABEL, DOWN_FOR_LONG_MS);
     return cluster;
   }
 
   private static boolean listensAfter(SimulatedCluster cluster, long ms) {
     cluster.time.runUntil(cluster.time.now() + ms);
-    return cluster.net.serves(cluster.address(LABEL));
+    return cluster.network.serves(ClusterLayout.address(LABEL));
   }
 
   @Test
-  void requestsAreRefusedUntilTheControllerActs() {
+  void requestsAreRefusedUntilTheControllerMayAct() {
     SimulatedCluster cluster = stopped();
-    cluster.state.outage(1000);
+    cluster.store.outage(1000);
     cluster.start(LABEL);
-    assertFalse(listensAfter(cluster, 999), "nothing can be served without the state service");
-    assertTrue(listensAfter(cluster, LISTENS_AT_LAST_MS - 1500), "whoever acts should listen");
+    assertFalse(listensAfter(cluster, 999), "nothing can be served without the key-value store");
+    assertTrue(
+        listensAfter(cluster, LISTENS_AT_LAST_MS - 1500),
+        "a controller that may act should listen");
   }
 
   @Test
-  void requestsAreAcceptedWhereActingTakesLong() {
+  void requestsAreAcceptedAfterAQuarterOfALeaseWithoutTheStore() {
     SimulatedCluster cluster = stopped();
-    cluster.state.outage(10 * LISTENS_AT_LAST_MS);
+    cluster.store.outage(10 * LISTENS_AT_LAST_MS);
     cluster.start(LABEL);
     assertFalse(listensAfter(cluster, LISTENS_AT_LAST_MS - DRIFT_MS));
     assertTrue(listensAfter(cluster, 2 * DRIFT_MS));
--- a/src/test/java/org/fieldtrestle/simulation/Deployment.java
+++ b/src/test/java/org/fieldtrestle/simulation/Deployment.java
@@ -6,8 +6,8 @@
 /**
  * The figures of a deployment, as the settings of its controllers name them.
  *
- * @param listPage most entries of a page that the state service lists
- * @param limited whether the state service refuses what goes beyond its limits
+ * @param listPage most entries of a page that the key-value store lists
+ * @param limited whether the key-value store refuses what goes beyond its limits
  */
 record Deployment(
     long heartbeatIntervalsMs,
@@ -34,7 +34,7 @@
 
   /**
    * A few machines under the figures of the two large deployments and of a small one. In the first
-   * and the last a controller may act for longer without word of the state service than its
+   * and the last a controller may act for longer without word of the key-value store than its
    * workers' lease; in the second for less.
    */
   static List<Deployment> smallOfEachKind() {
@@ -42,7 +42,7 @@
         small(4000, 22_000, 52_000), small(6000, 34_000, 64_000), small(2500, 16_000, 46_000));
   }
 
-  /** Payroll on a large fleet: short reports, many requests allowed. */
+  /** Payroll on a large fleet: short heartbeat intervals, many requests allowed. */
   static Deployment payrollFleet() {
     return large(
         4000,
@@ -52,7 +52,7 @@
         new Settings.Limits(0.323, 414, 2868));
   }
 
-  /** Timber stock on a large fleet: long reports, few requests allowed. */
+  /** Timber stock on a large fleet: long heartbeat intervals, few requests allowed. */
   static Deployment timberFleet() {
     return large(
         6000,
--- a/src/test/java/org/fieldtrestle/simulation/FaultContainmentTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FaultContainmentTest.java
@@ -1,25 +1,25 @@
 package org.fieldtrestle.simulation;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.fieldtrestle.simulation.Scenarios.assertCancelled;
+import static org.fieldtrestle.simulation.Scenarios.assertDone;
+import static org.fieldtrestle.simulation.Scenarios.assertJobsDone;
+import static org.fieldtrestle.simulation.Scenarios.assertNoViolations;
+import static org.fieldtrestle.simulation.Scenarios.submit;
+import static org.fieldtrestle.simulation.Scenarios.submitJobs;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.SplittableRandom;
 import org.fieldtrestle.protocol.Json;
 import org.junit.jupiter.api.Test;
 
-/** One bad thing at a time, and everything else goes on. */
+/** A fault of one job, machine, record or controller does no harm to anything else. */
 class FaultContainmentTest {
-  private final SimulatedCluster cluster = new SimulatedCluster(new SplittableRandom(11), 12);
-
-  private void assertQuiet() {
-    assertTrue(cluster.rules.broken.isEmpty(), cluster.rules.broken.toString());
-  }
+  private final SimulatedCluster cluster = SimulatedCluster.builder().seed(11).machines(12).start();
 
   @Test
-  void damagedAndForeignValuesStopNothingElse() {
+  void jobEndsWhenTheStoreHoldsDamagedAndForeignValues() {
     cluster.time.runUntil(5000);
     JsonNode foreign = Json.object().put("hello", "world");
     for (String key :
@@ -34,135 +34,107 @@
           "ft/live/master/trestle-9",
           "ft/live/whatever"
         }) {
-      cluster.state.damage(key, foreign);
+      cluster.store.overwrite(key, foreign);
     }
-    cluster.state.damage("ft/live/job/job-79", Json.object().put("f", 9));
-    cluster.submit("job-1", job -> job.tasks = 8);
-    cluster.time.after(20_000, () -> cluster.labels().forEach(label -> cluster.kill(label, 3000)));
+    cluster.store.overwrite("ft/live/job/job-79", Json.object().put("f", 9));
+    cluster.users.submit("job-1", job -> job.tasks(8));
+    cluster.time.after(
+        20_000, () -> cluster.labels().forEach(label -> cluster.faults.kill(label, 3000)));
     cluster.time.runUntil(120_000);
-    assertQuiet();
-    assertEquals("done", cluster.rules.lastOf("job-1"));
+    assertNoViolations(cluster);
+    assertDone(cluster, "job-1");
   }
 
   @Test
-  void aJobUnderADamagedRecordIsNeitherForgottenNorEnded() {
-    cluster.submit(
-        "job-1",
-        job -> {
-          job.tasks = 4;
-          job.runMs = 60_000;
-        });
+  void jobWithADamagedRecordIsNeitherForgottenNorEnded() {
+    submit(cluster, "job-1", 4, 60_000);
     cluster.time.runUntil(40_000);
-    assertTrue(cluster.rules.starts > 0);
-    cluster.state.damage("ft/live/job/job-1", Json.object().put("f", 9));
+    assertTrue(cluster.invariants.starts() > 0);
+    cluster.store.overwrite("ft/live/job/job-1", Json.object().put("f", 9));
     cluster.time.runUntil(200_000);
-    assertQuiet();
-    assertNotEquals("done", cluster.rules.lastOf("job-1"));
-    assertNotEquals("cancelled", cluster.rules.lastOf("job-1"));
+    assertNoViolations(cluster);
+    assertNotEquals("done", cluster.invariants.lastStageOf("job-1"));
+    assertNotEquals("cancelled", cluster.invariants.lastStageOf("job-1"));
   }
 
   @Test
-  void aJobThatFailsEverywhereCondemnsNoMachine() {
-    cluster.submit(
+  void otherJobEndsWhenAJobFailsOnEveryMachine() {
+    cluster.users.submit(
         "job-1",
         job -> {
-          job.tasks = 6;
-          job.broken = true;
-        });
-    cluster.submit(
-        "job-2",
-        job -> {
-          job.tasks = 30;
-          job.runMs = 8000;
+          job.tasks(6);
+          job.failing(true);
         });
+    submit(cluster, "job-2", 30, 8000);
     cluster.time.runUntil(250_000);
-    assertQuiet();
-    assertEquals("done", cluster.rules.lastOf("job-2"));
-    long failing = cluster.rules.starts - 30;
+    assertNoViolations(cluster);
+    assertDone(cluster, "job-2");
+    int failing = cluster.invariants.starts() - 30;
     assertTrue(failing < 400, "retries pause longer and longer: " + failing);
   }
 
   @Test
-  void aMachineThatFailsEveryTaskIsReplaced() {
+  void machineThatFailsEveryTaskIsReturned() {
     cluster.time.runUntil(3000);
-    cluster.submit(
-        "job-1",
-        job -> {
-          job.tasks = 40;
-          job.runMs = 10_000;
-        });
-    cluster.submit(
-        "job-2",
-        job -> {
-          job.tasks = 40;
-          job.runMs = 10_000;
-        });
+    submit(cluster, "job-1", 40, 10_000);
+    submit(cluster, "job-2", 40, 10_000);
     cluster.time.runUntil(25_000);
     String bad = cluster.cloud.machines.firstKey();
-    cluster.cloud.machines.get(bad).failsTasks = true;
+    cluster.cloud.machines.get(bad).faults.failTasks();
     cluster.time.runUntil(300_000);
-    assertQuiet();
-    assertEquals("done", cluster.rules.lastOf("job-1"));
-    assertEquals("done", cluster.rules.lastOf("job-2"));
+    assertNoViolations(cluster);
+    assertDone(cluster, "job-1");
+    assertDone(cluster, "job-2");
     assertFalse(cluster.cloud.machines.containsKey(bad), "the faulty machine was returned");
   }
 
   @Test
-  void aMachineThatCrawlsIsReplaced() {
-    for (int i = 0; i < 4; i++) {
-      cluster.submit(
-          "job-" + i,
-          job -> {
-            job.tasks = 40;
-            job.runMs = 10_000;
-          });
-    }
+  void slowMachineIsReturnedAndGetsFewTasks() {
+    submitJobs(cluster, 4, 40, 10_000);
     cluster.time.runUntil(22_000);
     String slow = cluster.cloud.machines.firstKey();
-    cluster.cloud.machines.get(slow).slowness = 6;
+    cluster.cloud.machines.get(slow).faults.slowDown(6);
     cluster.time.runUntil(300_000);
-    assertQuiet();
-    for (int i = 0; i < 4; i++) {
-      assertEquals("done", cluster.rules.lastOf("job-" + i));
-    }
+    assertNoViolations(cluster);
+    assertJobsDone(cluster, 4);
     assertFalse(cluster.cloud.machines.containsKey(slow), "the slow machine was returned");
-    assertTrue(cluster.rules.startsOn(slow) < 40, "and given little more");
+    assertTrue(cluster.invariants.startsOn(slow) < 40, "and given little more");
   }
 
   @Test
-  void aHundredThousandTasksFit() {
-    cluster.submit("job-1", job -> job.tasks = 100_000);
+  void jobOfAHundredThousandTasksRunsAndCanBeCancelled() {
+    cluster.users.submit("job-1", job -> job.tasks(100_000));
     cluster.time.runUntil(30_000);
-    assertQuiet();
-    assertTrue(cluster.rules.starts > 20, "starts " + cluster.rules.starts);
-    cluster.cancel(cluster.jobs.get("job-1"));
+    assertNoViolations(cluster);
+    assertTrue(cluster.invariants.starts() > 20, "starts " + cluster.invariants.starts());
+    cluster.users.cancel(cluster.jobs.get("job-1"));
     cluster.time.runUntil(120_000);
-    assertQuiet();
-    assertEquals("cancelled", cluster.rules.lastOf("job-1"));
+    assertNoViolations(cluster);
+    assertCancelled(cluster, "job-1");
   }
 
   @Test
-  void aControllerThatOnlyTheStateServiceRefusesDoesNoHarm() {
+  void otherJobsEndWhenTheStoreRefusesOneController() {
     for (int i = 0; i < 6; i++) {
       int number = i;
       cluster.time.after(
           i * 8000L,
           () ->
-              cluster.submit(
+              cluster.users.submit(
                   "job-" + number,
                   job -> {
-                    job.tasks = 10;
+                    job.tasks(10);
                     // Those that are cancelled run for longer than a cancellation has time.
-                    job.runMs = number == 1 || number == 3 ? 120_000 : 20_000;
+                    job.runMs(number == 1 || number == 3 ? 120_000 : 20_000);
                   }));
     }
-    cluster.time.after(25_000, () -> cluster.isolate("trestle-0", 70_000));
-    cluster.time.after(30_000, () -> cluster.cancel(cluster.jobs.get("job-1")));
-    cluster.time.after(40_000, () -> cluster.cancel(cluster.jobs.get("job-3")));
+    cluster.time.after(25_000, () -> cluster.faults.refuse("trestle-0", 70_000));
+    cluster.time.after(30_000, () -> cluster.users.cancel(cluster.jobs.get("job-1")));
+    cluster.time.after(40_000, () -> cluster.users.cancel(cluster.jobs.get("job-3")));
     cluster.time.runUntil(400_000);
-    assertQuiet();
+    assertNoViolations(cluster);
     for (int i : new int[] {0, 2, 4, 5}) {
-      assertEquals("done", cluster.rules.lastOf("job-" + i));
+      assertDone(cluster, "job-" + i);
     }
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -7,7 +7,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.SplittableRandom;
 import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.transport.Http;
 import org.junit.jupiter.api.Test;
@@ -20,8 +19,8 @@
       SimulatedCluster cluster, String label, int firstId, int count) {
     List<Integer> statuses = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      cluster.net.deliver(
-          cluster.address(label),
+      cluster.network.deliver(
+          ClusterLayout.address(label),
           "GET",
           "/v2/runs/job-" + (firstId + i),
           Http.Response.EMPTY,
@@ -33,15 +32,20 @@
   /** A cluster in which many jobs have been done, and whose controllers have forgotten how. */
   private static SimulatedCluster afterARestart() {
     SimulatedCluster cluster =
-        new SimulatedCluster(new SplittableRandom(5), 60, Deployment.timberFleet());
+        SimulatedCluster.builder()
+            .seed(5)
+            .machines(60)
+            .deployment(Deployment.timberFleet())
+            .start();
     for (int i = 0; i < JOBS; i++) {
       int number = i;
       cluster.time.after(
-          2000 + i * 300L, () -> cluster.submit("job-" + (1000 + number), job -> job.runMs = 2500));
+          2000 + i * 300L,
+          () -> cluster.users.submit("job-" + (1000 + number), job -> job.runMs(2500)));
     }
     cluster.time.runUntil(240_000);
-    assertEquals(JOBS, cluster.rules.done);
-    cluster.labels().forEach(label -> cluster.kill(label, 300));
+    assertEquals(JOBS, cluster.invariants.doneJobs());
+    cluster.labels().forEach(label -> cluster.faults.kill(label, 300));
     cluster.time.runUntil(246_000);
     return cluster;
   }
@@ -53,13 +57,13 @@
   }
 
   @Test
-  void allEndedJobsAreAnsweredWithinSecondsAfterARestart() {
+  void allFinishedJobsAreAnsweredWithinSecondsAfterARestart() {
     SimulatedCluster cluster = afterARestart();
     assertAllEndedAreAnswered(cluster);
   }
 
   @Test
-  void questionsAboutUnknownJobsLeaveEndedOnesTheirTurn() {
+  void finishedJobsAreAnsweredDuringQueriesAboutUnknownJobs() {
     SimulatedCluster cluster = afterARestart();
     // As many unknown ids before and between those that are known as could ever wait.
     askAll(cluster, "trestle-1", 1, 900);
@@ -69,7 +73,7 @@
 
   /** Each page of ends begins where the one before ended; reads are not short here. */
   @Test
-  void questionsAboutLowIdsWithoutEndLeaveHighOnesTheirTurn() {
+  void finishedJobOfAHighIdIsAnsweredDuringQueriesAboutLowIds() {
     SimulatedCluster cluster = afterARestart();
     for (int i = 0; i < 500; i++) {
       int low = i % 2 == 0 ? 10 : 100; // in the order of keys before all that have ended
@@ -83,13 +87,13 @@
 
   /** A question that came first must not make a later one say that there is no such job. */
   @Test
-  void aReadingSentBeforeAJobWasAcceptedSaysNothingToWhoAsksAfterwards() {
+  void readSentBeforeAnAcceptanceDoesNotAnswerLaterQueries() {
     SimulatedCluster cluster =
-        new SimulatedCluster(new SplittableRandom(7), 4, Deployment.timberFleet());
+        SimulatedCluster.builder().seed(7).machines(4).deployment(Deployment.timberFleet()).start();
     cluster.time.runUntil(20_000);
-    cluster.stateAnswerLateMs =
-        (label, path, body) -> label.equals("trestle-0") && path.startsWith("/kv") ? 1000 : 0;
-    SimulatedCluster.Job job = cluster.define("job-77", one -> one.runMs = 60_000);
+    cluster.delayStoreAnswers(
+        (label, path, body) -> label.equals("trestle-0") && path.startsWith("/kv") ? 1000 : 0);
+    SimulatedJob job = cluster.users.define("job-77", one -> one.runMs(60_000));
     List<Integer> early = askAll(cluster, "trestle-0", 77, 1);
     List<String> late = new ArrayList<>();
     // Its reading is under way while the job is accepted and called off at another controller.
@@ -101,18 +105,18 @@
   }
 
   private static void acceptAndCancel(
-      SimulatedCluster cluster, SimulatedCluster.Job job, Runnable cancelled) {
-    cluster.cancelledByUser.add(job.id);
-    cluster.net.deliver(
-        cluster.address("trestle-1"),
+      SimulatedCluster cluster, SimulatedJob job, Runnable cancelled) {
+    cluster.users.noteCancellation(job.id());
+    cluster.network.deliver(
+        ClusterLayout.address("trestle-1"),
         "POST",
         "/v2/runs",
-        job.body,
+        job.body(),
         accepted ->
-            cluster.net.deliver(
-                cluster.address("trestle-1"),
+            cluster.network.deliver(
+                ClusterLayout.address("trestle-1"),
                 "POST",
-                "/v2/runs/" + job.id + "/abort",
+                "/v2/runs/" + job.id() + "/abort",
                 Http.Response.EMPTY,
                 response -> {
                   if (response.status() == 200) {
@@ -126,8 +130,8 @@
       cluster.time.after(
           i * 50L,
           () ->
-              cluster.net.deliver(
-                  cluster.address("trestle-0"),
+              cluster.network.deliver(
+                  ClusterLayout.address("trestle-0"),
                   "GET",
                   "/v2/runs/job-77",
                   Http.Response.EMPTY,
@@ -146,8 +150,8 @@
       SimulatedCluster cluster, String label, String method, String path, byte[] body) {
     long asked = cluster.time.now();
     Answered[] answered = {null};
-    cluster.net.deliver(
-        cluster.address(label),
+    cluster.network.deliver(
+        ClusterLayout.address(label),
         method,
         path,
         body,
@@ -161,12 +165,12 @@
   }
 
   @Test
-  void whatIsReadTooLateServesTheNextQuestion() {
+  void nextQueryIsAnsweredByAReadThatWasTooLateForTheFirst() {
     SimulatedCluster cluster = afterARestart();
-    cluster.stateAnswerLateMs = (label, path, body) -> path.contains("ft/final/") ? 2500 : 0;
-    cluster.kill("trestle-1", 100); // it has read nothing yet once it is back
+    cluster.delayStoreAnswers((label, path, body) -> path.contains("ft/final/") ? 2500 : 0);
+    cluster.faults.kill("trestle-1", 100); // it has read nothing yet once it is back
     cluster.time.runUntil(cluster.time.now() + 200);
-    while (!cluster.ready("trestle-1")) {
+    while (!cluster.isReady("trestle-1")) {
       cluster.time.runUntil(cluster.time.now() + 10);
     }
     Answered first = ask(cluster, "trestle-1", "job-1000");
@@ -182,32 +186,32 @@
   }
 
   @Test
-  void aWatchAnswersQuestionsWhoseOwnRequestIsLost() {
+  void queryIsAnsweredByAWatchWhenItsOwnRequestIsLate() {
     SimulatedCluster cluster =
-        new SimulatedCluster(new SplittableRandom(7), 4, Deployment.timberFleet());
-    cluster.submit("job-77", job -> job.runMs = 60_000);
+        SimulatedCluster.builder().seed(7).machines(4).deployment(Deployment.timberFleet()).start();
+    cluster.users.submit("job-77", job -> job.runMs(60_000));
     cluster.time.runUntil(20_000);
-    cluster.stateAnswerLateMs = (label, path, body) -> comparison(path, body) ? 10_000 : 0;
+    cluster.delayStoreAnswers((label, path, body) -> comparison(path, body) ? 10_000 : 0);
     // Others change something all the time, so that watches are answered.
     for (int i = 0; i < 40; i++) {
       int number = 100 + i;
-      cluster.time.after(i * 250L, () -> cluster.submit("job-" + number, job -> {}));
+      cluster.time.after(i * 250L, () -> cluster.users.submit("job-" + number, job -> {}));
     }
     Answered answered = ask(cluster, "trestle-1", "job-77");
     assertEquals(200, answered.response().status());
     assertTrue(answered.afterMs() < 2000, "the user still waits: " + answered.afterMs());
   }
 
-  /** Open connections are never moved: whoever stays with it would not get any answer. */
+  /** Load balancers do not move open connections: a user who kept this one would get no answer. */
   @Test
-  void aControllerThatCannotFollowSendsItsUsersElsewhere() {
+  void controllerWhoseWatchesAreLateClosesConnectionsOfUsers() {
     SimulatedCluster cluster =
-        new SimulatedCluster(new SplittableRandom(7), 4, Deployment.timberFleet());
-    cluster.submit("job-77", job -> job.runMs = 60_000);
+        SimulatedCluster.builder().seed(7).machines(4).deployment(Deployment.timberFleet()).start();
+    cluster.users.submit("job-77", job -> job.runMs(60_000));
     cluster.time.runUntil(20_000);
-    cluster.stateAnswerLateMs =
-        (label, path, body) -> label.equals("trestle-1") && path.startsWith("/watch") ? 60_000 : 0;
-    cluster.submit("job-78", job -> {}); // so that there is something to follow
+    cluster.delayStoreAnswers(
+        (label, path, body) -> label.equals("trestle-1") && path.startsWith("/watch") ? 60_000 : 0);
+    cluster.users.submit("job-78", job -> {}); // so that there is something to follow
     cluster.time.runUntil(21_000);
     Answered answered = ask(cluster, "trestle-1", "job-77");
     assertEquals(503, answered.response().status());
@@ -222,22 +226,26 @@
 
   /** How a job is split depends on how many shards are known, and with that its record's size. */
   @Test
-  void aRepeatThatWouldBeTooLargeTodayIsStillKnown() {
+  void repeatedSubmissionIsKnownThoughItsRecordWouldBeTooLargeNow() {
     SimulatedCluster cluster =
-        new SimulatedCluster(new SplittableRandom(7), 30, Deployment.payrollFleet());
-    SimulatedCluster.Job job = cluster.define("job-77", one -> one.tasks = 300);
-    ObjectNode body = (ObjectNode) Json.parseOrEmpty(job.body);
+        SimulatedCluster.builder()
+            .seed(7)
+            .machines(30)
+            .deployment(Deployment.payrollFleet())
+            .start();
+    SimulatedJob job = cluster.users.define("job-77", one -> one.tasks(300));
+    ObjectNode body = (ObjectNode) Json.parseOrEmpty(job.body());
     ArrayNode types = body.putArray("rigs").add("big");
-    int room = (int) (cluster.deployment.state().valueKb() * 1024) - ONE_RANGE_BYTES;
+    int room = (int) (cluster.deployment().state().valueKb() * 1024) - ONE_RANGE_BYTES;
     while (Json.bytes(body).length + LONG_NAME_BYTES < room) {
       types.add("x".repeat(LONG_NAME_BYTES));
     }
     types.add("x".repeat(Math.max(1, room - Json.bytes(body).length - 3)));
-    job.body = Json.bytes(body);
+    job.body(Json.bytes(body));
     acceptAsSoonAsReady(cluster, job, "trestle-0"); // while it knows of no other shard
     cluster.time.runUntil(300_000);
     for (String label : cluster.labels()) {
-      Answered repeated = ask(cluster, label, "POST", "/v2/runs", job.body);
+      Answered repeated = ask(cluster, label, "POST", "/v2/runs", job.body());
       assertEquals(200, repeated.response().status(), label);
     }
     byte[] another = Json.bytes(body.deepCopy().put("uid", "job-78"));
@@ -248,10 +256,10 @@
   }
 
   private static void acceptAsSoonAsReady(
-      SimulatedCluster cluster, SimulatedCluster.Job job, String label) {
-    while (!cluster.ready(label)) {
+      SimulatedCluster cluster, SimulatedJob job, String label) {
+    while (!cluster.isReady(label)) {
       cluster.time.runUntil(cluster.time.now() + 10);
     }
-    assertEquals(201, ask(cluster, label, "POST", "/v2/runs", job.body).response().status());
+    assertEquals(201, ask(cluster, label, "POST", "/v2/runs", job.body()).response().status());
   }
 }
--- /dev/null
+++ b/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
@@ -0,0 +1,154 @@
+package org.fieldtrestle.simulation;
+
+import static org.fieldtrestle.simulation.ConcurrentFailures.forEachDeployment;
+import static org.fieldtrestle.simulation.ConcurrentFailures.heartbeats;
+import static org.fieldtrestle.simulation.ConcurrentFailures.submit;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Commands, transactions and heartbeats arrive late while other faults last: the invariants hold
+ * and all jobs end.
+ */
+class LateMessagesTest {
+  @Test
+  void jobsEndWhenCommandsAreExecutedLate() {
+    forEachDeployment(
+        14,
+        cluster -> {
+          List<SimulatedJob> jobs = submit(cluster, 6, 4, 15_000);
+          cluster.runFor(25_000);
+          for (int i = 0; i < 10; i++) {
+            // Just before there is something to tell: new work, and work that is called off.
+            cluster
+                .machines()
+                .forEach(machine -> machine.faults.hang(cluster.time.between(2000, 9000)));
+            jobs.addAll(submit(cluster, 2, 4, 15_000));
+            cluster.users.cancel(jobs.get(i));
+            cluster.runFor(14_000);
+          }
+          // On any machine, also on one that has been returned since.
+          assertTrue(cluster.lateCommandsExecuted() > 0, "commands were carried out late");
+        });
+  }
+
+  /** Copies of direct commands come late, after their tasks were stopped and cleared. */
+  @Test
+  void jobsEndWhenStartsArriveAfterTheirTasksWerePreempted() {
+    int[] late = {0};
+    forEachDeployment(
+        4,
+        cluster -> {
+          submit(cluster, 1, 16, 40_000);
+          cluster.runFor(25_000); // the fleet is up
+          for (int i = 0; i < 6; i++) {
+            cluster.network.delayCommands(0.7);
+            submit(cluster, 1, 6, 60_000);
+            cluster.runFor(9000);
+            // They are preempted soon after their start, and start elsewhere or later.
+            submit(cluster, 3, 4, 2500);
+            cluster.runFor(30_000);
+          }
+          cluster.network.delayCommands(0);
+          for (SimulatedWorker machine : cluster.machines()) {
+            late[0] += machine.lateCommands();
+          }
+        });
+    assertTrue(late[0] > 0, "commands arrived late");
+  }
+
+  @Test
+  void jobsEndWhenUnansweredTransactionsAreExecutedLate() {
+    int[] committed = {0};
+    forEachDeployment(
+        14,
+        cluster -> {
+          cluster.store.delayCommits(0.2);
+          cluster.faults.note(130_000);
+          List<SimulatedJob> jobs = submit(cluster, 8, 4, 12_000);
+          cluster.runFor(40_000);
+          jobs.addAll(submit(cluster, 4, 6, 12_000, job -> job.team("limited")));
+          cluster.faults.kill("trestle-1", 500);
+          cluster.runFor(30_000);
+          cluster.users.cancel(jobs.get(9));
+          cluster.users.cancel(jobs.get(1));
+          cluster.faults.kill("trestle-0", 40_000);
+          cluster.runFor(60_000);
+          cluster.store.delayCommits(0);
+          cluster.runFor(15_000);
+          committed[0] += cluster.store.lateCommitted();
+          assertTrue(cluster.store.lateConflicts() > 0, "some came after newer ones");
+        });
+    assertTrue(committed[0] > 0, "some had their conditions met");
+  }
+
+  @Test
+  void jobsEndWhenOldHeartbeatsArriveAfterNewerOnes() {
+    forEachDeployment(
+        14,
+        cluster -> {
+          submit(cluster, 6, 6, 15_000);
+          List<Map<String, byte[]>> old = new ArrayList<>();
+          cluster.observeListening(label -> deliverNewest(cluster, label, old));
+          cluster.faults.note(140_000);
+          for (int i = 0; i < 270; i++) {
+            cluster.runFor(500);
+            if (i % 6 == 0) {
+              old.add(heartbeats(cluster));
+            }
+            if (i == 72) {
+              cluster.faults.kill("trestle-1", 500);
+            } else if (i == 120) { // sessions end
+              cluster.machines().forEach(machine -> machine.faults.hang(cluster.leaseMs + 4000));
+              submit(cluster, 3, 6, 15_000);
+            } else if (i == 192) {
+              cluster.faults.kill("trestle-0", cluster.leaseMs + 30_000);
+            }
+            for (byte[] heartbeat :
+                old.get((int) cluster.time.between(0, old.size() - 1)).values()) {
+              for (String label : cluster.labels()) {
+                cluster.deliverCopy(label, heartbeat);
+              }
+            }
+          }
+          assertTrue(cluster.copiesAnswered() > 0, "some came before any newer one");
+        });
+  }
+
+  @Test
+  void jobsEndWhenCommandsReachWorkersThatReachNoController() {
+    forEachDeployment(
+        14,
+        cluster -> {
+          List<SimulatedJob> jobs = submit(cluster, 5, 6, 40_000);
+          cluster.runFor(40_000);
+          long ms = cluster.leaseMs + 10_000;
+          cluster.faults.note(ms);
+          // Most of them, so that it looks like a cut; the others have room for what is lost.
+          List<SimulatedWorker> all = cluster.machines();
+          List<SimulatedWorker> mute = all.subList(0, all.size() * 2 / 3);
+          mute.forEach(machine -> machine.faults.mute(ms));
+          jobs.addAll(submit(cluster, 3, 4, 10_000));
+          cluster.runFor(1500);
+          jobs.subList(0, 3).forEach(cluster.users::cancel);
+          cluster.runFor(4000);
+          assertTrue(
+              mute.stream().anyMatch(machine -> machine.commandsWhileMute() > 0),
+              "commands reached a mute machine");
+          cluster.runFor(ms);
+        });
+  }
+
+  /** The newest heartbeats that were kept are the first to reach a controller. */
+  private static void deliverNewest(
+      SimulatedCluster cluster, String label, List<Map<String, byte[]>> kept) {
+    if (!kept.isEmpty()) {
+      Map<String, byte[]> newest = kept.get(kept.size() - 1);
+      newest.values().forEach(heartbeat -> cluster.deliverCopy(label, heartbeat));
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
@@ -0,0 +1,196 @@
+package org.fieldtrestle.simulation;
+
+import static org.fieldtrestle.simulation.ConcurrentFailures.assertLeadersChanged;
+import static org.fieldtrestle.simulation.ConcurrentFailures.cancelElsewhere;
+import static org.fieldtrestle.simulation.ConcurrentFailures.forEachDeployment;
+import static org.fieldtrestle.simulation.ConcurrentFailures.maybeLosePeers;
+import static org.fieldtrestle.simulation.ConcurrentFailures.runningTasks;
+import static org.fieldtrestle.simulation.ConcurrentFailures.submit;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Jobs are cancelled, or their leader is partitioned, while other faults last: the invariants hold
+ * and all jobs end.
+ */
+class PartitionAndCancellationTest {
+  @Test
+  void jobsOfAPartitionedLeaderEndWhenOtherControllersCancelThem() {
+    forEachDeployment(
+        14,
+        cluster -> {
+          List<SimulatedJob> jobs = submit(cluster, 4, 6, 200_000);
+          submit(cluster, 2, 4, 20_000);
+          cluster.runFor(45_000);
+          String leader = cluster.leaderOf(jobs.get(0));
+          List<Long> before = cluster.store.shardEpochs();
+          cluster.faults.note(95_000);
+          cluster.faults.disconnect(leader, 90_000, Link.STORE, Link.PEERS);
+          cluster.runFor(3000);
+          assertTrue(runningTasks(cluster, jobs) > 0, "they run");
+          cancelElsewhere(cluster, leader, jobs.subList(0, 2), 1500);
+          cluster.runFor(3000);
+          long told = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
+          assertTrue(
+              cluster.heartbeatAnsweredAtMs(leader) > told, "the old one still answers workers");
+          cluster.runFor(35_000);
+          assertLeadersChanged(cluster, before);
+          cancelElsewhere(cluster, leader, jobs.subList(2, 4), 1500);
+          cluster.runFor(50_000);
+        });
+  }
+
+  /**
+   * Some machines of a partitioned leader reach only the other controllers, which lead them then.
+   */
+  @Test
+  void partitionedLeaderInfersNothingFromSilenceOfMachinesThatOthersLead() {
+    int[] taken = {0};
+    forEachDeployment(
+        14,
+        cluster -> {
+          for (int i = 0; i < 6; i++) {
+            submit(cluster, 1, 4, 300_000);
+            submit(cluster, 1, 4, 20_000); // which leave room when they have ended
+            cluster.runFor(3000);
+          }
+          cluster.runFor(45_000);
+          String leader = cluster.leaderOf(cluster.jobs.get("job-1"));
+          List<Long> before = cluster.store.shardEpochs();
+          cluster.faults.note(75_000);
+          // Without the cloud it cannot return the silent ones, which would end their tasks.
+          cluster.faults.disconnect(leader, 70_000, Link.STORE, Link.PEERS, Link.CLOUD);
+          List<SimulatedWorker> its =
+              cluster.machines().stream().filter(m -> m.reportsTo().equals(leader)).toList();
+          its.subList(0, its.size() / 2)
+              .forEach(machine -> machine.faults.disconnect(leader, 70_000));
+          cluster.runFor(cluster.leaseMs + 8000);
+          taken[0] += before.equals(cluster.store.shardEpochs()) ? 0 : 1;
+          cluster.runFor(70_000);
+        });
+    assertTrue(taken[0] > 0, "its shard was taken while it could still act");
+  }
+
+  @Test
+  void cancelledJobsStopWhenTheStoreIsSlowThenRefusesTheLeaderThenEverybody() {
+    forEachDeployment(
+        14,
+        cluster -> {
+          List<SimulatedJob> jobs = submit(cluster, 5, 6, 200_000);
+          cluster.runFor(45_000);
+          String leader = cluster.leaderOf(jobs.get(0));
+          cluster.faults.note(120_000);
+          maybeLosePeers(cluster, leader);
+          cluster.network.slow(ClusterLayout.STORE_ADDRESS, 300, 10_000);
+          cluster.runFor(8000);
+          cluster.faults.refuse(leader, 16_000);
+          cluster.runFor(300);
+          cancelElsewhere(cluster, leader, jobs.subList(0, 3), 4000);
+          cluster.store.outage(cluster.cancelMs + 12_000);
+          for (int i = 0; i < 30; i++) {
+            cluster.users.ask(jobs.get(i % 5).id());
+            if (i == 10) {
+              cluster.users.cancel(jobs.get(3));
+            }
+            cluster.runFor(2000);
+          }
+          long told = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
+          assertTrue(
+              cluster.heartbeatAnsweredAtMs(leader) > told, "the old one still answered workers");
+          cluster.runFor(30_000);
+          assertEquals(0, runningTasks(cluster, jobs.subList(0, 3)), "gone");
+          cluster.users.cancel(jobs.get(4));
+        });
+  }
+
+  /** The users' "gap". */
+  @Test
+  void cancelledJobsStopInTimeWhenTheStoreRefusesTheLeaderThenEverybody() {
+    forEachDeployment(
+        14,
+        cluster -> {
+          List<SimulatedJob> jobs = submit(cluster, 6, 6, 200_000);
+          cluster.runFor(45_000);
+          String leader = cluster.leaderOf(jobs.get(0));
+          cluster.faults.note(cluster.cancelMs + 20_000);
+          maybeLosePeers(cluster, leader);
+          cluster.faults.refuse(leader, 14_000);
+          cluster.runFor(300);
+          assertTrue(runningTasks(cluster, jobs) > 0, "they run");
+          cancelElsewhere(cluster, leader, jobs.subList(0, 5), 1200);
+          cluster.store.outage(cluster.cancelMs + 12_000);
+          long told = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
+          cluster.runFor(8000);
+          assertTrue(
+              cluster.heartbeatAnsweredAtMs(leader) > told, "the old one still answers workers");
+          cluster.time.runUntil(told + cluster.cancelMs);
+          assertEquals(0, runningTasks(cluster, jobs.subList(0, 5)), "gone in time");
+          cluster.runFor(20_000);
+          cluster.users.cancel(jobs.get(5));
+        });
+  }
+
+  @Test
+  void everyJobEndsOnceWhenItIsCancelledAsItsLastTaskEnds() {
+    forEachDeployment(
+        14,
+        cluster -> {
+          cluster.users.cancelAtEnd(0.8);
+          // An answer takes a few hundred ms now and then: here always, so that both ends are often
+          // on their way at once.
+          cluster.network.slow(ClusterLayout.STORE_ADDRESS, 300, 150_000);
+          List<SimulatedJob> jobs = submit(cluster, 30, 2, 6000);
+          cluster.runFor(150_000);
+          long done = countLastStage(cluster, jobs, "done");
+          long cancelled = countLastStage(cluster, jobs, "cancelled");
+          assertEquals(jobs.size(), done + cancelled, "each has one end");
+          assertTrue(done > 0 && cancelled > 0, done + " done, " + cancelled + " cancelled");
+          Map<String, String> ends = new HashMap<>();
+          jobs.forEach(job -> ends.put(job.id(), cluster.store.finishedRecordOf(job.id())));
+          cluster.labels().forEach(label -> cluster.faults.kill(label, 500));
+          cluster.runFor(20_000);
+          cluster.users.cancelAtEnd(0);
+          jobs.forEach(cluster.users::submitAgain);
+          jobs.forEach(cluster.users::cancel);
+          jobs.forEach(job -> cluster.users.ask(job.id()));
+          cluster.runFor(20_000);
+          jobs.forEach(
+              job -> assertEquals(ends.get(job.id()), cluster.store.finishedRecordOf(job.id())));
+        });
+  }
+
+  private static long countLastStage(
+      SimulatedCluster cluster, List<SimulatedJob> jobs, String stage) {
+    return jobs.stream()
+        .filter(job -> stage.equals(cluster.invariants.lastStageOf(job.id())))
+        .count();
+  }
+
+  @Test
+  void tasksBehindAPartitionStopWhenItOutlastsTheirLeases() {
+    forEachDeployment(
+        14,
+        cluster -> {
+          List<SimulatedJob> jobs = submit(cluster, 4, 6, 60_000);
+          List<SimulatedJob> bound = submit(cluster, 2, 6, 200_000, job -> job.zone("b"));
+          cluster.runFor(35_000);
+          long ms = cluster.cancelMs + 12_000; // so that nobody behind it may answer any more
+          cluster.faults.note(ms + 5000);
+          cluster.network.partition("a", "b", ms);
+          cluster.network.partition("b", "regional", ms);
+          cluster.faults.disconnect("trestle-1", ms, Link.PEERS);
+          assertTrue(runningTasks(cluster, bound) > 0, "they run");
+          cluster.runFor(2000);
+          cluster.users.cancelAt("trestle-0", jobs.get(0));
+          cluster.runFor(ms - 4000);
+          assertEquals(0, runningTasks(cluster, bound), "what is behind the cut has ended");
+          cluster.runFor(2000);
+          assertEquals("cancelled", cluster.invariants.lastStageOf(jobs.get(0).id()));
+        });
+  }
+}
--- a/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
@@ -5,18 +5,19 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.SplittableRandom;
 import org.fieldtrestle.transport.HttpClient;
 import org.junit.jupiter.api.Test;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Hundreds to thousands of machines, with the limits of the state service enforced, two troubles at
- * a time: every accepted job can be asked about once the troubles are over.
+ * Hundreds to thousands of machines, with the limits of the key-value store enforced, two faults at
+ * a time: every accepted job can be asked about once the faults are over.
  *
- * <p>By hand, more seeds and sizes: {@code mvn -B test -Dtest=ProductionSizeTest
- * -Dproduction.seeds=20 -Dproduction.machines=4000 -DargLine=-Xmx6g}.
+ * <p>By hand, more seeds and sizes, with the figures of each day in {@code
+ * target/surefire-reports}: {@code mvn -o -B test -Dtest=ProductionSizeTest -DargLine="-Xmx6g
+ * -Dproduction.seeds=20 -Dproduction.machines=4000
+ * -Dorg.slf4j.simpleLogger.log.org.fieldtrestle.simulation=info"}.
  */
 class ProductionSizeTest {
   private static final Logger LOG = LoggerFactory.getLogger(ProductionSizeTest.class);
@@ -24,27 +25,25 @@
   private static final int SEEDS = Integer.getInteger("production.seeds", 1);
   private static final int FIRST_SEED = Integer.getInteger("production.first", 1);
 
-  /** A day begins calm, then troubles come, and all is calm for the rest. */
-  private static final long TROUBLES_FROM_MS = 90_000;
+  /** A day begins without faults, then faults come, and there are none for the rest. */
+  private static final long FAULTS_FROM_MS = 90_000;
 
-  private static final long TROUBLES_EVERY_MS = 80_000;
-  private static final int TROUBLES = 3;
+  private static final long FAULTS_EVERY_MS = 80_000;
+  private static final int FAULTS = 3;
   private static final long ENDS_MS = 660_000;
 
-  private static final int TROUBLE_KINDS = 9;
-
   @Test
-  void everyJobIsAnsweredOnATimberFleet() {
+  void everyJobIsAnsweredAfterFaultsOfATimberFleet() {
     play(Deployment.timberFleet());
   }
 
   @Test
-  void everyJobIsAnsweredOnAPayrollFleet() {
+  void everyJobIsAnsweredAfterFaultsOfAPayrollFleet() {
     play(Deployment.payrollFleet());
   }
 
   @Test
-  void everyJobIsAnsweredWithTheSmallestControllers() {
+  void everyJobIsAnsweredAfterFaultsOfTheSmallestControllers() {
     play(Deployment.payrollLean());
   }
 
@@ -56,38 +55,37 @@
 
   private static void day(Deployment deployment, long seed) {
     SimulatedCluster cluster =
-        new SimulatedCluster(new SplittableRandom(seed), MACHINES, deployment);
-    cluster.net.largestAnswer = HttpClient.MAX_RESPONSE;
+        SimulatedCluster.builder().seed(seed).machines(MACHINES).deployment(deployment).start();
+    cluster.network.limitAnswers(HttpClient.MAX_RESPONSE);
     UserAnswerLog answers = new UserAnswerLog(cluster);
     submitAll(cluster, answers);
     List<Integer> kinds = new ArrayList<>();
-    for (int i = 0; i < TROUBLES; i++) {
-      long at = TROUBLES_FROM_MS + i * TROUBLES_EVERY_MS;
+    for (int i = 0; i < FAULTS; i++) {
+      long at = FAULTS_FROM_MS + i * FAULTS_EVERY_MS;
       for (int each = 0; each < 2; each++) {
-        int kind = (int) cluster.time.between(0, TROUBLE_KINDS - 1);
+        int kind = ProductionFaults.drawKind(cluster.time);
         kinds.add(kind);
         cluster.time.after(
-            at + cluster.time.between(0, 10_000), () -> trouble(cluster, answers, kind));
+            at + cluster.time.between(0, 10_000), () -> ProductionFaults.inject(cluster, kind));
       }
     }
     cluster.time.runUntil(ENDS_MS);
-    LOG.warn(
-        "seed {} with {} machines, troubles {}: longest spell {}, {} of {} jobs ended, answers {},"
-            + " {} refused for limits, {} too large, broken {}",
-        seed,
-        MACHINES,
-        kinds,
-        answers.longest(),
-        answers.ended(),
-        answers.accepted(),
-        answers.statuses(),
-        cluster.state.refusedForLimits(),
-        cluster.net.tooLarge,
-        cluster.rules.broken.stream().limit(5).toList());
-    assertEquals(List.of(), cluster.rules.broken, "seed " + seed + ", troubles " + kinds);
+    LOG.atInfo()
+        .addKeyValue("seed", seed)
+        .addKeyValue("machines", MACHINES)
+        .addKeyValue("faults", kinds)
+        .addKeyValue("longestUnanswered", answers.longest())
+        .addKeyValue("endedJobs", answers.ended())
+        .addKeyValue("acceptedJobs", answers.accepted())
+        .addKeyValue("answersByStatus", answers.statuses())
+        .addKeyValue("refusedForLimits", cluster.store.refusedForLimits())
+        .addKeyValue("tooLargeAnswers", cluster.network.tooLargeAnswers())
+        .addKeyValue("violations", cluster.invariants.violations().stream().limit(5).toList())
+        .log("day is over");
+    assertEquals(List.of(), cluster.invariants.violations(), "seed " + seed + ", faults " + kinds);
     assertTrue(
         answers.longest().ms() < UserAnswerLog.FORGOTTEN_MS,
-        "seed " + seed + ", troubles " + kinds + ": " + answers.longest());
+        "seed " + seed + ", faults " + kinds + ": " + answers.longest());
   }
 
   /** Arrays that fill most of the fleet, and single tasks four a second, some called off. */
@@ -99,7 +97,7 @@
       time.after(
           at,
           () -> {
-            SimulatedCluster.Job job = cluster.define("job-" + id, one -> one.runMs = 4000);
+            SimulatedJob job = cluster.users.define("job-" + id, one -> one.runMs(4000));
             answers.submit(job);
             if (time.chance(0.25)) {
               time.after(time.between(100, 12_000), () -> answers.cancel(job));
@@ -113,64 +111,14 @@
           at,
           () ->
               answers.submit(
-                  cluster.define(
+                  cluster.users.define(
                       "job-" + id,
                       one -> {
-                        one.tasks = Math.max(1, slots / 12);
-                        one.cpus = 8;
-                        one.runMs = 30_000;
-                        one.image = "img-" + id % 4;
+                        one.tasks(Math.max(1, slots / 12));
+                        one.cpus(8);
+                        one.runMs(30_000);
+                        one.image("img-" + id % 4);
                       })));
     }
   }
-
-  private static void trouble(SimulatedCluster cluster, UserAnswerLog answers, int kind) {
-    SimulatedTime time = cluster.time;
-    String label = cluster.labels().get((int) time.between(0, 2));
-    switch (kind) {
-      case 0 -> {
-        cluster.trouble(20_000);
-        cluster.labels().forEach(one -> cluster.kill(one, time.between(3000, 8000)));
-      }
-      case 1 -> {
-        cluster.trouble(60_000);
-        cluster.labels().stream()
-            .filter(l -> !l.equals(label))
-            .forEach(l -> cluster.kill(l, 50_000));
-      }
-      case 2 -> {
-        cluster.trouble(60_000);
-        cluster.state.outage(60_000);
-      }
-      case 3 -> {
-        cluster.trouble(70_000);
-        cluster.isolate(label, 70_000);
-      }
-      case 4 -> {
-        cluster.trouble(70_000);
-        cluster.lose(label, 70_000, "state", "peers");
-      }
-      case 5 -> {
-        cluster.trouble(30_000);
-        cluster.net.slow(SimulatedCluster.STATE, 400, 30_000);
-      }
-      case 6 -> {
-        cluster.trouble(5000);
-        for (SimulatedWorker machine : List.copyOf(cluster.cloud.machines.values())) {
-          if (time.chance(0.5)) {
-            cluster.cloud.remove(machine.id);
-          }
-        }
-      }
-      case 7 -> {
-        cluster.trouble(70_000);
-        cluster.freeze(label, 70_000);
-      }
-      default -> {
-        cluster.trouble(45_000);
-        cluster.state.lateWrites = 0.3;
-        time.after(30_000, () -> cluster.state.lateWrites = 0);
-      }
-    }
-  }
 }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
@@ -13,47 +13,80 @@
 
 /** A stand-in for the cloud, by its protocol; every list it gives is some seconds old. */
 final class SimulatedCloud implements Http.Handler {
-  private record Old(long at, JsonNode list) {}
-
+  /** The CPUs of each machine. */
   static final int CPUS = 16;
+
+  private static final long LIST_INTERVAL_MS = 500;
+  private static final long LIST_AGE_MS = 6000;
+
+  /** What the cloud listed at a time. */
+  private record Listed(long atMs, JsonNode machines) {}
+
+  /** The machines that are rented, by their names. */
+  final TreeMap<String, SimulatedWorker> machines = new TreeMap<>();
+
   private final SimulatedTime time;
   private final SimulatedCluster cluster;
-  final TreeMap<String, SimulatedWorker> machines = new TreeMap<>();
-  private final Map<String, JsonNode> answered = new HashMap<>();
-  private final ArrayDeque<Old> lists = new ArrayDeque<>();
-  int capacity;
-  private int count;
-  double neverBoots;
+  private final Map<String, JsonNode> answersByRequest = new HashMap<>();
+  private final ArrayDeque<Listed> lists = new ArrayDeque<>();
+  private int capacity;
+  private int rentedEver;
+  private double failedBoots;
 
   SimulatedCloud(SimulatedTime time, SimulatedCluster cluster, int capacity) {
     this.time = time;
     this.cluster = cluster;
     this.capacity = capacity;
-    snapshot();
+    listPeriodically();
+  }
+
+  /** Sets how many machines there can be at a time. */
+  void limit(int machineCount) {
+    capacity = machineCount;
+  }
+
+  /** This share of machines never comes up. */
+  void failBoots(double share) {
+    failedBoots = share;
   }
 
   /** How many machines were ever rented. */
   int rentedEver() {
-    return count;
+    return rentedEver;
+  }
+
+  /** The cloud takes a machine away, or it is returned. */
+  void remove(String id) {
+    SimulatedWorker worker = machines.remove(id);
+    if (worker != null) {
+      worker.vanish();
+    }
   }
 
-  private void snapshot() {
+  private void listPeriodically() {
     ArrayNode list = Json.array();
-    for (SimulatedWorker one : machines.values()) {
+    for (SimulatedWorker machine : machines.values()) {
       list.addObject()
-          .put("uid", one.id)
-          .put("address", one.address)
-          .put("rig", one.type)
-          .put("yard", one.zone)
-          .put("loaners", one.spot)
-          .put("stage", one.failed ? "failed" : one.up ? "running" : "starting")
-          .put("heldS", (time.now() - one.rentedAt) / 1000.0);
+          .put("uid", machine.id)
+          .put("address", machine.address)
+          .put("rig", machine.type)
+          .put("yard", machine.zone)
+          .put("loaners", machine.spot)
+          .put("stage", stage(machine))
+          .put("heldS", (time.now() - machine.rentedAtMs) / 1000.0);
     }
-    lists.add(new Old(time.now(), list));
-    while (lists.size() > 1 && lists.peekFirst().at() < time.now() - 6000) {
+    lists.add(new Listed(time.now(), list));
+    while (lists.size() > 1 && lists.peekFirst().atMs() < time.now() - LIST_AGE_MS) {
       lists.removeFirst();
     }
-    time.after(500, this::snapshot);
+    time.after(LIST_INTERVAL_MS, this::listPeriodically);
+  }
+
+  private static String stage(SimulatedWorker machine) {
+    if (machine.hasFailed()) {
+      return "failed";
+    }
+    return machine.isUp() ? "running" : "starting";
   }
 
   @Override
@@ -68,18 +101,18 @@
       default -> {
         if (request.method().equals("GET")) {
           ObjectNode page = Json.object().put("more", false);
-          page.set("benches", lists.peekFirst().list());
+          page.set("benches", lists.peekFirst().machines());
           reply.accept(new Http.Response(200, Json.bytes(page)));
         } else {
-          rent(body, reply);
+          reply.accept(rent(body));
         }
       }
     }
   }
 
-  private JsonNode types() {
-    ObjectNode node = Json.object();
-    ArrayNode list = node.putArray("rigs");
+  private static JsonNode types() {
+    ObjectNode types = Json.object();
+    ArrayNode list = types.putArray("rigs");
     for (String name : new String[] {"big", "odd"}) {
       ObjectNode type =
           list.addObject()
@@ -94,46 +127,43 @@
               .put("readyS", 10);
       type.putArray("yards").add("a").add("b");
     }
-    return node;
+    return types;
   }
 
-  private void rent(JsonNode body, Consumer<Http.Response> reply) {
-    String hire = body.path("hire").asText();
-    JsonNode before = answered.get(hire);
-    if (before == null) {
-      int want = Math.min(body.path("count").asInt(), capacity - machines.size());
-      if (want <= 0) {
-        reply.accept(new Http.Response(503, Json.bytes(Json.object().put("error", "no capacity"))));
-        return;
+  /** Rents machines, or repeats the answer to a request that came before. */
+  private Http.Response rent(JsonNode body) {
+    String request = body.path("hire").asText();
+    JsonNode answer = answersByRequest.get(request);
+    if (answer == null) {
+      int count = Math.min(body.path("count").asInt(), capacity - machines.size());
+      if (count <= 0) {
+        return new Http.Response(503, Json.bytes(Json.object().put("error", "no capacity")));
       }
-      ObjectNode node = Json.object();
-      ArrayNode names = node.putArray("benches");
-      for (int i = 0; i < want; i++) {
-        SimulatedWorker worker =
-            new SimulatedWorker(
-                time,
-                cluster,
-                String.format("host-%06d", ++count),
-                cluster.workerAddress.apply(count),
-                body.path("rig").asText(),
-                body.path("yard").asText(),
-                body.path("loaners").asBoolean());
-        machines.put(worker.id, worker);
-        names.add(worker.id);
-        if (!time.chance(neverBoots)) {
-          time.after(time.between(500, 15_000), worker::boot);
-        }
+      ObjectNode rented = Json.object();
+      ArrayNode names = rented.putArray("benches");
+      for (int i = 0; i < count; i++) {
+        names.add(rentOne(body));
       }
-      answered.put(hire, node);
-      before = node;
+      answersByRequest.put(request, rented);
+      answer = rented;
     }
-    reply.accept(new Http.Response(200, Json.bytes(before)));
+    return new Http.Response(200, Json.bytes(answer));
   }
 
-  void remove(String id) {
-    SimulatedWorker worker = machines.remove(id);
-    if (worker != null) {
-      worker.vanish();
+  private String rentOne(JsonNode body) {
+    rentedEver++;
+    SimulatedWorker worker =
+        new SimulatedWorker(
+            cluster,
+            String.format("host-%06d", rentedEver),
+            cluster.workerAddress(rentedEver),
+            body.path("rig").asText(),
+            body.path("yard").asText(),
+            body.path("loaners").asBoolean());
+    machines.put(worker.id, worker);
+    if (!time.chance(failedBoots)) {
+      time.after(time.between(500, 15_000), worker::boot);
     }
+    return worker.id;
   }
 }
--- /dev/null
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
@@ -0,0 +1,202 @@
+package org.fieldtrestle.simulation;
+
+import java.nio.ByteBuffer;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.controller.Controller;
+import org.fieldtrestle.transport.EventLoopMeter;
+import org.fieldtrestle.transport.Http;
+import org.fieldtrestle.transport.Reactor;
+
+/** One process of the real controller code, which can be killed, frozen and slowed down. */
+final class SimulatedController {
+  /** The largest drift of a controller's steady clock. */
+  private static final double MAX_DRIFT = 0.0005;
+
+  /** How far a controller's time of day may be off. */
+  private static final long MAX_WALL_OFFSET_MS = 100;
+
+  private static final double REPEATED_FRAMES = 0.05;
+  private static final double LATE_FRAMES = 0.05;
+
+  private final SimulatedCluster cluster;
+  private final SimulatedTime time;
+  private final String label;
+  private final Controller controller;
+  private boolean alive = true;
+
+  /** Until when it stands still, while its clocks run on and what reaches it waits. */
+  private long frozenUntilMs;
+
+  /** How long each of its turns takes. */
+  private long turnMs;
+
+  /** Until when it is busy with the turns so far. */
+  private long busyUntilMs;
+
+  /** Until when its messages do not leave. */
+  private long messagesHeldUntilMs;
+
+  SimulatedController(SimulatedCluster cluster, String label) {
+    this.cluster = cluster;
+    this.time = cluster.time;
+    this.label = label;
+    Reactor reactor =
+        time.process(
+            this::isAlive,
+            this::turn,
+            time.random.nextDouble() * MAX_DRIFT,
+            time.between(-MAX_WALL_OFFSET_MS, MAX_WALL_OFFSET_MS));
+    this.controller =
+        new Controller(
+            ClusterLayout.settings(label, cluster.deployment()),
+            OperatorSettings.DEFAULT,
+            reactor,
+            time.random,
+            new SimulatedControllerCaller(cluster, this),
+            this::sendFrame,
+            new EventLoopMeter(reactor::nanoTime));
+    reactor.execute(() -> controller.start(this::listen));
+  }
+
+  String label() {
+    return label;
+  }
+
+  boolean isAlive() {
+    return alive;
+  }
+
+  boolean isFrozen() {
+    return time.now() < frozenUntilMs;
+  }
+
+  /** For how long what reaches it now waits until it is its turn. */
+  long lagMs() {
+    return Math.max(0, busyUntilMs - time.now());
+  }
+
+  /** Ends the process; returns whether it was alive. */
+  boolean stop() {
+    boolean wasAlive = alive;
+    alive = false;
+    return wasAlive;
+  }
+
+  void freeze(long ms) {
+    frozenUntilMs = time.now() + ms;
+  }
+
+  void slowDown(long newTurnMs) {
+    turnMs = newTurnMs;
+  }
+
+  void holdMessages(long ms) {
+    messagesHeldUntilMs = time.now() + ms;
+  }
+
+  // ---- turns
+
+  /** Runs what is due in the controller's event loop, once it is its turn. */
+  void turn(Runnable work) {
+    whenNotFrozen(
+        () -> {
+          if (turnMs == 0) {
+            work.run();
+            return;
+          }
+          busyUntilMs = Math.max(busyUntilMs, time.now()) + turnMs;
+          time.after(busyUntilMs - time.now(), this::isAlive, () -> whenNotFrozen(work));
+        });
+  }
+
+  private void whenNotFrozen(Runnable work) {
+    long waitMs = frozenUntilMs - time.now();
+    if (waitMs > 0) {
+      time.after(waitMs, this::isAlive, () -> whenNotFrozen(work));
+    } else {
+      work.run();
+    }
+  }
+
+  // ---- messages
+
+  /** Sends a message after a delay, and not while its messages are held. */
+  void sendAfter(long delayMs, Runnable message) {
+    if (delayMs == MessageObserver.PROMPT) {
+      send(message);
+    } else {
+      time.after(delayMs, this::isAlive, () -> send(message));
+    }
+  }
+
+  private void send(Runnable message) {
+    long waitMs = messagesHeldUntilMs - time.now();
+    if (waitMs > 0) {
+      time.after(waitMs, this::isAlive, message);
+    } else {
+      message.run();
+    }
+  }
+
+  private void listen() {
+    cluster.network.serve(ClusterLayout.address(label), ClusterLayout.zone(label), this::receive);
+    cluster.onListening(label);
+  }
+
+  private void receive(Http.Request request, Consumer<Http.Response> reply) {
+    boolean heartbeat = request.path().equals("/hello");
+    long delayMs = cluster.messages().beforeRequest(label, request.path());
+    Link link = heartbeat ? Link.WORKERS : Link.USERS;
+    if (delayMs == MessageObserver.LOST || cluster.faults.isDisconnected(label, link)) {
+      return;
+    }
+    Runnable handle = () -> turn(() -> handle(request, heartbeat, reply));
+    if (delayMs == MessageObserver.PROMPT) {
+      handle.run();
+    } else {
+      time.after(delayMs, this::isAlive, handle);
+    }
+  }
+
+  private void handle(Http.Request request, boolean heartbeat, Consumer<Http.Response> reply) {
+    controller.handle(
+        request,
+        response -> {
+          if (heartbeat && response.status() == 200) {
+            cluster.onHeartbeatAnswered(label);
+          }
+          send(() -> reply.accept(response));
+        });
+  }
+
+  /** Handles a request that reaches it without the network. */
+  void handle(String method, String path, byte[] body, Consumer<Http.Response> reply) {
+    controller.handle(new Http.Request(method, path, Map.of(), body), reply);
+  }
+
+  private void sendFrame(String peerAddress, ByteBuffer frame) {
+    if (!cluster.faults.isDisconnected(label, Link.PEERS)) {
+      cluster.controller(ClusterLayout.labelOfPeer(peerAddress)).receiveFrame(frame);
+    }
+  }
+
+  /** A frame of another controller, which may arrive repeatedly or late. */
+  private void receiveFrame(ByteBuffer frame) {
+    ByteBuffer body = frame.duplicate();
+    body.position(Integer.BYTES); // after the length
+    byte[] bytes = new byte[body.remaining()];
+    body.get(bytes);
+    if (cluster.faults.isDisconnected(label, Link.PEERS)) {
+      return;
+    }
+    int copies = time.chance(REPEATED_FRAMES) ? 2 : 1;
+    for (int i = 0; i < copies; i++) {
+      time.after(
+          time.chance(LATE_FRAMES) ? time.between(500, 60_000) : time.between(1, 5),
+          this::isAlive,
+          () -> turn(() -> controller.frame(ByteBuffer.wrap(bytes))));
+    }
+  }
+}
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
@@ -24,7 +24,7 @@
     return time.process(() -> true, Runnable::run, 0, 0);
   }
 
-  /** Makes calls to whoever is served here. */
+  /** Calls what is served here. */
   public Http.Caller caller() {
     return (address, method, path, body, timeoutMs, done) ->
         net.call(ZONE, () -> true, address, method, path, body, timeoutMs, done);
@@ -35,18 +35,18 @@
     net.serve(address, ZONE, handler);
   }
 
-  /** Starts a state service, with nothing in it. */
+  /** Starts a key-value store, with nothing in it. */
   public void serveState() {
     state = new SimulatedKeyValueStore(time, Deployment.timberFleet());
     serve(STATE_ADDRESS, state);
   }
 
-  /** Writes a key at the state service, whoever else may write it. */
+  /** Writes a key at the key-value store, as another controller would. */
   public void writeState(String key, JsonNode value) {
-    state.damage(key, value);
+    state.overwrite(key, value);
   }
 
-  /** For a while the state service answers nobody. */
+  /** For a while the key-value store answers nobody. */
   public void stateOutage(long ms) {
     state.outage(ms);
   }
--- /dev/null
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
@@ -0,0 +1,260 @@
+package org.fieldtrestle.simulation;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.transport.Http;
+
+/**
+ * Users who submit jobs, ask about them every few seconds and cancel them, through a controller
+ * that is ready. What they are told is checked by the {@link InvariantChecker}.
+ */
+final class SimulatedUsers {
+  private static final String JOBS = "/v2/runs";
+  private static final long SUBMIT_TIMEOUT_MS = 5000;
+  private static final long QUERY_TIMEOUT_MS = 2000;
+  private static final long RETRY_MS = 1000;
+  private static final int MAX_SUBMISSION_RETRIES = 600;
+
+  /** Share of jobs that are submitted again though their submission was answered at once. */
+  private static final double REPEATED_SUBMISSIONS = 0.2;
+
+  private final SimulatedCluster cluster;
+  private final SimulatedTime time;
+  private final Set<String> cancelled = new HashSet<>();
+  private double cancelledAtEnd;
+
+  SimulatedUsers(SimulatedCluster cluster) {
+    this.cluster = cluster;
+    this.time = cluster.time;
+  }
+
+  /** Whether a user has asked to cancel a job. */
+  boolean hasCancelled(String jobId) {
+    return cancelled.contains(jobId);
+  }
+
+  /** Notes that a test cancels a job itself. */
+  void noteCancellation(String jobId) {
+    cancelled.add(jobId);
+  }
+
+  /** Cancels this share of jobs at the moment at which their last task is done. */
+  void cancelAtEnd(double share) {
+    cancelledAtEnd = share;
+  }
+
+  // ---- submissions
+
+  /** Submits a job, whose defaults a test may change, until it is accepted. */
+  SimulatedJob submit(String id, Consumer<SimulatedJob> shape) {
+    SimulatedJob job = define(id, shape);
+    post(job, 0);
+    return job;
+  }
+
+  /** Defines a job that workers and invariants know, but that is not submitted yet. */
+  SimulatedJob define(String id, Consumer<SimulatedJob> shape) {
+    SimulatedJob job = new SimulatedJob(id);
+    shape.accept(job);
+    job.describe(time.now(), cluster.invariants.faultsSoFarMs());
+    cluster.jobs.put(id, job);
+    return job;
+  }
+
+  /** Submits a job once that must be refused with a status. */
+  void submitUnsatisfiable(String id, byte[] body, int expectedStatus) {
+    cluster.jobs.put(id, new SimulatedJob(id).unsatisfiable(true).body(body));
+    call(
+        "POST",
+        JOBS,
+        body,
+        SUBMIT_TIMEOUT_MS,
+        answer -> {
+          int status = answer.status();
+          if (isAccepted(answer)) {
+            cluster.invariants.accepted(id);
+          } else if (status < 429 && status != expectedStatus && status > 0) {
+            cluster.invariants.report("hopeless " + id + " gets " + status);
+          }
+        });
+  }
+
+  /** Submits a job to one controller, once. */
+  void submitAt(String label, SimulatedJob job, Consumer<Http.Answer> answered) {
+    callAt(
+        label,
+        "POST",
+        JOBS,
+        job.body(),
+        SUBMIT_TIMEOUT_MS,
+        answer -> {
+          if (isAccepted(answer)) {
+            cluster.invariants.accepted(job.id());
+          }
+          answered.accept(answer);
+        });
+  }
+
+  private static boolean isAccepted(Http.Answer answer) {
+    return answer.status() == 200 || answer.status() == 201;
+  }
+
+  private static boolean isRejected(Http.Answer answer) {
+    return answer.status() == 400 || answer.status() == 422;
+  }
+
+  private void post(SimulatedJob job, int retries) {
+    send(
+        job,
+        answer -> {
+          if (isAccepted(answer)) {
+            cluster.invariants.accepted(job.id());
+            poll(job);
+            if (retries > 0 || time.chance(REPEATED_SUBMISSIONS)) {
+              time.after(time.between(1000, 60_000), () -> submitAgain(job));
+            }
+          } else if (isRejected(answer)) {
+            cluster.invariants.report("refused " + job.id() + " with " + answer.status());
+          } else if (retries < MAX_SUBMISSION_RETRIES) {
+            time.after(RETRY_MS, () -> post(job, retries + 1));
+          }
+        });
+  }
+
+  /** Repeats the submission of an accepted job, which may have ended. */
+  void submitAgain(SimulatedJob job) {
+    long askedAtMs = time.now();
+    send(
+        job,
+        answer -> {
+          if (isRejected(answer) || answer.status() == 201) {
+            cluster.invariants.report(
+                "forgotten: repeated " + job.id() + " gets " + answer.status());
+          } else if (answer.status() == 200) {
+            cluster.invariants.told(job.id(), 200, stage(answer), askedAtMs);
+          }
+        });
+  }
+
+  private void send(SimulatedJob job, Consumer<Http.Answer> done) {
+    call("POST", JOBS, job.body(), SUBMIT_TIMEOUT_MS, done);
+  }
+
+  /** Called when the last task of a job is done. */
+  void lastTaskDone(SimulatedJob job) {
+    if (cancelledAtEnd > 0) {
+      time.after(time.between(0, 300), () -> ask(job.id()));
+      time.after(time.between(0, 300), () -> submitAgain(job));
+      if (time.chance(cancelledAtEnd)) {
+        time.after(time.between(0, 300), () -> cancel(job));
+      }
+    }
+  }
+
+  // ---- status queries
+
+  private void poll(SimulatedJob job) {
+    ask(job.id());
+    time.after(time.between(3000, 6000), () -> poll(job));
+  }
+
+  /** Asks about a job once. */
+  void ask(String id) {
+    long askedAtMs = time.now();
+    call(
+        "GET",
+        JOBS + "/" + id,
+        Http.Response.EMPTY,
+        QUERY_TIMEOUT_MS,
+        answer -> cluster.invariants.told(id, answer.status(), stage(answer), askedAtMs));
+  }
+
+  /** What one controller answers about a job within two seconds; 0: nothing. */
+  int statusAt(String label, String id) {
+    int[] status = {0};
+    cluster
+        .controller(label)
+        .handle(
+            "GET", JOBS + "/" + id, Http.Response.EMPTY, response -> status[0] = response.status());
+    time.runUntil(time.now() + QUERY_TIMEOUT_MS);
+    return status[0];
+  }
+
+  // ---- cancellations
+
+  /** Cancels a job, until that is confirmed. */
+  void cancel(SimulatedJob job) {
+    call(
+        "POST",
+        cancellationPath(job),
+        Http.Response.EMPTY,
+        SUBMIT_TIMEOUT_MS,
+        onCancellation(job, () -> cancel(job)));
+  }
+
+  /** Cancels a job at one controller, until that one confirms it. */
+  void cancelAt(String label, SimulatedJob job) {
+    callAt(
+        label,
+        "POST",
+        cancellationPath(job),
+        Http.Response.EMPTY,
+        SUBMIT_TIMEOUT_MS,
+        onCancellation(job, () -> cancelAt(label, job)));
+  }
+
+  private static String cancellationPath(SimulatedJob job) {
+    return JOBS + "/" + job.id() + "/abort";
+  }
+
+  private Consumer<Http.Answer> onCancellation(SimulatedJob job, Runnable retry) {
+    long askedAtMs = time.now();
+    cancelled.add(job.id());
+    return answer -> {
+      if (answer.status() == 200) {
+        cluster.invariants.told(job.id(), 200, stage(answer), askedAtMs);
+      } else {
+        time.after(RETRY_MS, retry);
+      }
+    };
+  }
+
+  // ---- requests
+
+  private static String stage(Http.Answer answer) {
+    return Json.parseOrEmpty(answer.body()).path("stage").asText();
+  }
+
+  private void call(
+      String method, String path, byte[] body, long timeoutMs, Consumer<Http.Answer> done) {
+    List<String> ready = ClusterLayout.LABELS.stream().filter(cluster::isReady).toList();
+    List<String> candidates = ready.isEmpty() ? ClusterLayout.LABELS : ready;
+    String label = candidates.get((int) time.between(0, candidates.size() - 1));
+    callAt(label, method, path, body, timeoutMs, done);
+  }
+
+  private void callAt(
+      String label,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMs,
+      Consumer<Http.Answer> done) {
+    cluster.network.call(
+        ClusterLayout.REGIONAL,
+        () -> true,
+        ClusterLayout.address(label),
+        method,
+        path,
+        body,
+        timeoutMs,
+        outcome ->
+            done.accept(
+                outcome instanceof Http.Answer answer
+                    ? answer
+                    : new Http.Answer(0, Http.Response.EMPTY)));
+  }
+}
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How one controller shares its part of the state service's limits among reads and writes, and how
- * it goes on following after failures.
+ * How one controller shares its part of the key-value store's limits among reads and writes, and
+ * how it goes on following after failures.
  */
 class StateAccessTest {
   private static final int ANSWER_MS = 5;
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aComparisonIsAnsweredWhileWritesWait() {
+  void comparisonIsAnsweredWhileWritesWait() {
     fillWithWrites();
     time.runUntil(1000);
     List<KeyValueClient.Result> results = new ArrayList<>();
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void aReadIsAnsweredWhileWritesWait() {
+  void readIsAnsweredWhileWritesWait() {
     service = path -> answer(200, "{\"items\":[],\"more\":false,\"ledger\":1}");
     fillWithWrites();
     time.runUntil(1000);
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void readsThatNeverEndLeaveWritesTheirTurns() {
+  void writesAreSentDuringEndlessReads() {
     for (int i = 0; i < 1000; i++) {
       time.after(
           i * 10L, () -> store.enqueueRead(() -> store.list(Records.FINAL, "", 1, page -> {})));
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void membershipIsWrittenBeforeAllThatWaits() {
+  void membershipIsWrittenBeforeWaitingWrites() {
     fillWithWrites();
     time.runUntil(1000);
     boolean[] done = {false};
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void aRefusalForTooManyRequestsIsNoSilence() {
+  void refusalForTooManyRequestsDoesNotCountAsUnavailability() {
     service = path -> new Http.Unknown("timeout");
     store.compare(List.of(), result -> {});
     time.runUntil(1000);
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void aWatchWhoseAnswerIsTooLargeIsGivenUpForReadingByPages() {
+  void stateIsReadByPagesWhenTheAnswerOfAWatchIsTooLarge() {
     StateCache view = appliedRevision();
     assertEquals(10, view.appliedRevision());
     // As long as it is asked for what came after 10, the answer never gets here whole.
@@ -168,7 +168,7 @@
   }
 
   @Test
-  void anOutageOfTheStateServiceMakesNobodyReadEverythingAnew() {
+  void stateIsNotReadAnewAfterAStoreOutage() {
     StateCache view = appliedRevision();
     sent.clear();
     service = path -> sent.size() == 1 ? new Http.Unknown("timeout") : answer(503, "{}");
@@ -181,7 +181,7 @@
   }
 
   @Test
-  void readingGoesOnAfterThePageThatFailed() {
+  void readingContinuesAfterTheLastPageThatWasRead() {
     StateCache view = new StateCache(reactor, store, settings);
     int[] failures = {0};
     service =
@@ -208,9 +208,9 @@
     return "{\"ledger\":" + revision + ",\"log\":[" + change + "]}";
   }
 
-  /** Whoever is told of a change must not take the state for fresh before all of it is there. */
+  /** A listener must not take the state for fresh before all changes are applied. */
   @Test
-  void theStateIsFreshOnlyOnceAllThatProvesItWasTakenIn() {
+  void stateIsFreshOnlyOnceAllChangesAreApplied() {
     StateCache view = appliedRevision();
     List<Long> freshWhenTold = new ArrayList<>();
     view.listen(key -> freshWhenTold.add(view.freshAsOf()));
@@ -230,7 +230,7 @@
    * would tell of its removal again.
    */
   @Test
-  void anAnswerThatComesAfterItsRevisionWasFollowedBringsNothingBack() {
+  void removedKeyStaysRemovedWhenItsCommitIsAnsweredLate() {
     StateCache view = appliedRevision();
     String member = "ft/live/member/a";
     String log =
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -1,9 +1,7 @@
 package org.fieldtrestle.simulation;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.SplittableRandom;
 
 /**
  * A simulated cluster whose messages are counted as steps. Before each step somebody is told of it,
@@ -15,15 +13,15 @@
   /** What a step is. */
   public enum StepKind {
     /** A controller sends a transaction, a watch, a lease request or a reading of a page. */
-    STATE_REQUEST,
+    STORE_REQUEST,
     /** The answer to one is about to reach the controller. */
-    STATE_ANSWER,
+    STORE_ANSWER,
     /** A controller sends a direct command to a worker. */
     COMMAND,
     /** The answer to one is about to reach the controller. */
     COMMAND_ANSWER,
-    /** A worker's report is about to reach a controller. */
-    REPORT,
+    /** A worker's heartbeat is about to reach a controller. */
+    HEARTBEAT,
     /** A user's request is about to reach a controller. */
     USER_REQUEST,
     /** An answer of the cloud is about to reach a controller. */
@@ -49,7 +47,7 @@
     NONE,
     /** It is lost; its sender gives up after the usual time. */
     LOST,
-    /** It is held back within the time-out of a request to the state service. */
+    /** It is held back within the time-out of a request to the key-value store. */
     LATE
   }
 
@@ -58,100 +56,40 @@
     Effect before(Step step);
   }
 
-  private static final long LATE_MS = 1200;
-  private static final int CONTROLLERS = 3;
-
-  /** Far more than any scenario has: a run that grows without bound is ended. */
-  private static final int MAX_STEPS = 400_000;
-
   private final SimulatedCluster cluster;
-  private final Listener listener;
-  private int steps;
+  private final StepObserver steps;
 
   /**
    * @param machines how many the cloud can give
    */
   public SteppedCluster(long seed, int machines, Listener listener) {
-    this.listener = listener;
     this.cluster =
-        new SimulatedCluster(new SplittableRandom(seed), machines, Deployment.timberFleet());
-    cluster.messages = new Observer();
-  }
-
-  private final class Observer implements SimulatedCluster.MessageObserver {
-    @Override
-    public long beforeSending(String controller, String peer, String path, byte[] body) {
-      return switch (peer) {
-        case "state" -> step(controller, StepKind.STATE_REQUEST, detail(path, body));
-        case "workers" -> step(controller, StepKind.COMMAND, path);
-        default -> PROMPT;
-      };
-    }
-
-    @Override
-    public long beforeAnswer(String controller, String peer, String path, byte[] body) {
-      return switch (peer) {
-        case "state" -> step(controller, StepKind.STATE_ANSWER, detail(path, body));
-        case "workers" -> step(controller, StepKind.COMMAND_ANSWER, path);
-        default -> step(controller, StepKind.CLOUD_ANSWER, path);
-      };
-    }
-
-    @Override
-    public long beforeRequest(String controller, String path) {
-      StepKind kind = path.equals("/hello") ? StepKind.REPORT : StepKind.USER_REQUEST;
-      return path.equals("/ready") ? PROMPT : step(controller, kind, path);
-    }
-  }
-
-  private long step(String controller, StepKind kind, String detail) {
-    if (steps >= MAX_STEPS) {
-      throw new StepLimitExceeded();
-    }
-    Step step = new Step(steps++, cluster.time.now(), controller, kind, detail);
-    return switch (listener.before(step)) {
-      case NONE -> SimulatedCluster.MessageObserver.PROMPT;
-      case LOST -> SimulatedCluster.LateAnswers.LOST;
-      case LATE -> LATE_MS;
-    };
+        SimulatedCluster.builder()
+            .seed(seed)
+            .machines(machines)
+            .deployment(Deployment.timberFleet())
+            .start();
+    this.steps = new StepObserver(cluster.time, listener);
+    cluster.observeMessages(steps);
   }
 
   /** A run that had more steps than any should have. */
   public static final class StepLimitExceeded extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    StepLimitExceeded() {
-      super("more than " + MAX_STEPS + " steps");
+    StepLimitExceeded(int limit) {
+      super("more than " + limit + " steps");
     }
   }
 
-  /** The kind of a request to the state service; of a transaction, what it is for. */
-  private static String detail(String path, byte[] body) {
-    if (!path.equals("/commit")) {
-      int end = path.indexOf('?');
-      String name = end < 0 ? path : path.substring(0, end);
-      return name.startsWith("/leases") ? "/leases" : name;
-    }
-    String text = new String(body, StandardCharsets.UTF_8);
-    for (String family : List.of("final", "master", "roster", "quota", "range", "job")) {
-      boolean writes = text.contains("\"write\":\"ft/live/" + family + "/");
-      if (writes || family.equals("final") && text.contains("ft/final/")) {
-        return "/commit " + (family.equals("final") && writesEnd(text) ? "end" : family);
-      }
-    }
-    return "/commit";
-  }
-
-  private static boolean writesEnd(String text) {
-    return text.contains("\"write\":\"ft/final/");
-  }
-
   // ---- time and figures
 
+  /** Simulated time. */
   public long nowMs() {
     return cluster.time.now();
   }
 
+  /** Runs the simulation until a time. */
   public void runUntil(long ms) {
     cluster.time.runUntil(ms);
   }
@@ -161,24 +99,29 @@
     cluster.time.after(ms - cluster.time.now(), action);
   }
 
+  /** How many steps there were so far. */
   public int stepCount() {
-    return steps;
+    return steps.count();
   }
 
+  /** The workers' lease. */
   public long workerLeaseMs() {
     return cluster.leaseMs;
   }
 
+  /** How long after a cancellation tasks may run. */
   public long cancelMs() {
     return cluster.cancelMs;
   }
 
+  /** The label of a controller. */
   public static String controller(int number) {
-    return "trestle-" + number % CONTROLLERS;
+    return ClusterLayout.LABELS.get(number % ClusterLayout.LABELS.size());
   }
 
   // ---- users
 
+  /** Submits a job of equal tasks, until it is accepted. */
   public void submit(String id, int tasks, double cpus, long runMs) {
     submit(id, tasks, cpus, runMs, false);
   }
@@ -189,99 +132,111 @@
   }
 
   private void submit(String id, int tasks, double cpus, long runMs, boolean spread) {
-    cluster.submit(
+    cluster.users.submit(
         id,
         job -> {
-          job.tasks = tasks;
-          job.cpus = cpus;
-          job.runMs = runMs;
-          job.spread = spread;
+          job.tasks(tasks);
+          job.cpus(cpus);
+          job.runMs(runMs);
+          job.spread(spread);
         });
   }
 
   /** The submission of a job that was accepted, repeated at some controller; else nothing. */
   public void submitAgain(String id) {
-    if (cluster.rules.isAccepted(id)) {
-      cluster.submitAgain(cluster.jobs.get(id));
+    if (cluster.invariants.isAccepted(id)) {
+      cluster.users.submitAgain(cluster.jobs.get(id));
     }
   }
 
+  /** Cancels a job at any controller, until that is confirmed. */
   public void cancel(String id) {
-    cluster.cancel(cluster.jobs.get(id));
+    cluster.users.cancel(cluster.jobs.get(id));
   }
 
   /** Cancels a job at the controller that leads most of its tasks. */
   public void cancelAtLeader(String id) {
-    SimulatedCluster.Job job = cluster.jobs.get(id);
-    cluster.cancelAt(cluster.leaderOf(job), job);
+    SimulatedJob job = cluster.jobs.get(id);
+    cluster.users.cancelAt(cluster.leaderOf(job), job);
   }
 
+  /** Asks about a job once. */
   public void ask(String id) {
-    cluster.ask(id);
+    cluster.users.ask(id);
   }
 
   // ---- faults; each is noted, so that checks allow for its time
 
-  public void stateOutage(long ms) {
-    cluster.trouble(ms);
-    cluster.state.outage(ms);
+  /** For a while the key-value store answers nobody. */
+  public void storeOutage(long ms) {
+    cluster.faults.note(ms);
+    cluster.store.outage(ms);
   }
 
+  /** For a while the key-value store refuses one controller. */
   public void refuseController(String controller, long ms) {
-    cluster.trouble(ms);
-    cluster.isolate(controller, ms);
+    cluster.faults.note(ms);
+    cluster.faults.refuse(controller, ms);
   }
 
+  /** For a while a controller reaches neither the key-value store nor its peers. */
   public void cutFromStateAndPeers(String controller, long ms) {
-    cluster.trouble(ms);
-    cluster.lose(controller, ms, "state", "peers");
+    cluster.faults.note(ms);
+    cluster.faults.disconnect(controller, ms, Link.STORE, Link.PEERS);
   }
 
+  /** For a while a controller and all workers do not reach each other. */
   public void cutFromWorkers(String controller, long ms) {
-    cluster.trouble(ms);
-    cluster.lose(controller, ms, "workers");
+    cluster.faults.note(ms);
+    cluster.faults.disconnect(controller, ms, Link.WORKERS);
   }
 
-  public void slowState(long ms) {
-    cluster.trouble(ms);
-    cluster.net.slow(SimulatedCluster.STATE, LATE_MS / 2, ms);
+  /** For a while the key-value store is slow. */
+  public void slowStore(long ms) {
+    cluster.faults.note(ms);
+    cluster.network.slow(ClusterLayout.STORE_ADDRESS, StepObserver.LATE_MS / 2, ms);
   }
 
-  public void carryOutTransactionsLate(long ms) {
-    cluster.trouble(ms + 12_000);
-    cluster.state.lateWrites = 1;
-    cluster.time.after(ms, () -> cluster.state.lateWrites = 0);
+  /** For a while transactions get no answer and are executed late. */
+  public void executeTransactionsLate(long ms) {
+    cluster.faults.note(ms + 12_000);
+    cluster.store.delayCommits(1);
+    cluster.time.after(ms, () -> cluster.store.delayCommits(0));
   }
 
+  /** A controller stands still for a while. */
   public void freeze(String controller, long ms) {
-    cluster.trouble(ms);
-    cluster.freeze(controller, ms);
+    cluster.faults.note(ms);
+    cluster.faults.freeze(controller, ms);
   }
 
+  /** Ends a controller process; another one starts after some time. */
   public void kill(String controller, long backAfterMs) {
-    cluster.trouble(backAfterMs + 10_000);
-    cluster.kill(controller, backAfterMs);
+    cluster.faults.note(backAfterMs + 10_000);
+    cluster.faults.kill(controller, backAfterMs);
   }
 
   /** Notes that messages were lost or late for a while. */
   public void noteFault(long ms) {
-    cluster.trouble(ms);
+    cluster.faults.note(ms);
   }
 
+  /** The machines with tasks of a job hang for a while. */
   public void hangMachinesOf(String job, long ms) {
-    cluster.trouble(ms);
-    machineCountOf(job).forEach(machine -> machine.hang(ms));
+    cluster.faults.note(ms);
+    machinesOf(job).forEach(machine -> machine.faults.hang(ms));
   }
 
+  /** The machines with tasks of a job are lost. */
   public void loseMachinesOf(String job) {
-    machineCountOf(job).forEach(machine -> cluster.cloud.remove(machine.id));
+    machinesOf(job).forEach(machine -> cluster.cloud.remove(machine.id));
   }
 
-  private List<SimulatedWorker> machineCountOf(String id) {
-    SimulatedCluster.Job job = cluster.jobs.get(id);
+  private List<SimulatedWorker> machinesOf(String id) {
+    SimulatedJob job = cluster.jobs.get(id);
     List<SimulatedWorker> machines = new ArrayList<>();
     for (SimulatedWorker machine : cluster.cloud.machines.values()) {
-      for (int i = 0; job != null && i < job.tasks; i++) {
+      for (int i = 0; job != null && i < job.tasks(); i++) {
         if (machine.holds(id + "/" + i) && !machines.contains(machine)) {
           machines.add(machine);
         }
@@ -293,28 +248,24 @@
   // ---- what users see
 
   /** Until when faults that were noted go on. */
-  public long calmFromMs() {
-    return cluster.calmSince();
+  public long faultsEndMs() {
+    return cluster.faults.endMs();
   }
 
   /** The rules broken so far, in the order in which they were. */
-  public List<String> broken() {
-    return List.copyOf(cluster.rules.broken);
+  public List<String> violations() {
+    return List.copyOf(cluster.invariants.violations());
   }
 
   /** How long after a confirmed cancellation the latest start was ordered; 0 where none was. */
   public long latestStartAfterCancellationMs() {
-    return cluster.rules.orderedLatestAfterCancelMs;
+    return cluster.invariants.lastStartOrderedAfterCancellationMs();
   }
 
   /** The jobs whose users have not been told of their end. */
   public List<String> unended() {
     return cluster.jobs.keySet().stream()
-        .filter(
-            id -> {
-              String last = cluster.rules.lastOf(id);
-              return !"done".equals(last) && !"cancelled".equals(last);
-            })
+        .filter(id -> !cluster.invariants.hasEnded(id))
         .sorted()
         .toList();
   }
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -18,9 +18,7 @@
  * come on top, and repeated submissions at random ones.
  */
 final class UserAnswerLog {
-  /**
-   * A job that cannot be asked about for so long counts as forgotten, once all troubles are over.
-   */
+  /** A job that cannot be asked about for so long counts as forgotten, once all faults are over. */
   static final long FORGOTTEN_MS = 75_000;
 
   private static final long USER_ASKS_EVERY_MS = 5000;
@@ -29,14 +27,14 @@
   private static final long EVERYWHERE_EVERY_MS = 20_000;
 
   /** The longest spell of a job without an answer. */
-  record Spell(String job, long ms, long endedAt) {}
+  record Spell(String job, long ms, long endedAtMs) {}
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
   private final Set<String> accepted = new HashSet<>();
 
   /** When the first of the questions about a job was asked that have had no answer since. */
-  private final Map<String, Long> failingSince = new HashMap<>();
+  private final Map<String, Long> unansweredSinceMs = new HashMap<>();
 
   private final Set<String> ended = new HashSet<>();
   private final Map<Integer, Integer> statuses = new HashMap<>();
@@ -65,32 +63,32 @@
     return accepted.size();
   }
 
-  /** Hands a job in again and again until it is accepted, then asks about it. */
-  void submit(SimulatedCluster.Job job) {
+  /** Submits a job until it is accepted, then asks about it. */
+  void submit(SimulatedJob job) {
     submit(job, anyReady());
   }
 
-  private void submit(SimulatedCluster.Job job, String label) {
+  private void submit(SimulatedJob job, String label) {
     post(
         label,
         "/v2/runs",
-        job.body,
+        job.body(),
         response -> {
           if (response.status() == 201 || response.status() == 200) {
             accepted(job);
           } else if (response.status() == 400 || response.status() == 422) {
-            cluster.rules.broken.add("refused " + job.id + " with " + response.status());
+            cluster.invariants.report("refused " + job.id() + " with " + response.status());
           } else {
             time.after(1000, () -> submit(job, anyReady()));
           }
         });
   }
 
-  private void accepted(SimulatedCluster.Job job) {
-    if (!accepted.add(job.id)) {
+  private void accepted(SimulatedJob job) {
+    if (!accepted.add(job.id())) {
       return;
     }
-    cluster.rules.accepted(job.id);
+    cluster.invariants.accepted(job.id());
     time.after(USER_ASKS_EVERY_MS, () -> ask(job, anyReady()));
     for (String label : cluster.labels()) {
       time.after(time.between(0, 300), () -> repeat(job, label));
@@ -100,11 +98,11 @@
   }
 
   /** Calls a job off, again and again until that is confirmed. */
-  void cancel(SimulatedCluster.Job job) {
-    cluster.cancelledByUser.add(job.id);
+  void cancel(SimulatedJob job) {
+    cluster.users.noteCancellation(job.id());
     post(
         anyReady(),
-        "/v2/runs/" + job.id + "/abort",
+        "/v2/runs/" + job.id() + "/abort",
         Http.Response.EMPTY,
         response -> {
           if (response.status() == 200) {
@@ -115,43 +113,43 @@
         });
   }
 
-  private void repeat(SimulatedCluster.Job job, String label) {
+  private void repeat(SimulatedJob job, String label) {
     long asked = time.now();
     post(
         label,
         "/v2/runs",
-        job.body,
+        job.body(),
         response -> {
           if (response.status() == 200) {
             told(job, response, asked);
           } else if (response.status() == 0 || response.status() >= 429) {
             time.after(USER_ASKS_EVERY_MS, () -> repeat(job, label));
           } else {
-            cluster.rules.broken.add(
-                "forgotten: repeated " + job.id + " gets " + response.status());
+            cluster.invariants.report(
+                "forgotten: repeated " + job.id() + " gets " + response.status());
           }
         });
   }
 
   /** A user's question; the next goes to the same controller while that holds the connection. */
-  private void ask(SimulatedCluster.Job job, String label) {
+  private void ask(SimulatedJob job, String label) {
     long asked = time.now();
     question(
         label,
         job,
         response -> {
           told(job, response, asked);
-          if (!ended.contains(job.id)) {
-            boolean stays = response.status() > 0 && !response.close() && cluster.ready(label);
+          if (!ended.contains(job.id())) {
+            boolean stays = response.status() > 0 && !response.close() && cluster.isReady(label);
             time.after(USER_ASKS_EVERY_MS, () -> ask(job, stays ? label : anyReady()));
           }
         });
   }
 
   /** Asks at one controller whatever the user heard, at last once more after the job's end. */
-  private void askAt(SimulatedCluster.Job job, String label) {
+  private void askAt(SimulatedJob job, String label) {
     long asked = time.now();
-    boolean lastTime = ended.contains(job.id);
+    boolean lastTime = ended.contains(job.id());
     question(
         label,
         job,
@@ -169,25 +167,25 @@
     return Json.parseOrEmpty(response.body()).path("stage").asText();
   }
 
-  private void told(SimulatedCluster.Job job, Http.Response response, long asked) {
+  private void told(SimulatedJob job, Http.Response response, long asked) {
     statuses.merge(response.status(), 1, Integer::sum);
-    long since = failingSince.computeIfAbsent(job.id, id -> asked);
-    long calmSpell = time.now() - Math.max(since, cluster.calmSince());
+    long since = unansweredSinceMs.computeIfAbsent(job.id(), id -> asked);
+    long calmSpell = time.now() - Math.max(since, cluster.faults.endMs());
     if (calmSpell > longest.ms()) {
-      longest = new Spell(job.id, calmSpell, time.now());
+      longest = new Spell(job.id(), calmSpell, time.now());
     }
     String stage = stage(response);
     if (response.status() == 200) {
-      failingSince.remove(job.id);
+      unansweredSinceMs.remove(job.id());
       if (stage.equals("done") || stage.equals("cancelled")) {
-        ended.add(job.id);
+        ended.add(job.id());
       }
     }
-    cluster.rules.told(job.id, response.status(), stage, asked);
+    cluster.invariants.told(job.id(), response.status(), stage, asked);
   }
 
   private String anyReady() {
-    List<String> ready = cluster.labels().stream().filter(cluster::ready).toList();
+    List<String> ready = cluster.labels().stream().filter(cluster::isReady).toList();
     List<String> from = ready.isEmpty() ? cluster.labels() : ready;
     return from.get((int) time.between(0, from.size() - 1));
   }
@@ -197,8 +195,8 @@
     request(label, "POST", path, body, USER_WAITS_TO_SUBMIT_MS, done);
   }
 
-  private void question(String label, SimulatedCluster.Job job, Consumer<Http.Response> done) {
-    request(label, "GET", "/v2/runs/" + job.id, Http.Response.EMPTY, USER_WAITS_MS, done);
+  private void question(String label, SimulatedJob job, Consumer<Http.Response> done) {
+    request(label, "GET", "/v2/runs/" + job.id(), Http.Response.EMPTY, USER_WAITS_MS, done);
   }
 
   /** A request whose answer counts only within some time; status 0 stands for none. */
@@ -209,25 +207,18 @@
       byte[] body,
       long withinMs,
       Consumer<Http.Response> done) {
-    boolean[] over = {false};
-    Consumer<Http.Response> once =
-        response -> {
-          if (!over[0]) {
-            over[0] = true;
-            done.accept(response);
-          }
-        };
+    Consumer<Http.Response> once = FaultyNetwork.once(done);
     Http.Response none = new Http.Response(0, Http.Response.EMPTY);
     time.after(withinMs, () -> once.accept(none));
-    if (!cluster.net.serves(cluster.address(label))) {
+    if (!cluster.network.serves(ClusterLayout.address(label))) {
       time.after(1, () -> once.accept(none));
       return;
     }
     time.after(
         time.between(1, 3),
         () ->
-            cluster.net.deliver(
-                cluster.address(label),
+            cluster.network.deliver(
+                ClusterLayout.address(label),
                 method,
                 path,
                 body,
--- /dev/null
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerHeartbeats.java
@@ -0,0 +1,157 @@
+package org.fieldtrestle.simulation;
+
+import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.transport.Http;
+
+/** The heartbeats of a simulated worker: periodically, and soon after a task has changed. */
+final class WorkerHeartbeats {
+  /** A worker sends no heartbeat sooner than this after the one before. */
+  private static final long MIN_INTERVAL_MS = 500;
+
+  private static final long TIMEOUT_MS = 4000;
+
+  /** After a failure the next controller is tried once this has passed. */
+  private static final long RETRY_MS = 1000;
+
+  private final SimulatedCluster cluster;
+  private final SimulatedTime time;
+  private final SimulatedWorker worker;
+  private int targetIndex;
+  private boolean pending;
+  private boolean due;
+  private boolean changed;
+  private long lastSentAtMs = -10_000;
+  private byte[] lastBody = Http.Response.EMPTY;
+
+  /** A heartbeat on its way. */
+  private record Sent(long atMs, long incarnation) {}
+
+  WorkerHeartbeats(SimulatedCluster cluster, SimulatedWorker worker) {
+    this.cluster = cluster;
+    this.time = cluster.time;
+    this.worker = worker;
+  }
+
+  /** Chooses any controller for the first heartbeat. */
+  void chooseController() {
+    targetIndex = (int) time.between(0, cluster.labels().size() - 1);
+  }
+
+  /** The controller that heartbeats go to. */
+  String target() {
+    return cluster.labels().get(targetIndex);
+  }
+
+  byte[] lastBody() {
+    return lastBody;
+  }
+
+  /** Sends heartbeats periodically from now on. */
+  void start() {
+    long intervalMs = cluster.heartbeatIntervalMs;
+    time.after(
+        time.between(intervalMs * 3 / 4, intervalMs * 5 / 4),
+        worker::isAlive,
+        () -> {
+          due = true;
+          sendIfDue();
+          start();
+        });
+  }
+
+  /** Called when there is something to report. */
+  void onChange() {
+    changed = true;
+    sendIfDue();
+  }
+
+  private void sendIfDue() {
+    if (!worker.isAlive() || pending || !(due || changed)) {
+      return;
+    }
+    if (worker.faults.isHanging()) {
+      worker.afterHanging(this::sendIfDue);
+      return;
+    }
+    long waitMs = lastSentAtMs + MIN_INTERVAL_MS - time.now();
+    if (waitMs > 0) {
+      time.after(waitMs, worker::isAlive, this::sendIfDue);
+      return;
+    }
+    worker.checkLease();
+    send();
+  }
+
+  private void send() {
+    pending = true;
+    due = false;
+    changed = false;
+    lastSentAtMs = time.now();
+    Sent sent = new Sent(time.now(), worker.incarnation());
+    String label = target();
+    lastBody = worker.status();
+    if (!worker.faults.reaches(label)) {
+      receiveAfter(1, new Http.NotSent("timeout"), sent, sent.atMs());
+      return;
+    }
+    cluster.network.call(
+        worker.zone,
+        worker::isAlive,
+        ClusterLayout.address(label),
+        "POST",
+        "/hello",
+        lastBody,
+        TIMEOUT_MS,
+        outcome -> {
+          long receivedAtMs = time.now();
+          if (worker.faults.isDeaf()) {
+            long leftMs = sent.atMs() + TIMEOUT_MS - time.now();
+            receiveAfter(leftMs, new Http.Unknown("timeout"), sent, receivedAtMs);
+          } else {
+            worker.whenResumed(() -> receive(outcome, sent, receivedAtMs));
+          }
+        });
+  }
+
+  private void receiveAfter(long ms, Http.Outcome outcome, Sent sent, long receivedAtMs) {
+    time.after(
+        ms, worker::isAlive, () -> worker.whenResumed(() -> receive(outcome, sent, receivedAtMs)));
+  }
+
+  private void receive(Http.Outcome outcome, Sent sent, long receivedAtMs) {
+    pending = false;
+    int status = outcome instanceof Http.Answer answer ? answer.status() : 0;
+    byte[] body = outcome instanceof Http.Answer answer ? answer.body() : Http.Response.EMPTY;
+    switch (status) {
+      case 200 -> {
+        if (time.now() - sent.atMs() <= TIMEOUT_MS && sent.incarnation() == worker.incarnation()) {
+          worker.onHeartbeatAnswered(Json.parseOrEmpty(body), sent.atMs(), receivedAtMs);
+        }
+      }
+      case 421 -> redirect(Json.parseOrEmpty(body).path("foreman").asText(""));
+      default -> tryNextController();
+    }
+    sendIfDue();
+  }
+
+  private void redirect(String label) {
+    int index = cluster.labels().indexOf(label);
+    if (index >= 0 && index != targetIndex) {
+      targetIndex = index;
+      changed = true;
+    } else {
+      tryNextController();
+    }
+  }
+
+  private void tryNextController() {
+    targetIndex = (targetIndex + 1) % cluster.labels().size();
+    time.after(
+        RETRY_MS,
+        worker::isAlive,
+        () -> {
+          due = true;
+          sendIfDue();
+        });
+  }
+}
--- a/src/test/java/org/fieldtrestle/simulation/search/Fault.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Fault.java
@@ -11,21 +11,21 @@
   MESSAGE_LOST(false),
   /** The message of the step is held back within its time-out. */
   MESSAGE_LATE(false),
-  /** Transactions sent within the next moment get no answer and are carried out late. */
+  /** Transactions sent within the next moment get no answer and are executed late. */
   TRANSACTIONS_LATE(false),
-  /** The state service refuses everybody. */
+  /** The key-value store refuses everybody. */
   STATE_OUTAGE(true),
-  /** The state service refuses everybody, and its answers on their way to anybody are lost. */
+  /** The key-value store refuses everybody, and its answers on their way to anybody are lost. */
   STATE_OUTAGE_LOSING_ANSWERS(true),
-  /** The state service refuses the controller of the step. */
+  /** The key-value store refuses the controller of the step. */
   CONTROLLER_REFUSED(true),
-  /** The controller reaches neither the state service nor the other controllers. */
+  /** The controller reaches neither the key-value store nor the other controllers. */
   CONTROLLER_CUT_OFF(true),
   /** The controller and all workers do not reach each other. */
   CONTROLLER_WITHOUT_WORKERS(true),
   /** No watch of the controller is answered. */
   WATCHES_LOST(true),
-  /** The state service is slow. */
+  /** The key-value store is slow. */
   STATE_SLOW(true),
   /** The controller stands still while its clocks run on. */
   CONTROLLER_FROZEN(true),
@@ -38,7 +38,7 @@
   /** The machines with tasks of the scenario's first job are lost. */
   MACHINES_LOST(false);
 
-  /** For how long answers on their way are lost, and transactions are carried out late, in ms. */
+  /** For how long answers on their way are lost, and transactions are executed late, in ms. */
   private static final long MOMENT_MS = 100;
 
   /** A lost watch is given up after about so long, and nothing is heard by it until then, in ms. */
@@ -46,39 +46,39 @@
 
   private static final long BACK_AT_ONCE_MS = 200;
 
-  private final boolean lasting;
+  private final boolean hasLength;
 
-  Fault(boolean lasting) {
-    this.lasting = lasting;
+  Fault(boolean hasLength) {
+    this.hasLength = hasLength;
   }
 
   /** Whether it goes on for a length of time that is to be chosen. */
-  boolean lasting() {
-    return lasting;
+  boolean hasLength() {
+    return hasLength;
   }
 
   /** Whether placing it before a step of this kind makes sense. */
-  boolean suits(Step step) {
+  boolean appliesTo(Step step) {
     return switch (this) {
       case MESSAGE_LOST, MESSAGE_LATE -> step.kind() != StepKind.CLOUD_ANSWER;
       case TRANSACTIONS_LATE ->
-          step.kind() == StepKind.STATE_REQUEST && step.detail().startsWith("/commit ");
+          step.kind() == StepKind.STORE_REQUEST && step.detail().startsWith("/commit ");
       default -> true;
     };
   }
 
   /** Begins the fault before a step; returns what becomes of the step's own message. */
-  Effect begin(SteppedCluster cluster, Step step, long lengthMs) {
+  Effect inject(SteppedCluster cluster, Step step, long lengthMs) {
     String controller = step.controller();
     switch (this) {
       case MESSAGE_LOST, MESSAGE_LATE -> cluster.noteFault(MISSED_MS);
-      case TRANSACTIONS_LATE -> cluster.carryOutTransactionsLate(MOMENT_MS);
-      case STATE_OUTAGE, STATE_OUTAGE_LOSING_ANSWERS -> cluster.stateOutage(lengthMs);
+      case TRANSACTIONS_LATE -> cluster.executeTransactionsLate(MOMENT_MS);
+      case STATE_OUTAGE, STATE_OUTAGE_LOSING_ANSWERS -> cluster.storeOutage(lengthMs);
       case CONTROLLER_REFUSED -> cluster.refuseController(controller, lengthMs);
       case CONTROLLER_CUT_OFF -> cluster.cutFromStateAndPeers(controller, lengthMs);
       case CONTROLLER_WITHOUT_WORKERS -> cluster.cutFromWorkers(controller, lengthMs);
       case WATCHES_LOST -> cluster.noteFault(lengthMs);
-      case STATE_SLOW -> cluster.slowState(lengthMs);
+      case STATE_SLOW -> cluster.slowStore(lengthMs);
       case CONTROLLER_FROZEN -> cluster.freeze(controller, lengthMs);
       case CONTROLLER_ENDS -> cluster.kill(controller, lengthMs);
       case CONTROLLER_RESTARTS -> cluster.kill(controller, BACK_AT_ONCE_MS);
@@ -95,7 +95,7 @@
   /** What becomes of a later message while the fault goes on, beyond what the cluster does. */
   Effect effectOn(Step begun, Step later, long lengthMs) {
     long since = later.atMs() - begun.atMs();
-    boolean answer = later.kind() == StepKind.STATE_ANSWER;
+    boolean answer = later.kind() == StepKind.STORE_ANSWER;
     boolean lost =
         switch (this) {
           case STATE_OUTAGE_LOSING_ANSWERS -> answer && since <= MOMENT_MS;
--- a/src/test/java/org/fieldtrestle/simulation/search/Scenario.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Scenario.java
@@ -89,13 +89,13 @@
   }
 
   /** The scenario of a printed name. */
-  static Scenario named(String name) throws BadInput {
+  static Scenario named(String name) throws InvalidInputException {
     for (Scenario scenario : values()) {
       if (scenario.printedName().equals(name)) {
         return scenario;
       }
     }
-    throw new BadInput(
+    throw new InvalidInputException(
         "unknown scenario '"
             + name
             + "', there are "
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Each task fills a machine, so that many machines report within a moment. The first job is
-   * spread over the zones: its ranges are not handed on, and only its own record names them.
+   * Each task fills a machine, so that many machines send heartbeats within a moment. The first job
+   * is spread over the zones: its ranges are not handed on, and only its own record names them.
    */
   private static void submitLong(SteppedCluster cluster, int jobs) {
     cluster.at(1000, () -> cluster.submitSpread(FIRST_JOB, SPREAD_TASKS, 16, LONG_RUN_MS));
--- a/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
@@ -18,7 +18,7 @@
   /** After the faults jobs have so long to end. */
   private static final long ENDS_WITHIN_MS = 500_000;
 
-  private static final long LOOKS_EVERY_MS = 5000;
+  private static final long CHECK_INTERVAL_MS = 5000;
 
   private final Scenario scenario;
   private final long seed;
@@ -53,11 +53,11 @@
     List<String> broken = new ArrayList<>();
     try {
       cluster.runUntil(scenario.faultsUntilMs());
-      long end = cluster.calmFromMs() + ENDS_WITHIN_MS;
+      long end = cluster.faultsEndMs() + ENDS_WITHIN_MS;
       while (!over() && cluster.nowMs() < end) {
-        cluster.runUntil(cluster.nowMs() + LOOKS_EVERY_MS);
+        cluster.runUntil(cluster.nowMs() + CHECK_INTERVAL_MS);
       }
-      broken.addAll(cluster.broken());
+      broken.addAll(cluster.violations());
       if (broken.isEmpty() && !cluster.unended().isEmpty()) {
         broken.add("never ended: " + cluster.unended());
       }
@@ -70,10 +70,10 @@
 
   private boolean over() {
     return cluster.unended().isEmpty()
-        && cluster.nowMs() > cluster.calmFromMs() + cluster.cancelMs();
+        && cluster.nowMs() > cluster.faultsEndMs() + cluster.cancelMs();
   }
 
-  /** Whoever acts so long after a confirmation has to know of it, whatever failed. */
+  /** A controller that may act so long after a confirmation has to know of it, whatever failed. */
   private void addLateStarts(List<String> broken) {
     long latest = cluster.latestStartAfterCancellationMs();
     boolean stoodStill =
@@ -98,7 +98,7 @@
       return effect;
     }
     begun.put(placement, step);
-    Effect own = placement.fault().begin(cluster, step, placement.lengthMs());
+    Effect own = placement.fault().inject(cluster, step, placement.lengthMs());
     return own == Effect.NONE ? effect : own;
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/search/Search.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Search.java
@@ -84,10 +84,10 @@
       String alike = step.controller() + step.kind() + step.detail();
       int round = seen.merge(alike, 1, Integer::sum);
       for (Fault fault : plan.faults()) {
-        if (!fault.suits(step)) {
+        if (!fault.appliesTo(step)) {
           continue;
         }
-        for (long length : fault.lasting() ? lengths : List.of(0L)) {
+        for (long length : fault.hasLength() ? lengths : List.of(0L)) {
           FaultPlacement placement = new FaultPlacement(step.number(), fault, length);
           rounds.put(placement, round);
           all.add(placement);
@@ -168,7 +168,7 @@
     List<FaultPlacement> shortest = new ArrayList<>(failing);
     for (int i = 0; i < shortest.size(); i++) {
       FaultPlacement one = shortest.get(i);
-      for (long length : one.fault().lasting() ? lengths : List.<Long>of()) {
+      for (long length : one.fault().hasLength() ? lengths : List.<Long>of()) {
         List<FaultPlacement> shorter = new ArrayList<>(shortest);
         shorter.set(i, new FaultPlacement(one.step(), one.fault(), length));
         if (length < one.lengthMs() && fails(shorter)) {
--- a/src/test/java/org/fieldtrestle/simulation/search/SearchMain.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/SearchMain.java
@@ -14,7 +14,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The search as a command; {@code docs/search.md} says how to run it. */
+/**
+ * The search as a command, a tool that is run by hand; {@code docs/search.md} describes it:
+ *
+ * <pre>
+ * mvn -o -q -B test-compile exec:java -Dexec.classpathScope=test \
+ *     -Dexec.mainClass=org.fieldtrestle.simulation.search.SearchMain \
+ *     -Dexec.args="--scenario cancel --singles 2000 --pairs 500 --threads 4"
+ * </pre>
+ */
 @Command(
     name = "search",
     mixinStandardHelpOptions = true,
@@ -78,24 +86,25 @@
     command.setExecutionExceptionHandler(
         (e, line, parsed) -> {
           err.println("search: " + e.getMessage());
-          return e instanceof BadInput ? BAD_INPUT : RULE_BROKEN;
+          return e instanceof InvalidInputException ? BAD_INPUT : RULE_BROKEN;
         });
     return command.execute(arguments);
   }
 
+  /** Runs the command and exits with its status. */
   public static void main(String[] arguments) {
     System.exit(run(System.out, System.err, arguments));
   }
 
   @Override
-  public Integer call() throws BadInput, IOException, InterruptedException {
+  public Integer call() throws InvalidInputException, IOException, InterruptedException {
     if (replay != null) {
       ScenarioRun.Result result = Violation.read(replay).replay();
       out.println(result.failed() ? "broken: " + result.broken() : "no rule broken");
       return result.failed() ? RULE_BROKEN : NOTHING_FOUND;
     }
     if (singles < 0 || pairs < 0 || singles + pairs == 0 || threads < 1) {
-      throw new BadInput("a budget of nothing: --singles, --pairs or --threads");
+      throw new InvalidInputException("a budget of nothing: --singles, --pairs or --threads");
     }
     List<Summary> summaries = new ArrayList<>();
     for (Scenario scenario : chosenScenarios()) {
@@ -109,7 +118,7 @@
     return broken ? RULE_BROKEN : NOTHING_FOUND;
   }
 
-  private List<Scenario> chosenScenarios() throws BadInput {
+  private List<Scenario> chosenScenarios() throws InvalidInputException {
     List<Scenario> chosen = new ArrayList<>();
     for (String name : scenarios) {
       chosen.add(Scenario.named(name));
@@ -117,20 +126,21 @@
     return chosen.isEmpty() ? List.of(Scenario.values()) : chosen;
   }
 
-  private List<Fault> chosenFaults() throws BadInput {
+  private List<Fault> chosenFaults() throws InvalidInputException {
     List<Fault> chosen = new ArrayList<>();
     for (String name : faults) {
       try {
         chosen.add(Fault.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
       } catch (IllegalArgumentException e) {
-        throw new BadInput(
+        throw new InvalidInputException(
             "unknown fault '" + name + "', there are " + Arrays.toString(Fault.values()));
       }
     }
     return chosen.isEmpty() ? List.of(Fault.values()) : chosen;
   }
 
-  private Summary search(Scenario scenario) throws BadInput, IOException, InterruptedException {
+  private Summary search(Scenario scenario)
+      throws InvalidInputException, IOException, InterruptedException {
     Search.Plan plan = new Search.Plan(scenario, chosenFaults(), singles, pairs, seed, threads);
     long began = System.nanoTime();
     Search search =
--- a/src/test/java/org/fieldtrestle/simulation/search/SearchTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/SearchTest.java
@@ -48,7 +48,7 @@
 
   @ParameterizedTest
   @EnumSource(Scenario.class)
-  void noRuleIsBrokenWithinTheBudget(Scenario scenario) throws InterruptedException {
+  void noInvariantIsViolatedWithinTheBudget(Scenario scenario) throws InterruptedException {
     Search.Report report = search(scenario, List.of(Fault.values()), SINGLES, PAIRS);
     assertEquals(SINGLES + PAIRS + 1, report.runs());
     assertEquals(List.of(), report.findings());
@@ -56,10 +56,10 @@
 
   /** The incident "a cancelled task was started again", as the search found it before the fix. */
   @Test
-  void anOutageBeforeTheWatchAfterACancellationStartsNothing() {
+  void noTaskStartsWhenAnOutageBeginsBeforeTheWatchAfterACancellation() {
     int[] runs = {0};
     for (Step step : steps(Scenario.CANCEL)) {
-      if (step.kind() == StepKind.STATE_REQUEST && step.detail().equals("/watch")) {
+      if (step.kind() == StepKind.STORE_REQUEST && step.detail().equals("/watch")) {
         FaultPlacement outage = new FaultPlacement(step.number(), Fault.STATE_OUTAGE, 67_000);
         ScenarioRun.Result result = new ScenarioRun(Scenario.CANCEL, SEED, List.of(outage)).play();
         assertEquals(List.of(), result.broken(), step.toString());
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void theSameRunHasTheSameSteps() {
+  void sameRunHasTheSameSteps() {
     assertEquals(steps(Scenario.CANCEL), steps(Scenario.CANCEL));
     FaultPlacement fault =
         new FaultPlacement(steps(Scenario.CANCEL).get(5).number(), Fault.STATE_SLOW, 9000);
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void theReportDoesNotDependOnTheNumberOfThreads() throws InterruptedException {
+  void reportDoesNotDependOnTheNumberOfThreads() throws InterruptedException {
     Search.Plan plan =
         new Search.Plan(Scenario.END, List.of(Fault.values()), 20, 5, SEED, THREADS + 1);
     assertEquals(
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void aFindingIsReadAsItWasWrittenAndPlayedAgain(@TempDir Path directory) throws Exception {
+  void violationIsReadAsItWasWrittenAndPlayedAgain(@TempDir Path directory) throws Exception {
     FaultPlacement fault =
         new FaultPlacement(steps(Scenario.END).get(0).number(), Fault.MESSAGE_LOST, 0);
     Violation finding = Violation.of(Scenario.END, SEED, List.of(fault));
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void whatCannotBeSearchedIsNamedInOneLine(@TempDir Path directory) throws IOException {
+  void invalidInputIsNamedInOneLine(@TempDir Path directory) throws IOException {
     assertRefused("unknown scenario 'x'", "--scenario", "x");
     assertRefused("unknown fault 'y'", "--fault", "y");
     assertRefused("budget of nothing", "--singles", "0");
--- a/src/test/java/org/fieldtrestle/simulation/search/Violation.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Violation.java
@@ -45,7 +45,7 @@
   }
 
   /** Plays it again. */
-  ScenarioRun.Result replay() throws BadInput {
+  ScenarioRun.Result replay() throws InvalidInputException {
     return new ScenarioRun(Scenario.named(scenario), seed, placements).play();
   }
 
@@ -53,17 +53,18 @@
     Files.write(file, MAPPER.writeValueAsBytes(this));
   }
 
-  static Violation read(Path file) throws BadInput {
+  static Violation read(Path file) throws InvalidInputException {
     Violation finding;
     try {
       finding = MAPPER.readValue(Files.readAllBytes(file), Violation.class);
     } catch (JsonProcessingException e) {
-      throw new BadInput(file + " is no finding: " + e.getOriginalMessage());
+      throw new InvalidInputException(file + " is no finding: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadInput("cannot read " + file);
+      throw new InvalidInputException("cannot read " + file);
     }
     if (finding.version() != VERSION) {
-      throw new BadInput(file + " is of version " + finding.version() + ", not " + VERSION);
+      throw new InvalidInputException(
+          file + " is of version " + finding.version() + ", not " + VERSION);
     }
     Scenario.named(finding.scenario());
     return finding;
