--- a/src/main/java/org/fieldtrestle/api/SubmissionHandler.java
+++ b/src/main/java/org/fieldtrestle/api/SubmissionHandler.java
@@ -80,7 +80,7 @@
       return;
     }
     if (submissionsInProgress >= MAX_CONCURRENT_SUBMISSIONS || context.store().isCongested()) {
-      context.metrics().refusedSubmissions++;
+      context.metrics().countRefusedSubmission();
       reply.accept(new RequestOutcome.Throttled());
       return;
     }
@@ -139,7 +139,7 @@
         retryAfterConflict(spec, conflict, reply, retriesLeft);
       }
     } else {
-      context.metrics().refusedSubmissions++;
+      context.metrics().countRefusedSubmission();
       reply.accept(availability.unavailable());
     }
   }
