--- a/src/main/java/org/fieldtrestle/controller/PeerBroadcaster.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerBroadcaster.java
@@ -40,7 +40,7 @@
     for (ShardLeader shard : shards.all()) {
       if (shard.isActive()) {
         PeerMessage.ShardLoad load = shard.load();
-        context.loads().heard(load);
+        context.loads().update(load);
         broadcast(load);
       }
     }
--- a/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
@@ -57,7 +57,7 @@
       return; // delayed in the network: its sender's status may be another one now
     }
     if (message instanceof PeerMessage.ShardLoad load && !shards.contains(load.shard())) {
-      context.loads().heard(load);
+      context.loads().update(load);
     } else if (message instanceof PeerMessage.Liveness alive) {
       liveness.received(alive);
     } else if (message instanceof PeerMessage.RedirectCount report) {
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How one controller shares its part of the state service's limits among reads and writes, and how
- * it goes on following after failures.
+ * How one controller shares its part of the key-value store's limits among reads and writes, and
+ * how it goes on following after failures.
  */
 class StateAccessTest {
   private static final int ANSWER_MS = 5;
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void aComparisonIsAnsweredWhileWritesWait() {
+  void comparisonIsAnsweredWhileWritesWait() {
     fillWithWrites();
     time.runUntil(1000);
     List<CommitResult> results = new ArrayList<>();
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void aReadIsAnsweredWhileWritesWait() {
+  void readIsAnsweredWhileWritesWait() {
     service = path -> answer(200, "{\"items\":[],\"more\":false,\"ledger\":1}");
     fillWithWrites();
     time.runUntil(1000);
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void readsThatNeverEndLeaveWritesTheirTurns() {
+  void writesAreSentDuringEndlessReads() {
     for (int i = 0; i < 1000; i++) {
       time.after(
           i * 10L,
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void membershipIsWrittenBeforeAllThatWaits() {
+  void membershipIsWrittenBeforeWaitingWrites() {
     fillWithWrites();
     time.runUntil(1000);
     boolean[] done = {false};
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void aRefusalForTooManyRequestsIsNoSilence() {
+  void refusalForTooManyRequestsDoesNotCountAsUnavailability() {
     service = path -> new Http.Unknown("timeout");
     store.compare(List.of(), result -> {});
     time.runUntil(1000);
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void aWatchWhoseAnswerIsTooLargeIsGivenUpForReadingByPages() {
+  void stateIsReadByPagesWhenTheAnswerOfAWatchIsTooLarge() {
     StateCache view = appliedRevision();
     assertEquals(10, view.appliedRevision());
     // As long as it is asked for what came after 10, the answer never gets here whole.
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void anOutageOfTheStateServiceMakesNobodyReadEverythingAnew() {
+  void stateIsNotReadAnewAfterAStoreOutage() {
     StateCache view = appliedRevision();
     sent.clear();
     service = path -> sent.size() == 1 ? new Http.Unknown("timeout") : answer(503, "{}");
@@ -187,7 +187,7 @@
   }
 
   @Test
-  void readingGoesOnAfterThePageThatFailed() {
+  void readingContinuesAfterTheLastPageThatWasRead() {
     StateCache view = new StateCache(reactor, store, settings);
     int[] failures = {0};
     service =
@@ -214,9 +214,9 @@
     return "{\"ledger\":" + revision + ",\"log\":[" + change + "]}";
   }
 
-  /** Whoever is told of a change must not take the state for fresh before all of it is there. */
+  /** A listener must not take the state for fresh before all changes are applied. */
   @Test
-  void theStateIsFreshOnlyOnceAllThatProvesItWasTakenIn() {
+  void stateIsFreshOnlyOnceAllChangesAreApplied() {
     StateCache view = appliedRevision();
     List<Long> freshWhenTold = new ArrayList<>();
     view.addKeyListener(key -> freshWhenTold.add(view.freshAsOf()));
@@ -236,7 +236,7 @@
    * would tell of its removal again.
    */
   @Test
-  void anAnswerThatComesAfterItsRevisionWasFollowedBringsNothingBack() {
+  void removedKeyStaysRemovedWhenItsCommitIsAnsweredLate() {
     StateCache view = appliedRevision();
     String member = "ft/live/member/a";
     String log =
