--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -136,7 +136,7 @@
   }
 
   /** A view of a state in which nothing happens after revision 10. */
-  private StateCache appliedRevision() {
+  private StateCache startedStateCache() {
     StateCache view = new StateCache(reactor, store, settings);
     service =
         path ->
@@ -150,7 +150,7 @@
 
   @Test
   void stateIsReadByPagesWhenTheAnswerOfAWatchIsTooLarge() {
-    StateCache view = appliedRevision();
+    StateCache view = startedStateCache();
     assertEquals(10, view.appliedRevision());
     // As long as it is asked for what came after 10, the answer never gets here whole.
     service =
@@ -169,7 +169,7 @@
 
   @Test
   void stateIsNotReadAnewAfterAStoreOutage() {
-    StateCache view = appliedRevision();
+    StateCache view = startedStateCache();
     sent.clear();
     service = path -> sent.size() == 1 ? new Http.Unknown("timeout") : answer(503, "{}");
     time.runUntil(60_000);
@@ -211,7 +211,7 @@
   /** A listener must not take the state for fresh before all changes are applied. */
   @Test
   void stateIsFreshOnlyOnceAllChangesAreApplied() {
-    StateCache view = appliedRevision();
+    StateCache view = startedStateCache();
     List<Long> freshWhenTold = new ArrayList<>();
     view.listen(key -> freshWhenTold.add(view.freshAsOf()));
     long before = view.freshAsOf();
@@ -231,7 +231,7 @@
    */
   @Test
   void removedKeyStaysRemovedWhenItsCommitIsAnsweredLate() {
-    StateCache view = appliedRevision();
+    StateCache view = startedStateCache();
     String member = "ft/live/member/a";
     String log =
         "{\"write\":\""
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -72,14 +72,14 @@
     // Controllers that have forgotten which machines were returned.
     cluster.time.after(
         70_000, () -> cluster.labels().forEach(label -> cluster.faults.kill(label, 200)));
-    Map<String, Integer> ghosts = new HashMap<>();
+    Map<String, Integer> checksWhileGone = new HashMap<>();
     for (long at = 76_000; at < 130_000; at += 1000) {
       cluster.time.runUntil(at);
       Set<String> counted = new HashSet<>(cluster.store.inventories());
       counted.removeAll(cluster.cloud.machines.keySet());
-      ghosts.keySet().retainAll(counted);
+      checksWhileGone.keySet().retainAll(counted);
       for (String gone : counted) { // a return may be known a moment before it is written
-        assertTrue(ghosts.merge(gone, 1, Integer::sum) < 6, gone + " is back at " + at);
+        assertTrue(checksWhileGone.merge(gone, 1, Integer::sum) < 6, gone + " is back at " + at);
       }
     }
     assertNoViolations(cluster);
