--- a/src/main/java/org/fieldtrestle/controller/OrphanAdopter.java
+++ b/src/main/java/org/fieldtrestle/controller/OrphanAdopter.java
@@ -87,13 +87,12 @@
         .log("adopting orphan machine");
     shard
         .inventory()
-        .add(
+        .adopt(
             machine,
             heartbeat.type(),
             heartbeat.zone(),
             heartbeat.spot(),
-            true,
-            owned -> adopting.remove(machine));
+            () -> adopting.remove(machine));
   }
 
   private static boolean isAnswerOf(String machine, Http.Outcome outcome) {
