--- a/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
+++ b/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
@@ -70,11 +70,13 @@
     if (context.stateCache().job(range.key().job()) == null) {
       return StartRefusal.JOB_UNKNOWN;
     }
-    return isOurs(context.stateCache().range(range.key())) ? null : StartRefusal.RANGE_NOT_OURS;
+    return belongsToTerm(context.stateCache().range(range.key()))
+        ? null
+        : StartRefusal.RANGE_NOT_OURS;
   }
 
   /** Whether a record shows a range to be this shard's, as of this epoch. */
-  boolean isOurs(StateCache.Versioned<Records.Range> kept) {
+  boolean belongsToTerm(StateCache.Versioned<Records.Range> kept) {
     return kept != null && kept.record().shard().equals(shard) && kept.record().epoch() <= epoch;
   }
 
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -15,6 +15,9 @@
  * range that this relies on is a condition, so that it fails if one of them is not as it was seen.
  */
 public final class JobCompletion {
+  /** Changes of the transaction beside those of the ranges: the job, and its final record. */
+  private static final int CHANGES_OF_JOB = 2;
+
   private JobCompletion() {}
 
   /**
@@ -26,7 +29,7 @@
   static Optional<Transaction> byLastRange(
       ControllerContext context, Records.RangeKey key, Records.Range next) {
     StateCache.ActiveJob job = context.stateCache().job(key.job());
-    if (job == null || job.ranges().size() + 2 > context.settings().state().txnOps()) {
+    if (job == null || job.ranges().size() + CHANGES_OF_JOB > context.settings().state().txnOps()) {
       return Optional.empty();
     }
     int tasks = 0;
--- a/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
+++ b/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
@@ -120,8 +120,8 @@
 
   /**
    * Commits changes under this term's guard. Where that fails or its outcome is unknown, the
-   * callback comes once the state has been read on, or after a while: the caller looks again and
-   * decides anew.
+   * callback comes once the state cache has followed that, or after a while: the caller looks at
+   * the state again and decides anew.
    *
    * @param done is given whether the changes are known to be committed
    */
--- a/src/main/java/org/fieldtrestle/worker/TaskRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -40,7 +40,7 @@
   private final FinishedTasks finished = new FinishedTasks();
   private final Int2ObjectMap<TaskAttempt> placed = new Int2ObjectOpenHashMap<>();
 
-  private final WaitingTasks waiting;
+  private final UnplacedTasks unplaced;
   private final WriteSchedule writes = new WriteSchedule();
   private long withheldSinceMs = NOT_WITHHELD;
   private long noRoomInStep = NO_STEP;
@@ -56,7 +56,7 @@
     this.version = version;
     this.inherited = inherited;
     this.waitingSinceMs = waitingSinceMs;
-    this.waiting = new WaitingTasks(record.size(), record.done());
+    this.unplaced = new UnplacedTasks(record.size(), record.done());
   }
 
   // ---- the records of the range and its job
@@ -65,7 +65,7 @@
   void followRecord(Records.Range next, long nextVersion) {
     record = next;
     version = nextVersion;
-    waiting.follow(record.size(), record.done());
+    unplaced.follow(record.size(), record.done());
     finished.followDone(record.done());
   }
 
@@ -85,7 +85,7 @@
 
   /** The task is on a worker, or on its way there. */
   public void place(int offset, TaskAttempt attempt) {
-    waiting.remove(offset);
+    unplaced.remove(offset);
     placed.put(offset, attempt);
     withheldSinceMs = NOT_WITHHELD;
   }
@@ -96,7 +96,7 @@
     Retry retry = new Retry(retryWaitingSinceMs);
     withheldSinceMs = NOT_WITHHELD;
     if (!isDone(offset) && !finished.offsets().get(offset)) {
-      waiting.addRetry(offset, retry);
+      unplaced.addRetry(offset, retry);
     }
     return retry;
   }
@@ -105,7 +105,7 @@
   void finish(int offset) {
     withheldSinceMs = NOT_WITHHELD;
     placed.remove(offset);
-    waiting.remove(offset);
+    unplaced.remove(offset);
     if (!isDone(offset)) {
       finished.add(offset);
     }
@@ -113,19 +113,19 @@
 
   /** Counts a failure of the task; returns how often it has failed. */
   int countFailure(int offset) {
-    return waiting.countFailure(offset);
+    return unplaced.countFailure(offset);
   }
 
   /** These waiting tasks may be another shard's at any time now and must not be started. */
   public void reserveForReassignment(BitSet tasks) {
-    waiting.removeAll(tasks);
+    unplaced.removeAll(tasks);
   }
 
   /** Those of these tasks that are still in the range wait here again. */
   void returnFromReassignment(BitSet tasks) {
-    WaitingTasks.clearFrom(record.size(), tasks);
+    UnplacedTasks.clearFrom(record.size(), tasks);
     tasks.andNot(record.done());
-    waiting.addFresh(tasks);
+    unplaced.addFresh(tasks);
   }
 
   /** No machine had room for its tasks in this placement step. */
@@ -182,22 +182,22 @@
 
   /** Whether all tasks that wait for another attempt may be started now. */
   public boolean mayRetryAll(long nowMs) {
-    return waiting.mayRetryAll(nowMs);
+    return unplaced.mayRetryAll(nowMs);
   }
 
   /** Whether a task waits and cannot be anywhere; not so one that has failed here. */
   public boolean isNowhere(int offset) {
-    return waiting.hasUnfailed(offset);
+    return unplaced.hasUnfailed(offset);
   }
 
   /** The offset of some task that waits, or {@link #NO_TASK}. */
   public int firstWaiting() {
-    return waiting.first();
+    return unplaced.first();
   }
 
   /** How many of its tasks wait. */
   public int waiting() {
-    return waiting.count();
+    return unplaced.count();
   }
 
   /** Whether another of its tasks may be placed in a zone. */
@@ -244,7 +244,7 @@
 
   /** Tasks that wait and have not been on a worker in this term. */
   public BitSet fresh() {
-    return waiting.fresh();
+    return unplaced.fresh();
   }
 
   /** Whether the range was there before this term, so that its tasks may be on any worker. */
@@ -274,7 +274,7 @@
 
   /** The tasks that wait again after having been on a worker, by their offsets. */
   public Int2ObjectMap<Retry> retries() {
-    return waiting.retries();
+    return unplaced.retries();
   }
 
   /** What the user submitted; null where the job has ended or its record cannot be read. */
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -104,7 +104,8 @@
 
   /** The term begins: follows all ranges that the state cache knows. */
   public void inherit() {
-    for (var job : List.copyOf(context.stateCache().all().entrySet())) {
+    for (Map.Entry<String, StateCache.ActiveJob> job :
+        List.copyOf(context.stateCache().all().entrySet())) {
       for (int index : List.copyOf(job.getValue().ranges().keySet())) {
         sync(new Records.RangeKey(job.getKey(), index));
       }
@@ -117,7 +118,7 @@
     TaskRange range = ranges.get(key);
     // A range given to a later epoch of this shard is not for this term, which may not know yet
     // that it is over: both would start its tasks.
-    if (!policy.isOurs(kept)) {
+    if (!policy.belongsToTerm(kept)) {
       if (range != null) {
         release(range);
       }
@@ -149,16 +150,19 @@
     return range;
   }
 
-  /** Follows the record of a job, which may name ranges without records of their own. */
+  /**
+   * Follows the record of a job, which may name ranges without records of their own; true where
+   * some range of it is or was this shard's.
+   */
   public boolean syncJob(String job) {
-    boolean ours = false;
+    boolean any = false;
     for (int index : List.copyOf(context.stateCache().rangesOf(job).keySet())) {
-      ours |= sync(new Records.RangeKey(job, index));
+      any |= sync(new Records.RangeKey(job, index));
     }
     for (TaskRange range : List.copyOf(ofJob(job))) {
-      ours |= sync(range.key());
+      any |= sync(range.key());
     }
-    return ours;
+    return any;
   }
 
   private void release(TaskRange range) {
--- a/src/main/java/org/fieldtrestle/worker/WaitingTasks.java
+++ b/src/main/java/org/fieldtrestle/worker/UnplacedTasks.java
@@ -6,7 +6,7 @@
 import java.util.BitSet;
 
 /** The tasks of one range that wait, by their offsets in the range. */
-final class WaitingTasks {
+final class UnplacedTasks {
   /** Tasks that have not been on a worker in this term. */
   private final BitSet fresh = new BitSet();
 
@@ -16,7 +16,7 @@
   private final Int2IntOpenHashMap failures = new Int2IntOpenHashMap();
 
   /** Tasks below {@code size}, without those that are done, are fresh. */
-  WaitingTasks(int size, BitSet done) {
+  UnplacedTasks(int size, BitSet done) {
     fresh.set(0, size);
     fresh.andNot(done);
   }
--- a/src/test/java/org/fieldtrestle/controller/StatsPageTest.java
+++ b/src/test/java/org/fieldtrestle/controller/StatsPageTest.java
@@ -14,10 +14,10 @@
   @Test
   void pageShowsAgesRefusalsAndCancellations() {
     ShardLeaderFixture fixture = new ShardLeaderFixture();
-    fixture.showToken();
+    fixture.reconcile();
     fixture.context.cancellations().confirmed(ShardLeaderFixture.LATER_REVISION);
     fixture.commitCancellation();
-    fixture.report();
+    fixture.heartbeat();
     JsonNode page = Json.parseOrEmpty(StatsPage.render(fixture.context, List.of(fixture.shard)));
     assertEquals(1, page.path("cancellations").path("notFollowedYet").asInt());
     assertTrue(page.path("startsRefused").path("job_ended").asInt() > 0, page.toString());
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -8,60 +8,66 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a shard tells its workers between a change of the state and the message about it. Nothing is
- * told to the shard here: it has to ask when it acts.
+ * Which commands a shard's workers get between a change of the state and the message about it. The
+ * shard gets no message here: it has to look at the state when it acts.
  */
 class ShardLeaderDecisionTest {
   private final ShardLeaderFixture fixture = new ShardLeaderFixture();
 
   @Test
   void tasksOfALiveJobAreStarted() {
-    fixture.showToken();
-    assertEquals(ShardLeaderFixture.TASKS, ShardLeaderFixture.orders(fixture.report(), "start"));
+    fixture.reconcile();
+    assertEquals(
+        ShardLeaderFixture.TASKS, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
   }
 
   @Test
   void nothingIsPlacedOfAJobWhoseCancellationWasCommittedHere() {
-    fixture.showToken();
+    fixture.reconcile();
     fixture.commitCancellation();
-    assertEquals(0, ShardLeaderFixture.orders(fixture.report(), "start"));
+    assertEquals(0, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
     assertEquals(0, fixture.context.metrics().placed());
   }
 
   @Test
   void nothingIsPlacedOfAJobThatAnotherControllerSaysIsCancelled() {
-    fixture.showToken();
+    fixture.reconcile();
     fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
-    assertEquals(0, ShardLeaderFixture.orders(fixture.report(), "start"));
+    assertEquals(0, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
     assertEquals(0, fixture.context.metrics().placed());
   }
 
   @Test
-  void aStartThatWasOrderedIsNotRepeatedAfterTheCancellationButStopped() {
-    fixture.showToken();
-    fixture.report();
+  void aStartedTaskIsStoppedAndNotStartedAgainAfterTheCancellation() {
+    fixture.reconcile();
+    fixture.heartbeat();
     assertEquals(
-        ShardLeaderFixture.TASKS, ShardLeaderFixture.orders(fixture.report(), "start"), "repeated");
+        ShardLeaderFixture.TASKS,
+        ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"),
+        "repeated");
     fixture.commitCancellation();
-    assertEquals(0, ShardLeaderFixture.orders(fixture.report(), "start"));
+    assertEquals(0, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
     assertEquals(ShardLeaderFixture.TASKS, fixture.range().placed().size());
-    assertEquals(ShardLeaderFixture.TASKS, ShardLeaderFixture.orders(fixture.report(), "stop"));
+    assertEquals(
+        ShardLeaderFixture.TASKS, ShardLeaderFixture.countCommands(fixture.heartbeat(), "stop"));
   }
 
-  /** A task that was given time to save is stopped at once when its job is cancelled. */
+  /** A task that is in its grace period is stopped at once when its job is cancelled. */
   @Test
-  void aStopWithTimeToSaveBecomesOneWithout() {
-    fixture.showToken();
-    fixture.report();
-    fixture.reportRunning();
+  void aStopWithAGracePeriodBecomesOneWithout() {
+    fixture.reconcile();
+    fixture.heartbeat();
+    fixture.heartbeatWithRunningTasks();
     for (TaskAttempt task : fixture.range().placed().values()) {
       fixture.shard.commands().stop(task, 20);
     }
     assertEquals(
-        ShardLeaderFixture.TASKS, ShardLeaderFixture.orders(fixture.reportRunning(), "stop"));
+        ShardLeaderFixture.TASKS,
+        ShardLeaderFixture.countCommands(fixture.heartbeatWithRunningTasks(), "stop"));
     fixture.commitCancellation();
     assertEquals(
-        ShardLeaderFixture.TASKS, ShardLeaderFixture.orders(fixture.reportRunning(), "stop"));
+        ShardLeaderFixture.TASKS,
+        ShardLeaderFixture.countCommands(fixture.heartbeatWithRunningTasks(), "stop"));
     assertEquals(ShardLeaderFixture.TASKS, fixture.range().placed().size());
     for (TaskAttempt task : fixture.range().placed().values()) {
       assertEquals(0, task.graceS());
@@ -69,30 +75,32 @@
   }
 
   @Test
-  void aStartThatWasOrderedIsNotRepeatedWhileTheJobsRecordCannotBeRead() {
-    fixture.showToken();
-    fixture.report();
+  void aStartIsNotRepeatedWhileTheJobsRecordCannotBeRead() {
+    fixture.reconcile();
+    fixture.heartbeat();
     fixture.commit(Records.job(ShardLeaderFixture.JOB), Json.object());
-    assertEquals(0, ShardLeaderFixture.orders(fixture.report(), "start"));
+    assertEquals(0, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
     assertEquals(
-        0, ShardLeaderFixture.orders(fixture.report(), "stop"), "it may still be read again");
+        0,
+        ShardLeaderFixture.countCommands(fixture.heartbeat(), "stop"),
+        "it may still be read again");
   }
 
   @Test
-  void noReportIsAcknowledgedOnceALaterEpochHasBegun() {
-    fixture.showToken();
-    assertEquals(200, fixture.report().status());
+  void noHeartbeatIsAcknowledgedOnceALaterEpochHasBegun() {
+    fixture.reconcile();
+    assertEquals(200, fixture.heartbeat().status());
     fixture.commitLaterEpoch();
-    assertEquals(503, fixture.report().status());
+    assertEquals(503, fixture.heartbeat().status());
   }
 
   @Test
-  void noReportIsAcknowledgedOnceTheFollowedStateIsTooOld() {
-    fixture.showToken();
+  void noHeartbeatIsAcknowledgedOnceTheStateCacheIsTooOld() {
+    fixture.reconcile();
     fixture.network.stateOutage(60_000);
     fixture.network.runFor(fixture.context.settings().stateLeaseMs() / 2);
-    assertEquals(200, fixture.report().status());
+    assertEquals(200, fixture.heartbeat().status());
     fixture.network.runFor(fixture.context.settings().stateLeaseMs() / 2);
-    assertEquals(503, fixture.report().status());
+    assertEquals(503, fixture.heartbeat().status());
   }
 }
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -31,21 +31,26 @@
 import org.fieldtrestle.worker.TaskRange;
 
 /**
- * A shard with one machine and one job, on simulated time.
+ * A shard with one worker and one job, on simulated time.
  *
  * <p>The shard gets no messages about changes of the state: as in the moment between a change and
- * the message about it, it only has what it can ask.
+ * the message about it, it can only look at the state cache.
  */
 public final class ShardLeaderFixture {
+  /** The job, which has {@link #TASKS} tasks. */
   public static final String JOB = "job-000001";
+
   static final int TASKS = 2;
+
+  /** The job's only range. */
   public static final Records.RangeKey RANGE = new Records.RangeKey(JOB, 0);
+
   private static final String LABEL = "trestle-0";
   private static final String MACHINE = "host-000001";
   private static final String WORKER_ADDRESS = "10.1.0.1:9000";
   private static final long STEP_MS = 500;
 
-  /** Far above what the state service has counted up to here. */
+  /** Far above the revisions that the key-value store has counted up to here. */
   public static final long LATER_REVISION = 1000;
 
   private static final String MACHINE_TYPES =
@@ -58,9 +63,10 @@
   public final ControllerContext context;
   public ShardLeader shard;
   private long epoch;
-  private long reports;
+  private long heartbeats;
   private long shownToken;
 
+  /** The shard is led, knows its worker, and has placed nothing. */
   public ShardLeaderFixture() {
     network.serveState();
     network.serve(SimulatedNetwork.CLOUD_ADDRESS, ShardLeaderFixture::cloud);
@@ -146,16 +152,18 @@
         List.of(new Records.Part(LABEL, epoch, 0, TASKS, Map.of())));
   }
 
-  /** Writes a key at the state service and lets it be followed. */
+  /** Writes a key in the key-value store and waits until the state cache has it. */
   void write(String key, JsonNode value) {
     network.writeState(key, value);
     network.runFor(STEP_MS);
   }
 
+  /** Decides which commands the shard may give. */
   public CommandPolicy policy() {
     return shard.term().policy();
   }
 
+  /** The job's only range. */
   public TaskRange range() {
     return shard.ranges().ofJob(JOB).get(0);
   }
@@ -177,25 +185,26 @@
     commit(Records.shard(LABEL), Records.write(new Records.Shard("trestle-1")));
   }
 
+  /** As the answer to a transaction of this controller's own that writes the key. */
   public void commit(String key, JsonNode value) {
     context
         .stateCache()
         .committed(List.of(new KeyValueProtocol.Put(key, value, 0)), LATER_REVISION);
   }
 
-  /** The machine is known to the shard and has shown its token, and nothing is placed on it yet. */
-  public void showToken() {
-    report();
+  /** The worker has shown the term's fencing token, and nothing is placed on it yet. */
+  public void reconcile() {
+    heartbeat();
   }
 
-  /** The worker reports without any task; returns the answer. */
-  public Http.Response report() {
-    return report(List.of());
+  /** The worker sends a heartbeat without any task; returns the answer. */
+  public Http.Response heartbeat() {
+    return heartbeat(List.of());
   }
 
-  /** The worker reports everything that was placed on it as running; returns the answer. */
-  Http.Response reportRunning() {
-    return report(
+  /** The worker reports all that was placed on it as running; returns the answer. */
+  Http.Response heartbeatWithRunningTasks() {
+    return heartbeat(
         range().placed().values().stream()
             .map(
                 task ->
@@ -207,26 +216,26 @@
             .toList());
   }
 
-  private Http.Response report(List<WorkerProtocol.ReportedTask> tasks) {
+  private Http.Response heartbeat(List<WorkerProtocol.ReportedTask> tasks) {
     List<Http.Response> answers = new ArrayList<>();
-    WorkerProtocol.Heartbeat report =
+    WorkerProtocol.Heartbeat heartbeat =
         new WorkerProtocol.Heartbeat(
-            MACHINE, WORKER_ADDRESS, "big", "a", true, 1, ++reports, shownToken, -1, tasks);
-    shard.tell(new ShardLeader.HeartbeatReceived(report, answers::add));
+            MACHINE, WORKER_ADDRESS, "big", "a", true, 1, ++heartbeats, shownToken, -1, tasks);
+    shard.tell(new ShardLeader.HeartbeatReceived(heartbeat, answers::add));
     network.runFor(STEP_MS);
     shownToken = shard.term().firstToken();
     return answers.get(0);
   }
 
-  /** How often an answer orders something of the job's tasks. */
-  static int orders(Http.Response answer, String order) {
+  /** How many commands of this kind an answer has for the job's tasks. */
+  static int countCommands(Http.Response answer, String kind) {
     String body = new String(answer.body(), StandardCharsets.UTF_8);
     int count = 0;
     for (int i = 0; i < TASKS; i++) {
-      String ordered = "\"order\":\"" + order + "\"";
+      String ofKind = "\"order\":\"" + kind + "\"";
       String task = "\"board\":\"" + new TaskId(JOB, i) + "\"";
       for (String one : body.split("\\{", -1)) {
-        count += one.contains(ordered) && one.contains(task) ? 1 : 0;
+        count += one.contains(ofKind) && one.contains(task) ? 1 : 0;
       }
     }
     return count;
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aJobThatWasNeverSeenHasEndedOnlyOnceTheRangesWritingIsFollowed() {
+  void aJobThatWasNeverSeenHasEndedOnlyOnceTheWriteOfItsRangeIsFollowed() {
     Records.RangeKey key = new Records.RangeKey("job-000002", 0);
     Records.Range record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(Records.range(key), Records.write(record));
@@ -55,14 +55,14 @@
   }
 
   @Test
-  void aNoticeOfAnotherControllerCounts() {
+  void aCancellationNoticeOfAnotherControllerRefusesStarts() {
     fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
     assertEquals(StartRefusal.JOB_CANCELLED, policy.startRefusal(range));
     assertTrue(policy.mustStop(range));
   }
 
   @Test
-  void aNoticeCountsForARangeHoweverManyOthersFollowIt() {
+  void aCancellationNoticeCountsForARangeHoweverManyOthersFollow() {
     fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
     fixture.shard.tell(new ShardLeader.JobCancelled(ShardLeaderFixture.JOB));
     fixture.network.runFor(1);
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aNoticeForAnUnknownJobChangesNothingElseAndIsCounted() {
+  void aCancellationNoticeForAnUnknownJobIsOnlyCounted() {
     fixture.context.cancellations().heard("job-999999");
     assertNull(policy.startRefusal(range));
     assertEquals(1, fixture.context.cancellations().heardCount());
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aRangeThatWasHandedOverIsNotOurs() {
+  void aRangeThatWasReassignedIsRefused() {
     Records.Range record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(
         Records.range(ShardLeaderFixture.RANGE), Records.write(record.ownedBy("trestle-1", 1)));
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void aRangeGivenToALaterEpochIsNotOurs() {
+  void aRangeGivenToALaterEpochIsRefused() {
     Records.Range record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(
         Records.range(ShardLeaderFixture.RANGE),
@@ -107,14 +107,14 @@
   }
 
   @Test
-  void aLaterEpochOfTheMasterEndsThisOne() {
+  void aLaterEpochOfTheShardEndsThisOne() {
     fixture.commitLaterEpoch();
     assertEquals(StartRefusal.SUPERSEDED, policy.startRefusal(range));
     assertFalse(policy.mayAcknowledge());
   }
 
   @Test
-  void theFenceClosesWithoutWordOfTheStateService() {
+  void theFenceClosesWithoutAnswersOfTheKeyValueStore() {
     fixture.network.stateOutage(60_000);
     fixture.network.runFor(fixture.context.settings().stateLeaseMs() + 1000);
     assertEquals(StartRefusal.FENCE_CLOSED, policy.startRefusal(range));
--- a/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
+++ b/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
@@ -10,28 +10,31 @@
 
 /** Whether images share bandwidth is learned from how long they take. */
 class ImageDownloadsTest {
-  /** An image of so many seconds came after what it takes, by a third more or less, and telling. */
+  /**
+   * Images arrive after this multiple of their time by themselves, by a third more or less, and the
+   * delay of up to a heartbeat interval by which workers report them late.
+   */
   private static void images(
-      ImageDownloads lines, SplittableRandom random, double aloneS, double times) {
+      ImageDownloads downloads, SplittableRandom random, double aloneS, double times) {
     for (int i = 0; i < 60; i++) {
       double fetchS = aloneS * times * (0.67 + random.nextDouble() * 0.66);
-      lines.record(fetchS + random.nextDouble() * 4, aloneS);
+      downloads.record(fetchS + random.nextDouble() * 4, aloneS);
     }
   }
 
   @Property(tries = 200, seed = "51")
-  void whetherImagesShareTheirLineIsLearnedWhateverTheirSize(
+  void whetherImagesShareBandwidthIsLearnedWhateverTheirSize(
       @ForAll @DoubleRange(min = 5, max = 120) double aloneS,
       @ForAll @LongRange(min = 0) long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    ImageDownloads lines = new ImageDownloads(4);
-    images(lines, random, aloneS, 1);
-    assertEquals(false, lines.shared(), "each has a line of its own");
-    images(lines, random, aloneS, 2.4);
-    assertEquals(true, lines.shared(), "beside one or two others");
-    images(lines, random, 0.5, 1);
-    assertEquals(true, lines.shared(), "those that take no time tell nothing");
-    images(lines, random, aloneS, 1);
-    assertEquals(false, lines.shared(), "no longer");
+    ImageDownloads downloads = new ImageDownloads(4);
+    images(downloads, random, aloneS, 1);
+    assertEquals(false, downloads.shared(), "each has bandwidth of its own");
+    images(downloads, random, aloneS, 2.4);
+    assertEquals(true, downloads.shared(), "beside one or two others");
+    images(downloads, random, 0.5, 1);
+    assertEquals(true, downloads.shared(), "images that take no time show nothing");
+    images(downloads, random, aloneS, 1);
+    assertEquals(false, downloads.shared(), "no longer");
   }
 }
