--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aJobThatWasNeverSeenHasEndedOnlyOnceTheRangesWritingIsFollowed() {
+  void aJobThatWasNeverSeenHasEndedOnlyOnceTheWriteOfItsRangeIsFollowed() {
     StateKey.RangeKey key = new StateKey.RangeKey("job-000002", 0);
     RangeRecord record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(StateKeys.range(key), RecordCodec.encode(record));
@@ -58,14 +58,14 @@
   }
 
   @Test
-  void aNoticeOfAnotherControllerCounts() {
+  void aCancellationNoticeOfAnotherControllerRefusesStarts() {
     fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
     assertEquals(StartRefusal.JOB_CANCELLED, policy.startRefusal(range));
     assertTrue(policy.mustStop(range));
   }
 
   @Test
-  void aNoticeCountsForARangeHoweverManyOthersFollowIt() {
+  void aCancellationNoticeCountsForARangeHoweverManyOthersFollow() {
     fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
     fixture.shard.tell(new ShardLeader.JobCancelled(ShardLeaderFixture.JOB));
     fixture.network.runFor(1);
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void aNoticeForAnUnknownJobChangesNothingElseAndIsCounted() {
+  void aCancellationNoticeForAnUnknownJobIsOnlyCounted() {
     fixture.context.cancellations().heard("job-999999");
     assertNull(policy.startRefusal(range));
     assertEquals(1, fixture.context.cancellations().heardCount());
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void aRangeThatWasHandedOverIsNotOurs() {
+  void aRangeThatWasReassignedIsRefused() {
     RangeRecord record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(
         StateKeys.range(ShardLeaderFixture.RANGE),
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void aRangeGivenToALaterEpochIsNotOurs() {
+  void aRangeGivenToALaterEpochIsRefused() {
     RangeRecord record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(
         StateKeys.range(ShardLeaderFixture.RANGE),
@@ -111,14 +111,14 @@
   }
 
   @Test
-  void aLaterEpochOfTheMasterEndsThisOne() {
+  void aLaterEpochOfTheShardEndsThisOne() {
     fixture.commitLaterEpoch();
     assertEquals(StartRefusal.SUPERSEDED, policy.startRefusal(range));
     assertFalse(policy.mayAcknowledge());
   }
 
   @Test
-  void theFenceClosesWithoutWordOfTheStateService() {
+  void theFenceClosesWithoutAnswersOfTheKeyValueStore() {
     fixture.network.stateOutage(60_000);
     fixture.network.runFor(fixture.context.settings().stateLeaseMs() + 1000);
     assertEquals(StartRefusal.FENCE_CLOSED, policy.startRefusal(range));
