--- a/src/main/java/org/fieldtrestle/ControllerMain.java
+++ b/src/main/java/org/fieldtrestle/ControllerMain.java
@@ -6,24 +6,25 @@
 import org.fieldtrestle.config.OperatorSettings;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.config.SettingsParser;
-import org.fieldtrestle.transport.HttpClient;
+import org.fieldtrestle.transport.SocketAddresses;
 
 /**
- * Starts a controller with the settings file that is its only argument, for the platform: on a
- * small share of a core, loading what {@link Main} needs to read a command line takes seconds in
- * which workers' leases run out.
+ * Entry point for the platform: starts a controller with the settings file that is its only
+ * argument. Loading what {@link Main} needs to read a command line takes seconds on a small share
+ * of a core, in which workers' leases run out.
  */
 public final class ControllerMain {
-  /** The exit status where a setting cannot be used. */
+  /** Exit status if a setting is invalid. */
   static final int EXIT_INVALID = 2;
 
-  /** The exit status where the address for users and workers cannot be had. */
+  /** Exit status if the address for users and workers cannot be listened on. */
   private static final int EXIT_CANNOT_LISTEN = 1;
 
   private static final double BYTES_PER_MB = 1024.0 * 1024.0;
 
   private ControllerMain() {}
 
+  /** Runs a controller until it is killed; exits with a status if it cannot start. */
   public static void main(String[] args) throws InterruptedException {
     LibrarySettings.apply();
     if (args.length != 1) {
@@ -32,7 +33,7 @@
     }
     try {
       Settings settings = SettingsParser.read(Path.of(args[0]));
-      warn(settings);
+      printWarnings(settings);
       run(settings, OperatorSettings.DEFAULT);
     } catch (Settings.InvalidSettingException e) {
       System.err.println("fieldtrestle: " + e.getMessage());
@@ -40,8 +41,8 @@
     }
   }
 
-  /** Tells on standard error of figures that are too small for a cluster. */
-  static void warn(Settings settings) {
+  /** Prints to standard error which limits are too small for the cluster. */
+  static void printWarnings(Settings settings) {
     double heapMb = Runtime.getRuntime().maxMemory() / BYTES_PER_MB;
     for (String line : settings.warnings(heapMb)) {
       System.err.println("fieldtrestle: warning: " + line);
@@ -49,14 +50,15 @@
   }
 
   /** Runs a controller until it is killed. */
-  static void run(Settings settings, OperatorSettings tuning) throws InterruptedException {
-    ControllerProcess process = new ControllerProcess(settings, tuning);
-    InetSocketAddress front = HttpClient.socket(settings.userAddress());
+  static void run(Settings settings, OperatorSettings operatorSettings)
+      throws InterruptedException {
+    ControllerProcess process = new ControllerProcess(settings, operatorSettings);
+    InetSocketAddress userAddress = SocketAddresses.parse(settings.userAddress());
     try {
-      process.start(front, HttpClient.socket(settings.peerAddress())).get();
+      process.start(userAddress, SocketAddresses.parse(settings.peerAddress())).get();
     } catch (ExecutionException e) {
       System.err.println(
-          "fieldtrestle: cannot listen on " + front + ": " + e.getCause().getMessage());
+          "fieldtrestle: cannot listen on " + userAddress + ": " + e.getCause().getMessage());
       System.exit(EXIT_CANNOT_LISTEN); // the event loop would go on
     }
     process.await();
--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -20,30 +20,39 @@
 import org.fieldtrestle.transport.PeerTransport;
 import org.fieldtrestle.transport.SocketBudget;
 
-/** A controller with its event loop and its connections to everybody else. */
+/** A controller with its event loop and its connections. */
 final class ControllerProcess {
-  /** Share of all sockets that direct commands to workers may take. */
+  /** Part of all sockets that commands to workers may use. */
   private static final int WORKER_CALLS_DIVISOR = 5;
 
-  /** Connections from each other controller: it may have come back while old ones linger. */
+  /** Connections from each other controller: after a restart its old ones may still be open. */
   private static final int INBOUND_PER_PEER = 8;
 
+  /** Worker leases after which an idle connection is closed. */
+  private static final int IDLE_LEASES = 2;
+
+  /** Part of a worker's lease within which a request has to arrive. */
+  private static final int REQUEST_LEASE_DIVISOR = 2;
+
+  private static final long SHUTDOWN_TIMEOUT_S = 1;
+
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final NettyReactor reactor = new NettyReactor(group.next());
   private final PeerTransport peers;
   private final Controller controller;
   private final HttpServer server;
 
-  ControllerProcess(Settings settings, OperatorSettings tuning) {
+  ControllerProcess(Settings settings, OperatorSettings operatorSettings) {
     EventLoopMeter meter = new EventLoopMeter(System::nanoTime);
-    SocketBudget sockets = new SocketBudget(settings.limits().maxConnections());
-    long idleMs = settings.workerLeaseMs() * 2;
+    int maxConnections = settings.limits().maxConnections();
+    SocketBudget sockets = new SocketBudget(maxConnections);
+    long idleMs = settings.workerLeaseMs() * IDLE_LEASES;
     HttpClient client =
         new HttpClient(
             group.next(),
             sockets,
             new HashSet<>(List.of(settings.stateAddress(), settings.cloudAddress())),
-            settings.limits().maxConnections() / WORKER_CALLS_DIVISOR,
+            maxConnections / WORKER_CALLS_DIVISOR,
             meter);
     peers =
         new PeerTransport(
@@ -52,9 +61,10 @@
             PeerProtocol.MAX_FRAME,
             INBOUND_PER_PEER * (settings.peers().size() + 1),
             idleMs,
-            Math.round(settings.workers().heartbeatIntervalS() * 1000));
+            settings.heartbeatIntervalsMs(1));
     controller =
-        new Controller(settings, tuning, reactor, new SplittableRandom(), client, peers, meter);
+        new Controller(
+            settings, operatorSettings, reactor, new SplittableRandom(), client, peers, meter);
     server =
         new HttpServer(
             group,
@@ -62,26 +72,27 @@
             sockets,
             WorkerProtocol.REPORT::equals,
             idleMs,
-            settings.workerLeaseMs() / 2,
+            settings.workerLeaseMs() / REQUEST_LEASE_DIVISOR,
             meter);
   }
 
   /**
-   * Begins to act, and listens for users and workers once it does.
+   * Starts the controller, which begins to listen for users and workers once it acts.
    *
-   * @return completes with the port for users and workers, or with why it cannot listen
+   * @return completes with the port for users and workers, or with the failure to listen
    */
-  CompletableFuture<Integer> start(InetSocketAddress front, InetSocketAddress internal)
+  CompletableFuture<Integer> start(InetSocketAddress userAddress, InetSocketAddress peerAddress)
       throws InterruptedException {
-    peers.start(internal, this::frame);
+    peers.start(peerAddress, this::receiveFrame);
     CompletableFuture<Integer> listening = new CompletableFuture<>();
-    reactor.execute(() -> controller.start(() -> listen(front, listening)));
+    reactor.execute(() -> controller.start(() -> listen(userAddress, listening)));
     return listening;
   }
 
-  private void listen(InetSocketAddress front, CompletableFuture<Integer> listening) {
+  @SuppressWarnings("FutureReturnValueIgnored") // both outcomes are passed on
+  private void listen(InetSocketAddress userAddress, CompletableFuture<Integer> listening) {
     server
-        .bind(front)
+        .bind(userAddress)
         .whenComplete(
             (port, failure) -> {
               if (failure == null) {
@@ -92,7 +103,7 @@
             });
   }
 
-  private void frame(ByteBuffer received) {
+  private void receiveFrame(ByteBuffer received) {
     ByteBuffer copy = ByteBuffer.allocate(received.remaining()).put(received).flip();
     controller.frame(copy);
   }
@@ -102,8 +113,8 @@
     group.terminationFuture().sync();
   }
 
-  /** Ends the controller at once. */
+  /** Ends the controller at once, without any message to others. */
   void stop() throws InterruptedException {
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
+    group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS).sync();
   }
 }
--- a/src/main/java/org/fieldtrestle/Main.java
+++ b/src/main/java/org/fieldtrestle/Main.java
@@ -8,7 +8,9 @@
 import org.fieldtrestle.config.SettingsParser;
 import picocli.CommandLine;
 
-/** The command line: reads the settings of platform and operators and runs a controller. */
+/**
+ * Command line for operators: reads both kinds of settings and checks them or runs a controller.
+ */
 @CommandLine.Command(
     name = "fieldtrestle",
     description = "One controller of the fieldtrestle cluster scheduler.",
@@ -33,6 +35,7 @@
       description = "only check the settings, and say what is wrong with them")
   private boolean check;
 
+  /** The version in the jar's manifest. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -41,31 +44,33 @@
     }
   }
 
+  /** Runs the command line; exits with its status unless that is 0. */
   public static void main(String[] args) {
     LibrarySettings.apply();
-    int code = new CommandLine(new Main()).execute(args);
-    if (code != 0) {
-      System.exit(code);
+    int status = new CommandLine(new Main()).execute(args);
+    if (status != 0) {
+      System.exit(status);
     }
   }
 
   @Override
   public Integer call() throws InterruptedException {
     Settings settings;
-    OperatorSettings tuning;
+    OperatorSettings operatorSettings;
     try {
       settings = SettingsParser.read(config);
-      tuning = operator == null ? OperatorSettings.DEFAULT : OperatorSettingsParser.read(operator);
+      operatorSettings =
+          operator == null ? OperatorSettings.DEFAULT : OperatorSettingsParser.read(operator);
     } catch (Settings.InvalidSettingException e) {
       System.err.println("fieldtrestle: " + e.getMessage());
       return ControllerMain.EXIT_INVALID;
     }
-    ControllerMain.warn(settings);
+    ControllerMain.printWarnings(settings);
     if (check) {
       System.out.println("settings of " + settings.label() + " are in order");
       return 0;
     }
-    ControllerMain.run(settings, tuning);
+    ControllerMain.run(settings, operatorSettings);
     return 0;
   }
 }
--- a/src/main/java/org/fieldtrestle/api/UserApi.java
+++ b/src/main/java/org/fieldtrestle/api/UserApi.java
@@ -23,7 +23,7 @@
 import org.fieldtrestle.state.Records;
 import org.fieldtrestle.state.StateCache;
 import org.fieldtrestle.transport.Actor;
-import org.fieldtrestle.transport.EventLoopMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 import org.slf4j.Logger;
@@ -118,11 +118,11 @@
     context.metrics().work.run(kind(message), () -> answer(message));
   }
 
-  private static Work kind(Message message) {
+  private static Activity kind(Message message) {
     if (message instanceof Submit) {
-      return Work.USER_SUBMISSION;
+      return Activity.USER_SUBMISSION;
     }
-    return message instanceof Poll ? Work.USER_QUERY : Work.USER_CANCELLATION;
+    return message instanceof Poll ? Activity.USER_QUERY : Activity.USER_CANCELLATION;
   }
 
   private void answer(Message message) {
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -18,7 +18,7 @@
 import org.fieldtrestle.state.Records;
 import org.fieldtrestle.state.StateCache;
 import org.fieldtrestle.transport.EventLoopMeter;
-import org.fieldtrestle.transport.EventLoopMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.PeerSender;
 import org.fieldtrestle.transport.Reactor;
@@ -163,7 +163,7 @@
   }
 
   private void checkPeriodically() {
-    meter.run(Work.PERIODIC_CHECKS, this::check);
+    meter.run(Activity.PERIODIC_CHECKS, this::check);
     reactor.schedule(checkIntervalMs(), this::checkPeriodically);
   }
 
@@ -174,7 +174,7 @@
   }
 
   private void broadcastPeriodically() {
-    meter.run(Work.PEER_BROADCAST, broadcaster::broadcastStatus);
+    meter.run(Activity.PEER_BROADCAST, broadcaster::broadcastStatus);
     reactor.schedule(checkIntervalMs(), this::broadcastPeriodically);
   }
 
@@ -187,7 +187,7 @@
 
   /** Receives a frame from another controller, without its length; on the reactor's thread. */
   public void frame(ByteBuffer frame) {
-    meter.run(Work.PEER_FRAME, () -> peerReceiver.receive(frame));
+    meter.run(Activity.PEER_FRAME, () -> peerReceiver.receive(frame));
   }
 
   @Override
--- a/src/main/java/org/fieldtrestle/controller/MeteredCaller.java
+++ b/src/main/java/org/fieldtrestle/controller/MeteredCaller.java
@@ -4,7 +4,7 @@
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.transport.EventLoopMeter;
-import org.fieldtrestle.transport.EventLoopMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.transport.Http;
 
 /** Makes calls and meters the handling of their answers by the service that has answered. */
@@ -27,20 +27,22 @@
       byte[] body,
       long timeoutMs,
       Consumer<Http.Outcome> done) {
-    Work work = workOf(address, path);
+    Activity activity = activityOf(address, path);
     caller.call(
         address,
         method,
         path,
         body,
         timeoutMs,
-        outcome -> meter.run(work, () -> done.accept(outcome)));
+        outcome -> meter.run(activity, () -> done.accept(outcome)));
   }
 
-  private Work workOf(String address, String path) {
+  private Activity activityOf(String address, String path) {
     if (address.equals(settings.stateAddress())) {
-      return path.startsWith(KeyValueProtocol.WATCH) ? Work.STATE_WATCH : Work.STATE_ANSWER;
+      return path.startsWith(KeyValueProtocol.WATCH) ? Activity.STATE_WATCH : Activity.STATE_ANSWER;
     }
-    return address.equals(settings.cloudAddress()) ? Work.CLOUD_ANSWER : Work.WORKER_COMMAND_ANSWER;
+    return address.equals(settings.cloudAddress())
+        ? Activity.CLOUD_ANSWER
+        : Activity.WORKER_COMMAND_ANSWER;
   }
 }
--- a/src/main/java/org/fieldtrestle/controller/RequestRouter.java
+++ b/src/main/java/org/fieldtrestle/controller/RequestRouter.java
@@ -6,7 +6,7 @@
 import org.fieldtrestle.protocol.UserProtocol;
 import org.fieldtrestle.protocol.WorkerProtocol;
 import org.fieldtrestle.transport.EventLoopMeter;
-import org.fieldtrestle.transport.EventLoopMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.transport.Http;
 
 /** Passes HTTP requests of users, workers and operators on by path and method. */
@@ -44,9 +44,9 @@
   @Override
   public void handle(Http.Request request, Consumer<Http.Response> reply) {
     if (request.path().equals(WorkerProtocol.REPORT)) {
-      meter.run(Work.WORKER_REPORT, () -> routeHeartbeat(request, reply));
+      meter.run(Activity.WORKER_REPORT, () -> routeHeartbeat(request, reply));
     } else {
-      meter.run(Work.OTHER_REQUEST, () -> route(request, reply));
+      meter.run(Activity.OTHER_REQUEST, () -> route(request, reply));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -98,11 +98,11 @@
   }
 
   private static void putEventLoopWork(ObjectNode parent, EventLoopMeter meter) {
-    for (EventLoopMeter.Work work : EventLoopMeter.Work.values()) {
+    for (EventLoopMeter.Activity activity : EventLoopMeter.Activity.values()) {
       parent
-          .putObject(work.printedName())
-          .put("count", meter.count(work))
-          .put("ms", Math.round(meter.millis(work)));
+          .putObject(activity.printedName())
+          .put("count", meter.count(activity))
+          .put("ms", Math.round(meter.millis(activity)));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -21,7 +21,7 @@
 import org.fieldtrestle.scheduling.TaskPlacer;
 import org.fieldtrestle.state.Records;
 import org.fieldtrestle.transport.Actor;
-import org.fieldtrestle.transport.EventLoopMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.worker.FailureTracker;
 import org.fieldtrestle.worker.FreeResources;
@@ -133,13 +133,13 @@
       context
           .metrics()
           .work
-          .run(Work.WORKER_REPORT, () -> reported(reported.report(), reported.reply()));
+          .run(Activity.WORKER_REPORT, () -> reported(reported.report(), reported.reply()));
     } else if (message instanceof Changed changed) {
       changed(changed.key());
     } else if (message instanceof Cancelled cancelled) {
       ranges.cancelled(cancelled.job());
     } else if (message instanceof Tick) {
-      context.metrics().work.run(Work.PERIODIC_CHECKS, this::tick);
+      context.metrics().work.run(Activity.PERIODIC_CHECKS, this::tick);
     } else if (message instanceof Ended) {
       term.end();
       logLeadership("leadership ends");
@@ -380,7 +380,7 @@
     ranges.logUnstopped(now);
     if (term.isLeading()) {
       shares.tick();
-      context.metrics().work.run(Work.FLEET_SIZING, () -> autoscaler.tick(now));
+      context.metrics().work.run(Activity.FLEET_SIZING, () -> autoscaler.tick(now));
       ranges.writePartial(now);
       reassignment.tick(now);
       report(now);
@@ -401,7 +401,7 @@
     long soon = context.stateCache().watchIntervalMs() / 5;
     reactor.schedule(
         Math.max(soon, passNotBefore - context.now()),
-        () -> context.metrics().work.run(Work.PLACEMENT, this::pass));
+        () -> context.metrics().work.run(Activity.PLACEMENT, this::pass));
   }
 
   private void pass() {
--- a/src/main/java/org/fieldtrestle/transport/EventLoopMeter.java
+++ b/src/main/java/org/fieldtrestle/transport/EventLoopMeter.java
@@ -1,16 +1,19 @@
 package org.fieldtrestle.transport;
 
 import java.util.Arrays;
+import java.util.EnumMap;
 import java.util.Locale;
+import java.util.Map;
 import java.util.function.LongSupplier;
 
 /**
- * Counts how often the event loop does each kind of work and how long that takes. Work that is done
- * within other work counts for itself alone, so that the times add up. Lives on one event loop.
+ * Counts how often the event loop does each kind of work and how long that takes. The time of an
+ * activity within another one counts for the inner one alone, so that the times add up. Used on one
+ * event loop only.
  */
 public final class EventLoopMeter {
-  /** The kinds of work that are told apart. */
-  public enum Work {
+  /** The kinds of work. Their names are keys of the statistics page. */
+  public enum Activity {
     HTTP_SERVER_READ,
     HTTP_SERVER_WRITE,
     HTTP_CLIENT_READ,
@@ -30,31 +33,40 @@
     FLEET_SIZING,
     PLACEMENT;
 
-    /** The name of this kind of work in the log and on the statistics page. */
+    /** The name of this activity in the log and on the statistics page. */
     public String printedName() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
-  private static final int NONE = -1;
-  private static final int KINDS = Work.values().length;
+  private static final double NANOS_PER_MS = 1e6;
+
+  private static final class Total {
+    private long count;
+    private long nanos;
+  }
 
   private final LongSupplier nanoTime;
-  private final long[] nanos = new long[KINDS];
-  private final long[] counts = new long[KINDS];
-  private int current = NONE;
-  private long currentSince;
+  private final Map<Activity, Total> totals = new EnumMap<>(Activity.class);
+
+  /** The activity that the time since {@code currentSinceNanos} counts for; null for none. */
+  private Activity current;
+
+  private long currentSinceNanos;
 
   /**
    * @param nanoTime a steady clock in nanoseconds
    */
   public EventLoopMeter(LongSupplier nanoTime) {
     this.nanoTime = nanoTime;
+    for (Activity activity : Activity.values()) {
+      totals.put(activity, new Total());
+    }
   }
 
-  /** Does some work and counts it. */
-  public void run(Work work, Runnable task) {
-    int outer = begin(work);
+  /** Runs a task and counts it as an activity. */
+  public void run(Activity activity, Runnable task) {
+    Activity outer = begin(activity);
     try {
       task.run();
     } finally {
@@ -63,55 +75,55 @@
   }
 
   /**
-   * Begins some work.
+   * Begins an activity.
    *
-   * @return what {@link #end} has to be given once it is over
+   * @return the interrupted activity, or null; to be passed to {@link #end}
    */
-  public int begin(Work work) {
-    int outer = current;
-    switchTo(work.ordinal());
-    counts[current]++;
+  public Activity begin(Activity activity) {
+    Activity outer = current;
+    switchTo(activity);
+    totals.get(activity).count++;
     return outer;
   }
 
-  /** Ends the work that began last. */
-  public void end(int outer) {
+  /** Ends the activity that began last. */
+  public void end(Activity outer) {
     switchTo(outer);
   }
 
-  private void switchTo(int next) {
+  private void switchTo(Activity next) {
     long now = nanoTime.getAsLong();
-    if (current != NONE) {
-      nanos[current] += now - currentSince;
+    if (current != null) {
+      totals.get(current).nanos += now - currentSinceNanos;
     }
     current = next;
-    currentSince = now;
+    currentSinceNanos = now;
   }
 
-  /** How many milliseconds some work has taken so far. */
-  public double millis(Work work) {
-    return nanos[work.ordinal()] / 1e6;
+  /** How many milliseconds an activity has taken so far. */
+  public double millis(Activity activity) {
+    return totals.get(activity).nanos / NANOS_PER_MS;
   }
 
-  /** How often some work was done so far. */
-  public long count(Work work) {
-    return counts[work.ordinal()];
+  /** How often an activity was done so far. */
+  public long count(Activity activity) {
+    return totals.get(activity).count;
   }
 
-  /** Every kind of work that was done at all, with its count and time, the longest first. */
+  /** All activities that were done at all, with count and time, the longest first. */
   public String summary() {
     StringBuilder text = new StringBuilder();
-    Arrays.stream(Work.values())
-        .filter(work -> count(work) > 0)
+    Arrays.stream(Activity.values())
+        .filter(activity -> count(activity) > 0)
         .sorted((a, b) -> Double.compare(millis(b), millis(a)))
         .forEach(
-            work ->
+            activity ->
                 text.append(text.length() == 0 ? "" : ", ")
-                    .append(work.printedName())
+                    .append(activity.printedName())
                     .append(' ')
-                    .append(count(work))
+                    .append(count(activity))
                     .append(" in ")
-                    .append(Math.round(millis(work)))
+                    .append(Math.round(millis(activity)))
                     .append(" ms"));
     return text.toString();
   }
--- a/src/main/java/org/fieldtrestle/transport/HttpClient.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpClient.java
@@ -1,72 +1,68 @@
 package org.fieldtrestle.transport;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.util.concurrent.ScheduledFuture;
-import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import org.fieldtrestle.transport.SocketBudget.Use;
 
-/** Calls others over kept connections, one request at a time on each. Lives on one event loop. */
+/**
+ * Makes HTTP/1.1 calls over pooled connections, one call at a time on each. Used on one event loop
+ * only.
+ */
 public final class HttpClient implements Http.Caller {
   /**
-   * The largest response that is taken, a few pages of the state service: a watch answers without
-   * any limit, and reading what is larger would need more memory than a process has. The caller
-   * sees a closed connection.
+   * The largest response in bytes, a few pages of the key-value store; a larger one, as an
+   * unlimited watch may give, would need more memory than the process has. The caller sees a closed
+   * connection.
    */
   public static final int MAX_RESPONSE = 4 * 1024 * 1024;
 
-  private static final int IDLE_KEPT = 4;
+  private static final int MAX_INITIAL_LINE_BYTES = 4096;
+  private static final int MAX_HEADER_BYTES = 8192;
+  private static final int MAX_CHUNK_BYTES = 8192;
+  private static final int MAX_IDLE_PER_ADDRESS = 4;
+  private static final long MAX_CONNECT_TIMEOUT_MS = 60_000;
 
   private final EventLoop loop;
-  private final Map<String, ArrayDeque<Line>> idle = new HashMap<>();
-
   private final SocketBudget sockets;
-  private final Set<String> needed;
-  private final int maxOthers;
+  private final Set<String> essentialAddresses;
+  private final int maxOrdinary;
   private final EventLoopMeter meter;
 
-  /** Connections to others than those we depend on. */
-  private int others;
+  /** Idle connections by address, the longest idle first. */
+  private final Map<String, ArrayDeque<HttpConnection>> idle = new HashMap<>();
+
+  /** Open connections to other than essential addresses. */
+  private int ordinaryCount;
 
   /**
-   * @param needed addresses of those we depend on: they never wait for a socket that others hold
-   * @param maxOthers most connections to all others: machines behind a cut hold theirs for long
-   * @param meter what writing requests and reading answers costs is counted here
+   * Creates a client without connections.
+   *
+   * @param essentialAddresses calls to these never wait for a socket that others use
+   * @param maxOrdinary most connections to all other addresses together, as those to unreachable
+   *     machines stay open for long
+   * @param meter meters the writing of requests and the handling of answers
    */
   public HttpClient(
       EventLoop loop,
       SocketBudget sockets,
-      Set<String> needed,
-      int maxOthers,
+      Set<String> essentialAddresses,
+      int maxOrdinary,
       EventLoopMeter meter) {
-    this.meter = meter;
     this.loop = loop;
     this.sockets = sockets;
-    this.needed = needed;
-    this.maxOthers = maxOthers;
+    this.essentialAddresses = essentialAddresses;
+    this.maxOrdinary = maxOrdinary;
+    this.meter = meter;
   }
 
   @Override
@@ -78,200 +74,125 @@
       long timeoutMs,
       Consumer<Http.Outcome> done) {
     meter.run(
-        EventLoopMeter.Work.HTTP_CLIENT_WRITE,
-        () -> call(address, new Pending(method, path, body, done), timeoutMs));
+        EventLoopMeter.Activity.HTTP_CLIENT_WRITE,
+        () -> call(new PendingCall(address, method, path, body, done), timeoutMs));
   }
 
-  private void call(String address, Pending pending, long timeoutMs) {
-    ArrayDeque<Line> kept = idle.get(address);
-    Line line = null;
-    while (kept != null && line == null && !kept.isEmpty()) {
-      Line candidate = kept.pollLast();
-      sockets.busy(candidate.channel);
-      line = candidate.channel.isActive() ? candidate : null;
-    }
-    if (line != null) {
-      pending.limit(timeoutMs, line);
-      line.send(address, pending);
-      return;
+  private void call(PendingCall call, long timeoutMs) {
+    HttpConnection connection = takeIdle(call.address());
+    if (connection != null) {
+      call.startTimeout(loop, timeoutMs, connection);
+      connection.send(call);
+    } else if (hasRoomFor(call.address())) {
+      connect(call, timeoutMs);
+    } else {
+      loop.execute(() -> call.finish(new Http.NotSent("no free socket")));
     }
-    boolean dependedOn = needed.contains(address);
-    if (!dependedOn && !roomForOthers() || !sockets.free(dependedOn)) {
-      loop.execute(() -> pending.finish(new Http.NotSent("no free socket")));
-      return;
+  }
+
+  /** Takes the connection out of the pool that was idle the shortest; null if there is none. */
+  private HttpConnection takeIdle(String address) {
+    ArrayDeque<HttpConnection> connections = idle.get(address);
+    while (connections != null && !connections.isEmpty()) {
+      HttpConnection connection = connections.pollLast();
+      sockets.markBusy(connection.channel());
+      if (connection.channel().isActive()) {
+        return connection;
+      }
     }
-    connect(address, pending, timeoutMs);
+    return null;
   }
 
-  private boolean roomForOthers() {
-    while (others >= maxOthers) {
-      if (!sockets.closeIdleCall()) {
+  private boolean hasRoomFor(String address) {
+    return isEssential(address)
+        ? sockets.makeRoom(Use.ESSENTIAL)
+        : makeRoomForOrdinary() && sockets.makeRoom(Use.ORDINARY);
+  }
+
+  private boolean makeRoomForOrdinary() {
+    while (ordinaryCount >= maxOrdinary) {
+      if (!sockets.closeIdleOutbound()) {
         return false;
       }
     }
     return true;
   }
 
-  private void forget(Line line) {
-    ArrayDeque<Line> kept = idle.get(line.address);
-    if (kept != null) {
-      kept.remove(line);
-      if (kept.isEmpty()) {
-        idle.remove(line.address);
-      }
-    }
+  private boolean isEssential(String address) {
+    return essentialAddresses.contains(address);
   }
 
-  private void connect(String address, Pending pending, long timeoutMs) {
-    boolean other = !needed.contains(address);
-    others += other ? 1 : 0;
-    Line fresh = new Line(address);
+  @SuppressWarnings("FutureReturnValueIgnored") // futures are listened to, or the end is seen
+  private void connect(PendingCall call, long timeoutMs) {
+    HttpConnection connection = new HttpConnection(this, meter, call.address());
+    int ordinary = isEssential(call.address()) ? 0 : 1;
+    ordinaryCount += ordinary;
     ChannelFuture connecting =
-        new Bootstrap()
-            .group(loop)
-            .channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(timeoutMs, 60_000))
-            .handler(
-                new ChannelInitializer<SocketChannel>() {
-                  @Override
-                  protected void initChannel(SocketChannel ch) {
-                    ch.pipeline()
-                        .addLast(new HttpClientCodec(4096, 8192, 8192, false, false))
-                        .addLast(new HttpObjectAggregator(MAX_RESPONSE))
-                        .addLast(fresh);
-                  }
-                })
-            .connect(socket(address));
-    fresh.channel = connecting.channel();
-    sockets.opened(fresh.channel);
-    fresh.channel.closeFuture().addListener(f -> others -= other ? 1 : 0);
-    pending.limit(timeoutMs, fresh);
+        NettyBootstraps.client(
+                loop, Math.min(timeoutMs, MAX_CONNECT_TIMEOUT_MS), new Initializer(connection))
+            .connect(SocketAddresses.parse(call.address()));
+    connection.setChannel(connecting.channel());
+    sockets.register(connecting.channel());
+    connecting.channel().closeFuture().addListener(closed -> ordinaryCount -= ordinary);
+    call.startTimeout(loop, timeoutMs, connection);
     connecting.addListener(
-        f -> {
-          if (!f.isSuccess()) {
-            fresh.channel.close();
-            pending.finish(new Http.NotSent("connect: " + f.cause().getMessage()));
-          } else if (pending.over) {
-            fresh.channel.close();
+        connected -> {
+          if (!connected.isSuccess()) {
+            connecting.channel().close();
+            call.finish(new Http.NotSent("connect: " + connected.cause().getMessage()));
+          } else if (call.isFinished()) {
+            connecting.channel().close();
           } else {
-            fresh.send(address, pending);
+            connection.send(call);
           }
         });
   }
 
-  public static InetSocketAddress socket(String address) {
-    int colon = address.lastIndexOf(':');
-    return new InetSocketAddress(
-        address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-  }
-
-  private final class Pending {
-    final String method;
-    final String path;
-    final byte[] body;
-    final Consumer<Http.Outcome> done;
-    ScheduledFuture<?> timer;
-    boolean written;
-    boolean over;
-
-    Pending(String method, String path, byte[] body, Consumer<Http.Outcome> done) {
-      this.method = method;
-      this.path = path;
-      this.body = body;
-      this.done = done;
+  /** Puts a connection into the pool; false if there are enough idle ones to its address. */
+  boolean keepIdle(HttpConnection connection) {
+    ArrayDeque<HttpConnection> connections =
+        idle.computeIfAbsent(connection.address(), address -> new ArrayDeque<>());
+    if (connections.size() >= MAX_IDLE_PER_ADDRESS) {
+      return false;
     }
-
-    void limit(long timeoutMs, Line line) {
-      timer =
-          loop.schedule(
-              () -> {
-                line.current = null;
-                line.channel.close();
-                finish(written ? new Http.Unknown("timeout") : new Http.NotSent("timeout"));
-              },
-              timeoutMs,
-              TimeUnit.MILLISECONDS);
-    }
-
-    void finish(Http.Outcome outcome) {
-      if (!over) {
-        over = true;
-        if (timer != null) {
-          timer.cancel(false);
-        }
-        done.accept(outcome);
-      }
+    connections.addLast(connection);
+    if (!isEssential(connection.address())) {
+      sockets.markIdleOutbound(connection.channel());
     }
+    return true;
   }
 
-  private final class Line extends SimpleChannelInboundHandler<FullHttpResponse> {
-    final String address;
-    Channel channel;
-    Pending current;
-
-    Line(String address) {
-      this.address = address;
-    }
-
-    void send(String host, Pending pending) {
-      current = pending;
-      pending.written = true;
-      DefaultFullHttpRequest request =
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1,
-              HttpMethod.valueOf(pending.method),
-              pending.path,
-              Unpooled.wrappedBuffer(pending.body));
-      request.headers().set(HttpHeaderNames.HOST, host);
-      if (pending.body.length > 0) {
-        request.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+  /** Removes a closed connection from the pool. */
+  void forget(HttpConnection connection) {
+    ArrayDeque<HttpConnection> connections = idle.get(connection.address());
+    if (connections != null) {
+      connections.remove(connection);
+      if (connections.isEmpty()) {
+        idle.remove(connection.address());
       }
-      request.headers().set(HttpHeaderNames.CONTENT_LENGTH, pending.body.length);
-      channel.writeAndFlush(request);
-    }
-
-    @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse message) {
-      meter.run(EventLoopMeter.Work.HTTP_CLIENT_READ, () -> read(ctx, message));
     }
+  }
 
-    private void read(ChannelHandlerContext ctx, FullHttpResponse message) {
-      Pending answered = current;
-      current = null;
-      byte[] body = new byte[message.content().readableBytes()];
-      message.content().readBytes(body);
-      if (answered == null || !HttpUtil.isKeepAlive(message)) {
-        ctx.close();
-      } else {
-        ArrayDeque<Line> kept = idle.computeIfAbsent(address, a -> new ArrayDeque<>());
-        if (kept.size() < IDLE_KEPT) {
-          kept.addLast(this);
-          if (!needed.contains(address)) {
-            sockets.idle(channel, true);
-          }
-        } else {
-          ctx.close();
-        }
-      }
-      if (answered != null) {
-        answered.finish(new Http.Answer(message.status().code(), body));
-      }
-    }
+  private static final class Initializer extends ChannelInitializer<SocketChannel> {
+    private final HttpConnection connection;
 
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-      forget(this);
-      if (current != null) {
-        Pending lost = current;
-        current = null;
-        lost.finish(new Http.Unknown("connection closed"));
-      }
+    Initializer(HttpConnection connection) {
+      this.connection = connection;
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close();
+    protected void initChannel(SocketChannel channel) {
+      HttpDecoderConfig config =
+          new HttpDecoderConfig()
+              .setMaxInitialLineLength(MAX_INITIAL_LINE_BYTES)
+              .setMaxHeaderSize(MAX_HEADER_BYTES)
+              .setMaxChunkSize(MAX_CHUNK_BYTES)
+              .setValidateHeaders(false);
+      channel
+          .pipeline()
+          .addLast(new HttpClientCodec(config, false, false))
+          .addLast(new HttpObjectAggregator(MAX_RESPONSE))
+          .addLast(connection);
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/transport/NettyReactor.java
+++ b/src/main/java/org/fieldtrestle/transport/NettyReactor.java
@@ -6,19 +6,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The reactor of a real process: Netty's event loop and the system's clocks. */
+/** The reactor of a real process: a Netty event loop and the system's clocks. */
 public final class NettyReactor implements Reactor {
   private static final Logger LOG = LoggerFactory.getLogger(NettyReactor.class);
+  private static final long NANOS_PER_MS = 1_000_000;
+
   private final EventLoop loop;
-  private final long origin = System.nanoTime();
+  private final long originNanos = System.nanoTime();
 
+  /** A reactor whose steady clock begins now. */
   public NettyReactor(EventLoop loop) {
     this.loop = loop;
   }
 
   @Override
   public long now() {
-    return (System.nanoTime() - origin) / 1_000_000;
+    return (System.nanoTime() - originNanos) / NANOS_PER_MS;
   }
 
   @Override
@@ -33,22 +36,23 @@
 
   @Override
   public void execute(Runnable work) {
-    loop.execute(guarded(work));
+    loop.execute(logFailures(work));
   }
 
   @Override
   public Timer schedule(long delayMs, Runnable work) {
-    Future<?> pending = loop.schedule(guarded(work), Math.max(0, delayMs), TimeUnit.MILLISECONDS);
+    Future<?> pending =
+        loop.schedule(logFailures(work), Math.max(0, delayMs), TimeUnit.MILLISECONDS);
     return () -> pending.cancel(false);
   }
 
-  /** A fault in one message must not end the loop that all the others share. */
-  private static Runnable guarded(Runnable work) {
+  /** A failure in one task must not end the loop that all others share. */
+  private static Runnable logFailures(Runnable work) {
     return () -> {
       try {
         work.run();
       } catch (RuntimeException e) {
-        LOG.error("unexpected failure while handling a message", e);
+        LOG.atError().setCause(e).log("task on the event loop failed");
       }
     };
   }
--- a/src/main/java/org/fieldtrestle/transport/PeerTransport.java
+++ b/src/main/java/org/fieldtrestle/transport/PeerTransport.java
@@ -1,19 +1,15 @@
 package org.fieldtrestle.transport;
 
-import io.netty.bootstrap.Bootstrap;
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
+import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.handler.timeout.IdleStateHandler;
 import java.net.InetSocketAddress;
@@ -22,103 +18,74 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import org.fieldtrestle.transport.SocketBudget.Use;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Frames between controllers: each sends on connections that it opened itself and reads on those
- * that others opened. What cannot be sent now is dropped, as the next frame replaces it.
+ * Frames between controllers: each controller sends on connections that it has opened and reads on
+ * those that others have opened. A frame that cannot be sent at once is dropped, as the next one
+ * replaces it. Used on one event loop only.
  */
+@SuppressWarnings("FutureReturnValueIgnored") // frames may be lost, and closeFuture() is watched
 public final class PeerTransport implements PeerSender {
   private static final Logger LOG = LoggerFactory.getLogger(PeerTransport.class);
 
-  /** Unsent bytes after which a peer that reads nothing gets no more. */
-  private static final int MAX_UNSENT = 64 * 1024;
+  /** Unsent bytes after which the connection of a peer that reads nothing is closed. */
+  private static final int MAX_UNSENT_BYTES = 64 * 1024;
+
+  private static final int LENGTH_FIELD_BYTES = 4;
 
   private final EventLoopGroup group;
-  private final int maxFrame;
   private final SocketBudget sockets;
+  private final int maxFrameBytes;
   private final int maxInbound;
   private final long idleMs;
-  private final long connectMs;
+  private final long connectTimeoutMs;
   private final Map<String, Channel> outbound = new HashMap<>();
-  private int inbound;
+  private int inboundCount;
 
   /**
-   * @param idleMs an incoming connection on which nothing arrives for so long is closed
-   * @param connectMs a connection that is not there by then is tried anew
+   * Creates a transport without connections.
+   *
+   * @param maxFrameBytes a longer frame ends its connection
+   * @param maxInbound most connections that others may have opened
+   * @param idleMs an inbound connection on which nothing arrives for so long is closed
+   * @param connectTimeoutMs a connection that is not established by then is tried again
    */
   public PeerTransport(
       EventLoopGroup group,
       SocketBudget sockets,
-      int maxFrame,
+      int maxFrameBytes,
       int maxInbound,
       long idleMs,
-      long connectMs) {
+      long connectTimeoutMs) {
     this.group = group;
     this.sockets = sockets;
-    this.maxFrame = maxFrame;
+    this.maxFrameBytes = maxFrameBytes;
     this.maxInbound = maxInbound;
     this.idleMs = idleMs;
-    this.connectMs = connectMs;
+    this.connectTimeoutMs = connectTimeoutMs;
   }
 
-  /** Binds; every frame that arrives is handed on without its length. */
+  /**
+   * Listens, and waits until that is possible.
+   *
+   * @param frames receives each frame without its length, on the event loop; the buffer is valid
+   *     during the call only
+   */
   public void start(InetSocketAddress address, Consumer<ByteBuffer> frames)
       throws InterruptedException {
-    new ServerBootstrap()
-        .group(group)
-        .channel(NioServerSocketChannel.class)
-        .option(ChannelOption.SO_REUSEADDR, true)
-        .childHandler(
-            new ChannelInitializer<SocketChannel>() {
-              @Override
-              protected void initChannel(SocketChannel ch) {
-                if (inbound >= maxInbound || !sockets.free(true)) {
-                  ch.close();
-                  return;
-                }
-                inbound++;
-                sockets.opened(ch);
-                ch.closeFuture().addListener(f -> inbound--);
-                ch.pipeline()
-                    .addLast(new IdleStateHandler(idleMs, 0, 0, TimeUnit.MILLISECONDS))
-                    .addLast(new LengthFieldBasedFrameDecoder(maxFrame, 0, 4, 0, 4))
-                    .addLast(new Reader(frames));
-              }
-            })
-        .bind(address)
-        .sync();
+    NettyBootstraps.server(group, new InboundInitializer(frames)).bind(address).sync();
   }
 
   @Override
   public void send(String address, ByteBuffer frame) {
     Channel channel = outbound.get(address);
     if (channel == null) {
-      if (!sockets.free(true)) {
-        return;
-      }
-      ChannelFuture connecting =
-          new Bootstrap()
-              .group(group)
-              .channel(NioSocketChannel.class)
-              .option(ChannelOption.TCP_NODELAY, true)
-              .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectMs)
-              .handler(
-                  new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                      ch.pipeline().addLast(new Reader(f -> {}));
-                    }
-                  })
-              .connect(HttpClient.socket(address));
-      Channel fresh = connecting.channel();
-      sockets.opened(fresh);
-      outbound.put(address, fresh);
-      fresh.closeFuture().addListener(f -> outbound.remove(address, fresh));
+      connect(address);
     } else if (channel.isActive()) {
-      if (channel.unsafe().outboundBuffer() != null
-          && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT) {
+      if (unsentBytes(channel) > MAX_UNSENT_BYTES) {
         channel.close();
       } else {
         channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
@@ -126,10 +93,62 @@
     }
   }
 
-  private static final class Reader extends SimpleChannelInboundHandler<ByteBuf> {
+  private void connect(String address) {
+    if (!sockets.makeRoom(Use.ESSENTIAL)) {
+      return;
+    }
+    ChannelFuture connecting =
+        NettyBootstraps.client(group, connectTimeoutMs, new OutboundInitializer())
+            .connect(SocketAddresses.parse(address));
+    Channel channel = connecting.channel();
+    sockets.register(channel);
+    outbound.put(address, channel);
+    channel.closeFuture().addListener(closed -> outbound.remove(address, channel));
+  }
+
+  private static long unsentBytes(Channel channel) {
+    ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
+    return buffer == null ? 0 : buffer.totalPendingWriteBytes();
+  }
+
+  private final class InboundInitializer extends ChannelInitializer<SocketChannel> {
+    private final Consumer<ByteBuffer> frames;
+
+    InboundInitializer(Consumer<ByteBuffer> frames) {
+      this.frames = frames;
+    }
+
+    @Override
+    protected void initChannel(SocketChannel channel) {
+      if (inboundCount >= maxInbound || !sockets.makeRoom(Use.ESSENTIAL)) {
+        channel.close();
+        return;
+      }
+      inboundCount++;
+      sockets.register(channel);
+      channel.closeFuture().addListener(closed -> inboundCount--);
+      channel
+          .pipeline()
+          .addLast(new IdleStateHandler(idleMs, 0, 0, TimeUnit.MILLISECONDS))
+          .addLast(
+              new LengthFieldBasedFrameDecoder(
+                  maxFrameBytes, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
+          .addLast(new FrameHandler(frames));
+    }
+  }
+
+  /** What a peer sends on a connection that this controller has opened is dropped. */
+  private static final class OutboundInitializer extends ChannelInitializer<SocketChannel> {
+    @Override
+    protected void initChannel(SocketChannel channel) {
+      channel.pipeline().addLast(new FrameHandler(frame -> {}));
+    }
+  }
+
+  private static final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private final Consumer<ByteBuffer> frames;
 
-    Reader(Consumer<ByteBuffer> frames) {
+    FrameHandler(Consumer<ByteBuffer> frames) {
       this.frames = frames;
     }
 
@@ -138,6 +157,7 @@
       frames.accept(message.nioBuffer());
     }
 
+    /** The only event is that of the idle handler. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
       ctx.close();
--- a/src/main/java/org/fieldtrestle/transport/Reactor.java
+++ b/src/main/java/org/fieldtrestle/transport/Reactor.java
@@ -1,27 +1,30 @@
 package org.fieldtrestle.transport;
 
 /**
- * Time and the single thread of a controller. Everything that owns state runs here, one message at
- * a time; tests put a simulated one in its place.
+ * The single thread of a controller, and its clocks. All parts that own state run on it, one task
+ * at a time; tests use a simulated one.
  */
 public interface Reactor {
-  /** Steady milliseconds; says nothing about the time of day. */
+  /** Steady clock in milliseconds; its origin has no meaning. */
   long now();
 
-  /** Time of day in milliseconds, right within the bound that the settings name. */
+  /** Time of day in milliseconds, exact within the bound that the settings name. */
   long wall();
 
-  /** The steady clock in nanoseconds, for measuring only. */
+  /** Steady clock in nanoseconds, for measuring only. */
   default long nanoTime() {
     return now() * 1_000_000;
   }
 
+  /** Runs a task after all that were queued before it. */
   void execute(Runnable work);
 
+  /** Runs a task once, after a delay in milliseconds. */
   Timer schedule(long delayMs, Runnable work);
 
-  /** A pending delay that can be called off. */
+  /** A scheduled task that can be cancelled. */
   interface Timer {
+    /** Cancels the task unless it has begun. */
     void cancel();
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/LoadGenerator.java
+++ b/src/test/java/org/fieldtrestle/simulation/LoadGenerator.java
@@ -21,6 +21,7 @@
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.HttpClient;
 import org.fieldtrestle.transport.HttpServer;
+import org.fieldtrestle.transport.SocketAddresses;
 import org.fieldtrestle.transport.SocketBudget;
 
 /**
@@ -106,7 +107,7 @@
       String address = workerAddress(number);
       String id = String.format("host-%06d", number);
       serve(
-          HttpClient.socket(address),
+          SocketAddresses.parse(address),
           (request, reply) -> {
             SimulatedWorker worker = cluster.cloud.machines.get(id);
             if (worker != null && worker.up) {
--- a/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
+++ b/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
@@ -3,9 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import org.fieldtrestle.transport.EventLoopMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.junit.jupiter.api.Test;
 
+/** Times and counts of nested and failing activities. */
 class EventLoopMeterTest {
   private static final long MS = 1_000_000;
 
@@ -17,36 +18,36 @@
   }
 
   @Test
-  void workWithinOtherWorkCountsForItselfAlone() {
+  void nestedActivityCountsForItselfAlone() {
     pass(5); // nothing is done
     meter.run(
-        Work.HTTP_SERVER_READ,
+        Activity.HTTP_SERVER_READ,
         () -> {
           pass(10);
-          meter.run(Work.WORKER_REPORT, () -> pass(7));
+          meter.run(Activity.WORKER_REPORT, () -> pass(7));
           pass(1);
         });
     pass(100);
-    assertEquals(11, meter.millis(Work.HTTP_SERVER_READ));
-    assertEquals(7, meter.millis(Work.WORKER_REPORT));
-    assertEquals(1, meter.count(Work.WORKER_REPORT));
+    assertEquals(11, meter.millis(Activity.HTTP_SERVER_READ));
+    assertEquals(7, meter.millis(Activity.WORKER_REPORT));
+    assertEquals(1, meter.count(Activity.WORKER_REPORT));
     assertEquals("http_server_read 1 in 11 ms, worker_report 1 in 7 ms", meter.summary());
   }
 
   @Test
-  void workThatFailsIsCountedAndEnds() {
+  void failingActivityIsCountedAndEnds() {
     assertThrows(
         IllegalStateException.class,
         () ->
             meter.run(
-                Work.PLACEMENT,
+                Activity.PLACEMENT,
                 () -> {
                   pass(3);
                   throw new IllegalStateException("on purpose");
                 }));
     pass(50);
-    meter.run(Work.PEER_FRAME, () -> pass(2));
-    assertEquals(3, meter.millis(Work.PLACEMENT));
-    assertEquals(2, meter.millis(Work.PEER_FRAME));
+    meter.run(Activity.PEER_FRAME, () -> pass(2));
+    assertEquals(3, meter.millis(Activity.PLACEMENT));
+    assertEquals(2, meter.millis(Activity.PEER_FRAME));
   }
 }
--- a/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
+++ b/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
@@ -7,16 +7,21 @@
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
+import java.util.concurrent.Future;
+import org.fieldtrestle.transport.SocketBudget.Use;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** Broken HTTP gets a named status or a closed connection, and the next request is served. */
 class HttpServerTest {
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private int port;
 
@@ -37,22 +42,22 @@
                   new Http.Response(
                       200, ("got " + request.body().length).getBytes(StandardCharsets.UTF_8)));
             },
-            new SocketBudget(6), // four of them for whoever calls
+            new SocketBudget(6), // four of them for users and workers
             path -> path.equals("/often"),
             60_000,
             requestMs,
             new EventLoopMeter(System::nanoTime));
-    return server.start(new InetSocketAddress("127.0.0.1", 0));
+    return server.start(new InetSocketAddress(LOOPBACK, 0));
   }
 
   @AfterEach
   void stop() {
-    group.shutdownGracefully();
+    Future<?> unused = group.shutdownGracefully(); // waiting would take seconds for each test
   }
 
   /** Sends bytes on a connection of its own and reads until the other side closes. */
   private String send(byte[] bytes) throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", port)) {
+    try (Socket socket = new Socket(LOOPBACK, port)) {
       try {
         socket.getOutputStream().write(bytes);
         socket.shutdownOutput();
@@ -76,7 +81,7 @@
   }
 
   @Test
-  void brokenRequestsAreRefusedAndTheNextIsServed() throws IOException {
+  void malformedRequestsAreRefusedAndTheNextIsServed() throws IOException {
     assertTrue(send("nonsense\r\n\r\n").startsWith("HTTP/1.1 400"));
     assertServes();
     String large = "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 70000\r\n\r\n";
@@ -92,7 +97,7 @@
   }
 
   @Test
-  void noiseEndsNothing() throws IOException {
+  void randomBytesLeaveTheServerRunning() throws IOException {
     SplittableRandom random = new SplittableRandom(5);
     for (int i = 0; i < 40; i++) {
       byte[] noise = new byte[random.nextInt(2000)];
@@ -130,16 +135,16 @@
   }
 
   @Test
-  void anIdleConnectionGivesWayToOneThatIsNeeded() throws IOException {
-    try (Socket a = new Socket("127.0.0.1", port);
-        Socket b = new Socket("127.0.0.1", port);
-        Socket c = new Socket("127.0.0.1", port);
-        Socket d = new Socket("127.0.0.1", port)) {
+  void longestIdleConnectionIsClosedForANewOne() throws IOException {
+    try (Socket a = new Socket(LOOPBACK, port);
+        Socket b = new Socket(LOOPBACK, port);
+        Socket c = new Socket(LOOPBACK, port);
+        Socket d = new Socket(LOOPBACK, port)) {
       for (Socket one : new Socket[] {a, b, c, d}) {
         ask(one, "/x");
         assertTrue(answer(one).startsWith("HTTP/1.1 200"));
       }
-      try (Socket e = new Socket("127.0.0.1", port)) {
+      try (Socket e = new Socket(LOOPBACK, port)) {
         ask(e, "/x");
         assertTrue(answer(e).startsWith("HTTP/1.1 200"), "served though all sockets were taken");
         assertEquals(-1, end(a), "in the place of the one that was idle the longest");
@@ -150,23 +155,23 @@
   }
 
   @Test
-  void connectionsThatOweARequestAreBoundedInNumberAndTime() throws Exception {
-    try (Socket a = new Socket("127.0.0.1", port);
-        Socket b = new Socket("127.0.0.1", port);
-        Socket c = new Socket("127.0.0.1", port);
-        Socket d = new Socket("127.0.0.1", port)) {
+  void unfinishedRequestsAreBoundedInNumberAndTime() throws Exception {
+    try (Socket a = new Socket(LOOPBACK, port);
+        Socket b = new Socket(LOOPBACK, port);
+        Socket c = new Socket(LOOPBACK, port);
+        Socket d = new Socket(LOOPBACK, port)) {
       for (Socket one : new Socket[] {a, b, c, d}) { // each is in the middle of its next request
         ask(one, "/x");
         answer(one);
         one.getOutputStream().write("GET /x".getBytes(StandardCharsets.US_ASCII));
       }
-      try (Socket e = new Socket("127.0.0.1", port)) {
+      try (Socket e = new Socket(LOOPBACK, port)) {
         assertEquals(-1, end(e), "none of them is idle, and there are no more");
       }
     }
     int hurried = serve(300);
-    try (Socket silent = new Socket("127.0.0.1", hurried);
-        Socket half = new Socket("127.0.0.1", hurried)) {
+    try (Socket silent = new Socket(LOOPBACK, hurried);
+        Socket half = new Socket(LOOPBACK, hurried)) {
       half.getOutputStream().write("GET /x HTTP/1.1\r\nHo".getBytes(StandardCharsets.US_ASCII));
       assertEquals(-1, end(silent), "never sends anything");
       assertEquals(-1, end(half), "never ends its request");
@@ -175,21 +180,23 @@
   }
 
   @Test
-  void nearTheLimitConnectionsEndWithTheirAnswers() throws Exception {
+  void connectionsCloseAfterTheResponseNearTheLimit() throws Exception {
     EmbeddedChannel[] open = new EmbeddedChannel[95];
     SocketBudget sockets = new SocketBudget(100); // 96 of them
     for (int i = 0; i < open.length; i++) {
-      assertEquals(i > 76, sockets.endsWithAnswer(true), "those that come often, at " + i);
-      assertEquals(i > 86, sockets.endsWithAnswer(false), "all, at " + i);
-      assertEquals(i < 92, sockets.free(false), "for whoever calls, at " + i);
-      assertTrue(sockets.free(true), "for those we depend on, at " + i);
+      assertEquals(i > 76, sockets.closesAfterResponse(true), "those that come often, at " + i);
+      assertEquals(i > 86, sockets.closesAfterResponse(false), "all, at " + i);
+      assertEquals(i < 92, sockets.makeRoom(Use.ORDINARY), "for users and workers, at " + i);
+      assertTrue(sockets.makeRoom(Use.ESSENTIAL), "for essential connections, at " + i);
       open[i] = new EmbeddedChannel();
-      sockets.opened(open[i]);
+      sockets.register(open[i]);
     }
-    sockets.idle(open[3], false);
-    sockets.idle(open[50], true);
-    assertTrue(sockets.free(false) || !open[50].isOpen(), "a call's idle connection goes first");
-    assertTrue(!open[50].isOpen() && !open[3].isOpen(), "then one of whoever calls");
-    assertEquals(93, sockets.open());
+    sockets.markIdleInbound(open[3]);
+    sockets.markIdleOutbound(open[50]);
+    assertTrue(
+        sockets.makeRoom(Use.ORDINARY) || !open[50].isOpen(),
+        "a call's idle connection goes first");
+    assertTrue(!open[50].isOpen() && !open[3].isOpen(), "then one of a client");
+    assertEquals(93, sockets.openCount());
   }
 }
