--- /dev/null
+++ b/src/main/java/org/fieldtrestle/ClassListRecorder.java
@@ -0,0 +1,132 @@
+package org.fieldtrestle;
+
+import io.netty.channel.nio.NioEventLoopGroup;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Set;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.jar.JarEntry;
+import java.util.jar.JarFile;
+import org.fieldtrestle.config.OperatorSettings;
+import org.fieldtrestle.config.Settings;
+import org.fieldtrestle.config.SettingsParser;
+import org.fieldtrestle.transport.EventLoopMeter;
+import org.fieldtrestle.transport.HttpClient;
+import org.fieldtrestle.transport.HttpServer;
+import org.fieldtrestle.transport.NettyReactor;
+import org.fieldtrestle.transport.SocketBudget;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Run by the build only, under a JVM that records the classes it loads for the class data archive:
+ * with a small share of a core, loading them anew takes seconds in which workers' leases run out.
+ * It loads all classes of the program, and lets a controller run some jobs on a stub worker, so
+ * that the classes of the libraries and of the JDK that this takes are recorded too.
+ */
+public final class ClassListRecorder {
+  private static final String SETTINGS_RESOURCE = "/class-list-recorder.toml";
+  private static final String PROGRAM_CLASSES = "org/fieldtrestle/";
+  private static final long TIMEOUT_S = 30;
+  private static final long CONNECTION_TIMEOUT_MS = 60_000;
+  private static final int MAX_SOCKETS = 100;
+
+  private ClassListRecorder() {}
+
+  /** Takes the path of the program's jar; exits with 1 if the run has failed. */
+  public static void main(String[] args) {
+    int status = 1;
+    try {
+      run(args[0]);
+      status = 0;
+    } catch (IOException
+        | InterruptedException
+        | Settings.InvalidSettingException
+        | ClassNotFoundException
+        | ExecutionException
+        | RuntimeException e) {
+      System.err.println("class list recorder: failed, see its log: " + e);
+      // Not a constant: the library has to be set up before its first logger.
+      LoggerFactory.getLogger(ClassListRecorder.class)
+          .atError()
+          .setCause(e)
+          .log("class list recording failed");
+    } finally {
+      System.exit(status); // event loops would go on
+    }
+  }
+
+  private static void run(String jar)
+      throws IOException,
+          InterruptedException,
+          Settings.InvalidSettingException,
+          ClassNotFoundException,
+          ExecutionException {
+    LibrarySettings.apply();
+    loadProgramClasses(jar);
+    NioEventLoopGroup group = new NioEventLoopGroup(1);
+    EventLoopMeter meter = new EventLoopMeter(System::nanoTime);
+    SocketBudget sockets = new SocketBudget(MAX_SOCKETS);
+    HttpClient client = new HttpClient(group.next(), sockets, Set.of(), MAX_SOCKETS, meter);
+    CountDownLatch finished = new CountDownLatch(1);
+    StubServices services =
+        new StubServices(new NettyReactor(group.next()), client, finished::countDown);
+    HttpServer server =
+        new HttpServer(
+            group,
+            services,
+            sockets,
+            path -> false,
+            CONNECTION_TIMEOUT_MS,
+            CONNECTION_TIMEOUT_MS,
+            meter);
+    int port = server.start(anyLoopbackPort());
+    ControllerProcess controller = new ControllerProcess(settings(port), OperatorSettings.DEFAULT);
+    int controllerPort = controller.start(anyLoopbackPort(), anyLoopbackPort()).get();
+    services.start(loopback(port), loopback(controllerPort));
+    if (!finished.await(TIMEOUT_S, TimeUnit.SECONDS)) {
+      // The archive only makes starts faster, so an incomplete one need not fail the build.
+      System.err.println("class list recorder: timeout, the archive lacks some classes");
+    }
+  }
+
+  private static InetSocketAddress anyLoopbackPort() {
+    return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+  }
+
+  private static String loopback(int port) {
+    return InetAddress.getLoopbackAddress().getHostAddress() + ":" + port;
+  }
+
+  private static void loadProgramClasses(String jarFile)
+      throws IOException, ClassNotFoundException {
+    try (JarFile jar = new JarFile(jarFile)) {
+      for (JarEntry entry : (Iterable<JarEntry>) jar.stream()::iterator) {
+        if (entry.getName().startsWith(PROGRAM_CLASSES) && entry.getName().endsWith(".class")) {
+          Class.forName(entry.getName().replace('/', '.').replaceAll("\\.class$", ""));
+        }
+      }
+    }
+  }
+
+  /**
+   * Settings for a controller of which all services listen on a port of this machine. They are read
+   * from a file, as a controller's are, so that the parser's classes are recorded too.
+   */
+  static Settings settings(int port) throws IOException, Settings.InvalidSettingException {
+    Path file = Files.createTempFile("fieldtrestle-class-list", ".toml");
+    try (InputStream in = ClassListRecorder.class.getResourceAsStream(SETTINGS_RESOURCE)) {
+      String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+      Files.writeString(file, text.replace("PORT", Integer.toString(port)));
+      return SettingsParser.read(file);
+    } finally {
+      Files.delete(file);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/StubKeyValueStore.java
@@ -0,0 +1,62 @@
+package org.fieldtrestle;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Map;
+import java.util.TreeMap;
+import org.fieldtrestle.protocol.Json;
+
+/** A key-value store without conditions and leases, for {@link ClassListRecorder}. */
+final class StubKeyValueStore {
+  /** The change that has written each key last. */
+  private final Map<String, JsonNode> changes = new TreeMap<>();
+
+  private long revision = 1;
+
+  /** Applies a transaction without looking at its conditions. */
+  ObjectNode commit(JsonNode transaction) {
+    transaction.path("apply").forEach(this::apply);
+    return Json.object().put("ledger", ++revision);
+  }
+
+  private void apply(JsonNode change) {
+    if (change.has("write")) {
+      changes.put(change.path("write").asText(), change);
+    } else {
+      changes.remove(change.path("remove").asText());
+    }
+  }
+
+  ObjectNode grantOrRenewLease() {
+    return Json.object().put("permit", 1);
+  }
+
+  /** All keys of a listing, in one page. */
+  ObjectNode list(Map<String, String> query) {
+    ObjectNode listing = Json.object().put("more", false).put("ledger", revision);
+    ArrayNode items = listing.putArray("items");
+    for (String key : changes.keySet()) {
+      if (key.startsWith(query.get("prefix"))
+          && key.compareTo(query.getOrDefault("from", "")) > 0) {
+        items.add(entry(key));
+      }
+    }
+    return listing;
+  }
+
+  private ObjectNode entry(String key) {
+    ObjectNode entry = Json.object().put("key", key).put("entry", revision);
+    entry.set("v", changes.get(key).path("v"));
+    return entry;
+  }
+
+  /** Answers a watch with the change of another member's key. */
+  ObjectNode watch() {
+    ObjectNode events = Json.object();
+    ObjectNode change = events.putArray("log").addObject();
+    change.put("write", "ft/live/member/other").put("entry", ++revision);
+    change.putObject("v").put("f", 1).put("boot", "class-list");
+    return events.put("ledger", revision);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/StubServices.java
@@ -0,0 +1,106 @@
+package org.fieldtrestle;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.function.Consumer;
+import org.fieldtrestle.protocol.CloudProtocol;
+import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.protocol.KeyValueProtocol;
+import org.fieldtrestle.protocol.WorkerProtocol;
+import org.fieldtrestle.transport.Http;
+import org.fieldtrestle.transport.Reactor;
+
+/**
+ * Everything that a controller talks to, for {@link ClassListRecorder}: just enough of each service
+ * for a controller to run a job to its end and to cancel another. All listen on one address.
+ */
+final class StubServices implements Http.Handler {
+  private static final long HEARTBEAT_MS = 50;
+  private static final long WATCH_MS = 50;
+  private static final long TIMEOUT_MS = 2000;
+
+  private final Reactor reactor;
+  private final Http.Caller caller;
+  private final Runnable finished;
+  private final StubKeyValueStore store = new StubKeyValueStore();
+  private final StubCloud cloud = new StubCloud();
+  private final StubWorker worker = new StubWorker();
+  private String ownAddress;
+  private String controllerAddress;
+
+  /**
+   * @param finished run once all requests of the user have been answered
+   */
+  StubServices(Reactor reactor, Http.Caller caller, Runnable finished) {
+    this.reactor = reactor;
+    this.caller = caller;
+    this.finished = finished;
+  }
+
+  /** Begins to send heartbeats and to submit jobs, once the addresses are known. */
+  void start(String address, String controller) {
+    reactor.execute(
+        () -> {
+          ownAddress = address;
+          controllerAddress = controller;
+          new StubUser(reactor, this::call, finished).start();
+          heartbeat();
+        });
+  }
+
+  @Override
+  public void handle(Http.Request request, Consumer<Http.Response> reply) {
+    String path = request.path();
+    if (path.equals(KeyValueProtocol.WATCH)) {
+      reactor.schedule(WATCH_MS, () -> reply.accept(ok(store.watch())));
+    } else if (path.equals(CloudProtocol.MACHINES) && request.method().equals("POST")) {
+      reply.accept(cloud.rent());
+    } else {
+      reply.accept(ok(answer(request, Json.parseOrEmpty(request.body()))));
+    }
+  }
+
+  private JsonNode answer(Http.Request request, JsonNode body) {
+    String path = request.path();
+    if (path.startsWith(KeyValueProtocol.LEASES)) {
+      return store.grantOrRenewLease();
+    }
+    return switch (path) {
+      case KeyValueProtocol.KEYS -> store.list(request.query());
+      case KeyValueProtocol.COMMIT -> store.commit(body);
+      case CloudProtocol.TYPES -> cloud.machineTypes();
+      case CloudProtocol.MACHINES -> cloud.machines(ownAddress);
+      case WorkerProtocol.COMMANDS -> {
+        worker.execute(body);
+        yield worker.heartbeat(ownAddress);
+      }
+      default -> Json.object();
+    };
+  }
+
+  private static Http.Response ok(JsonNode body) {
+    return new Http.Response(200, Json.bytes(body));
+  }
+
+  private void heartbeat() {
+    if (cloud.isRented()) {
+      worker.advanceTasks();
+      call("POST", WorkerProtocol.REPORT, worker.heartbeat(ownAddress), worker::execute);
+    }
+    reactor.schedule(HEARTBEAT_MS, this::heartbeat);
+  }
+
+  private void call(String method, String path, JsonNode body, Consumer<JsonNode> answered) {
+    byte[] bytes = method.equals("GET") ? Http.Response.EMPTY : Json.bytes(body);
+    caller.call(
+        controllerAddress,
+        method,
+        path,
+        bytes,
+        TIMEOUT_MS,
+        outcome ->
+            answered.accept(
+                outcome instanceof Http.Answer answer
+                    ? Json.parseOrEmpty(answer.body())
+                    : Json.object()));
+  }
+}
--- /dev/null
+++ b/src/main/java/org/fieldtrestle/StubUser.java
@@ -0,0 +1,105 @@
+package org.fieldtrestle;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.function.Consumer;
+import org.fieldtrestle.protocol.Json;
+import org.fieldtrestle.protocol.UserProtocol;
+import org.fieldtrestle.transport.Reactor;
+
+/**
+ * A user who submits a job and polls it until it is done, cancels another one, and then makes each
+ * other kind of request once.
+ */
+final class StubUser {
+  private static final String FIRST_JOB = "job-000001";
+  private static final String CANCELLED_JOB = "job-000002";
+  private static final String UNKNOWN_JOB = "job-000003";
+  private static final long RETRY_MS = 50;
+  private static final int TASKS = 3;
+
+  /** Makes a call to the controller; an empty object stands for a call that was not answered. */
+  interface ControllerCaller {
+    void call(String method, String path, JsonNode body, Consumer<JsonNode> answered);
+  }
+
+  private final Reactor reactor;
+  private final ControllerCaller controller;
+  private final Runnable finished;
+  private boolean cancelling;
+
+  /**
+   * @param finished run once all requests have been answered
+   */
+  StubUser(Reactor reactor, ControllerCaller controller, Runnable finished) {
+    this.reactor = reactor;
+    this.controller = controller;
+    this.finished = finished;
+  }
+
+  void start() {
+    submit(FIRST_JOB);
+  }
+
+  private void submit(String id) {
+    controller.call("POST", UserProtocol.JOBS, job(id), answer -> poll(id));
+  }
+
+  private static ObjectNode job(String id) {
+    return Json.object()
+        .put("uid", id)
+        .put("lot", "class")
+        .put("crew", "team")
+        .put("cut", "array")
+        .put("urgency", "normal")
+        .put("boards", TASKS)
+        .put("cpus", 1.0)
+        .put("gpus", 0.0)
+        .put("memoryGb", 1.0)
+        .put("together", false)
+        .put("scatter", false)
+        .put("loaners", true)
+        .put("blueprint", "image")
+        .put("pullGb", 0.1)
+        .put("expectedS", 1.0)
+        .put("tallyS", 0.0)
+        .put("stackS", 0.0)
+        .put("dueS", 100.0);
+  }
+
+  private void poll(String id) {
+    get(UserProtocol.JOBS + "/" + id, answer -> polled(id, answer));
+  }
+
+  private void polled(String id, JsonNode answer) {
+    String stage = answer.path("stage").asText();
+    if (id.equals(FIRST_JOB) && stage.equals("done")) {
+      submit(CANCELLED_JOB);
+    } else if (id.equals(CANCELLED_JOB) && !cancelling) {
+      cancelling = true;
+      cancel(id);
+    } else if (!stage.isEmpty()) {
+      reactor.schedule(RETRY_MS, () -> poll(id));
+    } else {
+      reactor.schedule(RETRY_MS, () -> submit(id));
+    }
+  }
+
+  private void cancel(String id) {
+    String path = UserProtocol.JOBS + "/" + id + "/" + UserProtocol.CANCEL;
+    controller.call("POST", path, Json.object(), answer -> makeOtherRequests());
+  }
+
+  private void makeOtherRequests() {
+    get(
+        UserProtocol.JOBS + "/" + UNKNOWN_JOB,
+        unknown ->
+            get(
+                UserProtocol.READY,
+                ready -> get(UserProtocol.STATS, statistics -> finished.run())));
+  }
+
+  private void get(String path, Consumer<JsonNode> answered) {
+    controller.call("GET", path, Json.object(), answered);
+  }
+}
--- a/src/test/java/org/fieldtrestle/WarmUpServicesTest.java
+++ b/src/test/java/org/fieldtrestle/ClassListRecorderTest.java
@@ -12,25 +12,25 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The build records the classes of a controller that serves {@link WarmUpServices}. Where these no
- * longer answer as the controller expects, the run ends early and starts become slower, which
- * nothing else would tell.
+ * The build records the classes of a controller that is served by {@link StubServices}. If their
+ * answers no longer are what the controller expects, the run ends early and starts become slower,
+ * which nothing else would show.
  */
-class WarmUpServicesTest {
+class ClassListRecorderTest {
   private static final int PORT = 4000;
   private static final String SERVICES = "127.0.0.1:" + PORT;
   private static final String CONTROLLER = "127.0.0.1:4001";
   private static final long LONGEST_RUN_MS = 10_000;
 
   @Test
-  void theWarmUpRunIsServedToItsEnd() throws IOException, Settings.InvalidSettingException {
+  void recordingRunIsServedToItsEnd() throws IOException, Settings.InvalidSettingException {
     boolean[] served = {false};
     SimulatedNetwork network = new SimulatedNetwork();
-    WarmUpServices services =
-        new WarmUpServices(network.reactor(), network.caller(), () -> served[0] = true);
+    StubServices services =
+        new StubServices(network.reactor(), network.caller(), () -> served[0] = true);
     Controller controller =
         new Controller(
-            WarmUp.settings(PORT),
+            ClassListRecorder.settings(PORT),
             OperatorSettings.DEFAULT,
             network.reactor(),
             new SplittableRandom(1),
@@ -43,6 +43,6 @@
 
     network.runFor(LONGEST_RUN_MS);
 
-    assertTrue(served[0], "the warm-up run should be served to its end");
+    assertTrue(served[0], "the recording run should be served to its end");
   }
 }
