--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -182,7 +182,7 @@
     if (key instanceof Records.MachineKey machineKey) {
       orphanAdopter.machineChanged(machineKey);
     }
-    shards.tellAll(new ShardLeader.Changed(key));
+    shards.tellAll(new ShardLeader.KeyChanged(key));
   }
 
   /** Receives a frame from another controller, without its length; on the reactor's thread. */
--- a/src/main/java/org/fieldtrestle/controller/HeartbeatRouter.java
+++ b/src/main/java/org/fieldtrestle/controller/HeartbeatRouter.java
@@ -54,7 +54,7 @@
     }
     ShardLeader shard = shards.get(machine.shard());
     if (shard != null) {
-      shard.tell(new ShardLeader.Reported(heartbeat, reply));
+      shard.tell(new ShardLeader.HeartbeatReceived(heartbeat, reply));
       return;
     }
     reply.accept(redirect(heartbeat.machine(), machine.shard()));
--- a/src/main/java/org/fieldtrestle/controller/JobFinisher.java
+++ b/src/main/java/org/fieldtrestle/controller/JobFinisher.java
@@ -1,12 +1,10 @@
 package org.fieldtrestle.controller;
 
-import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.fieldtrestle.context.ControllerContext;
-import org.fieldtrestle.protocol.KeyValueProtocol;
 import org.fieldtrestle.state.KeyValueClient;
 import org.fieldtrestle.state.StateCache;
 import org.fieldtrestle.worker.JobCompletion;
@@ -47,19 +45,18 @@
   }
 
   private void finish(String job) {
-    List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
-    List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    if (!JobCompletion.whole(context, job, conditions, changes)) {
+    Optional<KeyValueClient.Transaction> ending = JobCompletion.ofCompleteJob(context, job);
+    if (ending.isEmpty()) {
       return;
     }
     finishing.add(job);
     context
         .store()
         .commit(
-            new KeyValueClient.Transaction(conditions, changes),
+            ending.get(),
             result -> {
               if (result instanceof KeyValueClient.Committed committed) {
-                context.stateCache().committed(changes, committed.revision());
+                context.stateCache().committed(ending.get().changes(), committed.revision());
               }
               context.reactor().schedule(pauseMs, () -> finishing.remove(job));
             });
--- a/src/main/java/org/fieldtrestle/controller/LocalShards.java
+++ b/src/main/java/org/fieldtrestle/controller/LocalShards.java
@@ -28,7 +28,7 @@
     ShardLeader leader = new ShardLeader(context, shard, epoch, formerLeaderMayAct, activated);
     ShardLeader former = leaders.put(shard, leader);
     if (former != null) {
-      former.tell(new ShardLeader.Ended());
+      former.tell(new ShardLeader.TermEnded());
     }
     leader.tell(new ShardLeader.Tick());
   }
@@ -37,7 +37,7 @@
   public void ended(String shard) {
     ShardLeader former = leaders.remove(shard);
     if (former != null) {
-      former.tell(new ShardLeader.Ended());
+      former.tell(new ShardLeader.TermEnded());
     }
   }
 
--- a/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
@@ -47,7 +47,7 @@
     PeerProtocol.Message message = frame.message();
     if (message instanceof PeerProtocol.JobCancelled cancelled) { // final, so true at any age
       context.cancellations().heard(cancelled.job());
-      shards.tellAll(new ShardLeader.Cancelled(cancelled.job()));
+      shards.tellAll(new ShardLeader.JobCancelled(cancelled.job()));
       return;
     }
     if (Math.abs(context.reactor().wall() - frame.sentWall()) > maxAgeMs) {
