--- a/src/main/java/org/fieldtrestle/controller/JobFinisher.java
+++ b/src/main/java/org/fieldtrestle/controller/JobFinisher.java
@@ -10,8 +10,8 @@
 import org.fieldtrestle.worker.JobCompletion;
 
 /**
- * Finishes jobs whose ranges are all complete but which nobody has finished: two shards that
- * complete a job's last ranges at the same time may each see the other's as incomplete.
+ * Finishes jobs whose ranges are all complete but which are not finished: two shards that complete
+ * a job's last ranges at the same time may each see the other's as incomplete.
  */
 final class JobFinisher {
   private final ControllerContext context;
--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -78,7 +78,7 @@
 
   private static void putCancellations(ObjectNode parent, CancellationNotices cancellations) {
     parent.put("confirmedHere", cancellations.confirmedCount());
-    parent.put("notFollowedYet", cancellations.notFollowedCount());
+    parent.put("notFollowedYet", cancellations.unappliedCount());
     parent.put("heardFromOthers", cancellations.heardCount());
   }
 
--- a/src/main/java/org/fieldtrestle/controller/UserApiPeers.java
+++ b/src/main/java/org/fieldtrestle/controller/UserApiPeers.java
@@ -2,7 +2,7 @@
 
 import org.fieldtrestle.api.UserApi;
 
-/** What the user API asks of the other controllers, and tells them. */
+/** Connects the user API with the liveness of other controllers and the broadcast to them. */
 final class UserApiPeers implements UserApi.Peers {
   private final PeerLiveness liveness;
   private final PeerBroadcaster broadcaster;
--- a/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
+++ b/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
@@ -9,7 +9,7 @@
  * Cancellations that the state cache may not show yet: those that other controllers have reported,
  * and counts for operators.
  *
- * <p>A cancellation that this controller has committed itself needs no entry here: its commit has
+ * <p>A cancellation that this controller has committed itself needs no entry: its commit has
  * removed the job's record from the {@link StateCache}. Notices of other controllers only make
  * tasks stop sooner. The oldest may be forgotten, as the leadership fence bounds the time until a
  * cancellation takes effect without them.
@@ -53,7 +53,7 @@
   }
 
   /** How many confirmed cancellations the watch has not delivered yet, up to a bound. */
-  public int notFollowedCount() {
+  public int unappliedCount() {
     return unappliedRevisions.size();
   }
 
--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -105,10 +105,10 @@
 
   private void renewed(KeyValueClient.Renewal renewal, long sentAtMs) {
     if (renewal == KeyValueClient.Renewal.KEPT) {
-      fence.leaseKept(sentAtMs);
+      fence.leaseRenewed(sentAtMs);
     } else if (renewal == KeyValueClient.Renewal.ENDED) {
       LOG.atWarn().addKeyValue("lease", lease).log("lease expired");
-      fence.leaseEnded();
+      fence.leaseExpired();
       register();
     }
   }
@@ -119,7 +119,7 @@
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(member, stateCache.version(member)));
     changes.add(new KeyValueProtocol.Put(member, Records.write(new Records.Member(boot)), granted));
-    // A controller that acquired one of our shards while we had no lease waits for the workers'
+    // A controller that acquired one of these shards since the lease expired waits for the workers'
     // leases that it counts from then on, and acting again under the old epoch would renew them.
     // So either all epochs are still current or nothing is registered.
     ledShards.addEpochConditions(conditions);
@@ -150,7 +150,7 @@
   private void registered(long granted, long sentAtMs) {
     state = State.REGISTERED;
     lease = granted;
-    fence.leaseKept(sentAtMs);
+    fence.leaseRenewed(sentAtMs);
     LOG.atInfo().addKeyValue("member", self).addKeyValue("lease", granted).log("registered");
   }
 
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
@@ -88,8 +88,8 @@
         .addKeyValue("epoch", epoch)
         .log("leadership superseded");
     ledShards.remove(shard);
-    if (shard.equals(self) && fence.open()) {
-      // Seized although our lease is valid: our workers do not reach this controller.
+    if (shard.equals(self) && fence.isOpen()) {
+      // Seized although this controller's lease is valid: its workers do not reach it.
       holdAfterTransfer();
     }
     ledShards.notifyEnded(shard);
@@ -101,7 +101,7 @@
         && current.record().holder().equals(self)
         && !shard.equals(self)
         && !ledShards.contains(shard)
-        && fence.open()) {
+        && fence.isOpen()) {
       acquire(shard, self, current.version());
     }
   }
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
@@ -34,7 +34,7 @@
   private long openings;
 
   /**
-   * @param leaseMs the time to live of the lease at the state service
+   * @param leaseMs the time to live of the lease at the key-value store
    */
   LeadershipFence(Reactor reactor, StateCache stateCache, long leaseMs) {
     this.reactor = reactor;
@@ -48,17 +48,17 @@
   }
 
   /** The lease was granted or renewed by a request that was sent at this time. */
-  void leaseKept(long sentAtMs) {
+  void leaseRenewed(long sentAtMs) {
     leaseSentAtMs = Math.max(leaseSentAtMs, sentAtMs);
   }
 
   /** The key-value store has answered that the lease has expired. */
-  void leaseEnded() {
+  void leaseExpired() {
     leaseSentAtMs = NEVER;
   }
 
   /** Whether commands may be sent and heartbeats acknowledged now; logs each change. */
-  boolean open() {
+  boolean isOpen() {
     long oldestMs = reactor.now() - usableMs;
     boolean open = leaseSentAtMs > oldestMs && stateCache.freshAsOf() > oldestMs;
     if (open != wasOpen) {
--- a/src/main/java/org/fieldtrestle/leadership/Membership.java
+++ b/src/main/java/org/fieldtrestle/leadership/Membership.java
@@ -81,7 +81,7 @@
 
   /** Whether this controller may act as the leader of its shards now. */
   public boolean mayAct() {
-    return fence.open();
+    return fence.isOpen();
   }
 
   /** The bound on acting without an answer of the key-value store. */
--- a/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
+++ b/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
@@ -51,7 +51,7 @@
 
   /** Looks through all shards once. */
   void check() {
-    if (!fence.open()) {
+    if (!fence.isOpen()) {
       leaderlessSinceMs.clear();
       return;
     }
--- a/src/test/java/org/fieldtrestle/leadership/CancellationNoticesTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/CancellationNoticesTest.java
@@ -17,11 +17,11 @@
     cancellations.confirmed(11);
     cancellations.confirmed(9);
     assertEquals(3, cancellations.confirmedCount());
-    assertEquals(2, cancellations.notFollowedCount());
+    assertEquals(2, cancellations.unappliedCount());
     cancellations.appliedRevision(11);
-    assertEquals(1, cancellations.notFollowedCount());
+    assertEquals(1, cancellations.unappliedCount());
     cancellations.appliedRevision(12);
-    assertEquals(0, cancellations.notFollowedCount());
+    assertEquals(0, cancellations.unappliedCount());
   }
 
   @Test
@@ -30,7 +30,7 @@
       cancellations.confirmed(i);
     }
     assertEquals(20_000, cancellations.confirmedCount());
-    assertEquals(10_000, cancellations.notFollowedCount());
+    assertEquals(10_000, cancellations.unappliedCount());
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -15,11 +15,11 @@
 import org.fieldtrestle.transport.Reactor;
 import org.junit.jupiter.api.Test;
 
-/** Leadership whose transactions are answered late. */
+/** Acquisition of shards when the key-value store answers late. */
 class MembershipTest {
   private static final String LABEL = "trestle-0";
 
-  /** Within the time-out of a request, and longer than a watch takes to tell. */
+  /** Within the time-out of a request, and longer than a watch takes to deliver a change. */
   private static final long LATE_MS = 1000;
 
   private final SimulatedNetwork network = new SimulatedNetwork();
@@ -51,8 +51,8 @@
   }
 
   /**
-   * The own shard was taken by another before the answer to our taking it came, and that was
-   * followed: nobody would ever tell us again that we are not its leader.
+   * Another controller acquired the shard before the answer to this one's acquisition arrived, and
+   * the state cache shows it already: no later change would end a term that began now.
    */
   @Test
   void aShardAcquiredByAnotherBeforeTheAnswerArrivesIsNotLed() {
