--- a/src/main/java/org/fieldtrestle/api/UserApi.java
+++ b/src/main/java/org/fieldtrestle/api/UserApi.java
@@ -4,7 +4,7 @@
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.metrics.ControllerMetrics;
 import org.fieldtrestle.transport.Actor;
-import org.fieldtrestle.transport.EventLoopMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.transport.Http;
 
 /**
@@ -69,14 +69,14 @@
 
   @Override
   protected void receive(Message message) {
-    context.metrics().work.run(workOf(message), () -> route(message));
+    context.metrics().work.run(activityOf(message), () -> route(message));
   }
 
-  private static Work workOf(Message message) {
+  private static Activity activityOf(Message message) {
     if (message instanceof Submit) {
-      return Work.USER_SUBMISSION;
+      return Activity.USER_SUBMISSION;
     }
-    return message instanceof Poll ? Work.USER_QUERY : Work.USER_CANCELLATION;
+    return message instanceof Poll ? Activity.USER_QUERY : Activity.USER_CANCELLATION;
   }
 
   private void route(Message message) {
--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -109,10 +109,10 @@
 
   private void renewed(LeaseRenewal renewal, long sentAtMs) {
     if (renewal == LeaseRenewal.KEPT) {
-      fence.leaseKept(sentAtMs);
+      fence.leaseRenewed(sentAtMs);
     } else if (renewal == LeaseRenewal.ENDED) {
       LOG.atWarn().addKeyValue("lease", lease).log("lease expired");
-      fence.leaseEnded();
+      fence.leaseExpired();
       register();
     }
   }
@@ -123,7 +123,7 @@
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(member, stateCache.version(member)));
     changes.add(StateChanges.put(member, new MemberRecord(boot), granted));
-    // A controller that acquired one of our shards while we had no lease waits for the workers'
+    // A controller that acquired one of these shards since the lease expired waits for the workers'
     // leases that it counts from then on, and acting again under the old epoch would renew them.
     // So either all epochs are still current or nothing is registered.
     ledShards.addEpochConditions(conditions);
@@ -154,7 +154,7 @@
   private void registered(long granted, long sentAtMs) {
     state = State.REGISTERED;
     lease = granted;
-    fence.leaseKept(sentAtMs);
+    fence.leaseRenewed(sentAtMs);
     LOG.atInfo().addKeyValue("member", self).addKeyValue("lease", granted).log("registered");
   }
 
--- a/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
+++ b/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
@@ -3,7 +3,7 @@
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.metrics.ControllerMetrics;
 import org.fieldtrestle.scheduling.TaskPlacer;
-import org.fieldtrestle.transport.EventLoopMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.worker.LeadershipTerm;
 
 /**
@@ -54,7 +54,7 @@
         .reactor()
         .schedule(
             Math.max(soonMs, notBeforeMs - context.now()),
-            () -> context.metrics().work.run(Work.PLACEMENT, this::run));
+            () -> context.metrics().work.run(Activity.PLACEMENT, this::run));
   }
 
   private void run() {
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -13,7 +13,7 @@
 import org.fieldtrestle.scaling.MachineInventory;
 import org.fieldtrestle.state.StateKey;
 import org.fieldtrestle.transport.Actor;
-import org.fieldtrestle.transport.EventLoopMeter.Work;
+import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.worker.FreeResources;
 import org.fieldtrestle.worker.LeadershipTerm;
@@ -118,13 +118,13 @@
       activate();
     }
     if (message instanceof HeartbeatReceived received) {
-      context.metrics().work.run(Work.WORKER_REPORT, () -> heartbeatReceived(received));
+      context.metrics().work.run(Activity.WORKER_REPORT, () -> heartbeatReceived(received));
     } else if (message instanceof KeyChanged changed) {
       keyChanged(changed.key());
     } else if (message instanceof JobCancelled cancelled) {
       parts.ranges.jobCancelled(cancelled.job());
     } else if (message instanceof Tick) {
-      context.metrics().work.run(Work.PERIODIC_CHECKS, this::tick);
+      context.metrics().work.run(Activity.PERIODIC_CHECKS, this::tick);
     } else if (message instanceof TermEnded) {
       term.end();
       log.logLeadership("leadership ends");
@@ -194,7 +194,7 @@
     parts.ranges.logPendingStops(now);
     if (term.isLeading()) {
       parts.quotaShares.tick();
-      context.metrics().work.run(Work.FLEET_SIZING, () -> parts.autoscaler.tick(now));
+      context.metrics().work.run(Activity.FLEET_SIZING, () -> parts.autoscaler.tick(now));
       parts.ranges.progress().writeDue(parts.ranges.all(), now);
       parts.reassignment.tick(now);
       log.logSummary(now);
--- a/src/test/java/org/fieldtrestle/simulation/LoadGenerator.java
+++ b/src/test/java/org/fieldtrestle/simulation/LoadGenerator.java
@@ -16,6 +16,7 @@
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.HttpClient;
 import org.fieldtrestle.transport.HttpServer;
+import org.fieldtrestle.transport.SocketAddresses;
 import org.fieldtrestle.transport.SocketBudget;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -81,7 +82,7 @@
   // ---- the network
 
   private void serve(String address, Http.Handler handler) throws InterruptedException {
-    InetSocketAddress socket = HttpClient.socket(address);
+    InetSocketAddress socket = SocketAddresses.parse(address);
     new HttpServer(group, handler, sockets, path -> false, 600_000, 60_000, METER).start(socket);
   }
 
