--- a/src/main/java/org/fieldtrestle/cloud/RateLimitedQueue.java
+++ b/src/main/java/org/fieldtrestle/cloud/RateLimitedQueue.java
@@ -45,7 +45,7 @@
         reactor.schedule(waitMs, this::resume);
         return;
       }
-      // Two requests may go close together, as the cloud allows bursts.
+      // After a pause three requests go at once, as the cloud allows bursts.
       nextAtMs = Math.max(nextAtMs + intervalMs, reactor.now() - intervalMs);
       (changes.isEmpty() ? reads : changes).removeFirst().run();
     }
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -43,11 +43,11 @@
   }
 
   /**
-   * Whether a task is fetched for by a worker that is already fetching another image. Usually not:
-   * two fetches share the bandwidth, and both tasks would start when the later one would have
-   * started anyway. A latency-sensitive task goes there all the same, unless downloads were
-   * observed to share the bandwidth: then its small image takes as long as a large one beside it,
-   * and a worker that has the image will have room before.
+   * Whether a task may go to a worker that would fetch its image beside another one. Usually not:
+   * fetches share the bandwidth, and both tasks would start when the later one would have started
+   * anyway. A latency-sensitive task goes there all the same, unless downloads were observed to
+   * share the bandwidth: then its small image takes as long as a large one beside it, and a worker
+   * that has the image will have room before.
    */
   boolean acceptsConcurrentFetch(WaitingTasks tasks, long nowMs) {
     return context.isLatencySensitive(tasks.range().spec())
