--- a/src/main/java/org/fieldtrestle/api/CancellationHandler.java
+++ b/src/main/java/org/fieldtrestle/api/CancellationHandler.java
@@ -125,7 +125,7 @@
     LOG.atInfo()
         .addKeyValue("job", jobId)
         .addKeyValue("revision", revision)
-        .addKeyValue("followed", context.stateCache().appliedRevision())
+        .addKeyValue("appliedRevision", context.stateCache().appliedRevision())
         .log("cancellation confirmed");
     peers.cancelled(jobId);
   }
--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -130,7 +130,7 @@
         || nowMs - sinceMs < ORPHAN_AFTER_LAGS * context.cloud().listLagMs()) {
       return;
     }
-    LOG.atInfo().addKeyValue("machine", machine.machine()).log("orphan is adopted");
+    LOG.atInfo().addKeyValue("machine", machine.machine()).log("adopting orphan machine");
     inventory.adopt(machine.machine(), machine.type(), machine.zone(), machine.spot(), () -> {});
   }
 }
--- a/src/main/java/org/fieldtrestle/state/StateCache.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -257,7 +257,7 @@
         LOG.atError()
             .addKeyValue("key", key)
             .addKeyValue("reason", e.getMessage())
-            .log("unreadable value");
+            .log("unreadable value at state key");
       }
       records.hide(parsed);
     }
