--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -49,36 +49,6 @@
     ControllerMetrics metrics,
     JobObjectives objectives) {
 
-  /** A context with the objectives of the given settings. */
-  public ControllerContext(
-      Settings settings,
-      OperatorSettings operatorSettings,
-      Reactor reactor,
-      RandomGenerator random,
-      Http.Caller caller,
-      KeyValueClient store,
-      StateCache stateCache,
-      CloudClient cloud,
-      Membership membership,
-      ShardLoads loads,
-      CancellationNotices cancellations,
-      ControllerMetrics metrics) {
-    this(
-        settings,
-        operatorSettings,
-        reactor,
-        random,
-        caller,
-        store,
-        stateCache,
-        cloud,
-        membership,
-        loads,
-        cancellations,
-        metrics,
-        new JobObjectives(settings, operatorSettings, cloud));
-  }
-
   /** The machine type of this name; null if the cloud does not offer it, or is not known yet. */
   public MachineType type(String name) {
     for (MachineType type : cloud.types()) {
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -8,6 +8,7 @@
 import org.fieldtrestle.config.OperatorSettings;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.context.JobObjectives;
 import org.fieldtrestle.leadership.CancellationNotices;
 import org.fieldtrestle.leadership.LeadershipTransfer;
 import org.fieldtrestle.leadership.Membership;
@@ -100,6 +101,7 @@
     KeyValueClient store = new KeyValueClient(reactor, caller, settings);
     StateCache stateCache = new StateCache(reactor, store, settings);
     String boot = Long.toHexString(random.nextLong());
+    CloudClient cloud = new CloudClient(reactor, caller, settings);
     return new ControllerContext(
         settings,
         operatorSettings,
@@ -108,12 +110,13 @@
         caller,
         store,
         stateCache,
-        new CloudClient(reactor, caller, settings),
+        cloud,
         new Membership(reactor, store, stateCache, settings, boot),
         new ShardLoads(
             reactor, settings.label(), settings.heartbeatIntervalsMs(PEER_STATUS_INTERVALS)),
         new CancellationNotices(),
-        new ControllerMetrics(meter));
+        new ControllerMetrics(meter),
+        new JobObjectives(settings, operatorSettings, cloud));
   }
 
   /**
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -11,6 +11,7 @@
 import org.fieldtrestle.config.OperatorSettings;
 import org.fieldtrestle.config.Settings;
 import org.fieldtrestle.context.ControllerContext;
+import org.fieldtrestle.context.JobObjectives;
 import org.fieldtrestle.leadership.CancellationNotices;
 import org.fieldtrestle.leadership.Membership;
 import org.fieldtrestle.metrics.ControllerMetrics;
@@ -86,6 +87,7 @@
     Http.Caller caller = network.caller();
     KeyValueClient store = new KeyValueClient(reactor, caller, settings);
     StateCache stateCache = new StateCache(reactor, store, settings);
+    CloudClient cloud = new CloudClient(reactor, caller, settings);
     context =
         new ControllerContext(
             settings,
@@ -95,11 +97,12 @@
             caller,
             store,
             stateCache,
-            new CloudClient(reactor, caller, settings),
+            cloud,
             new Membership(reactor, store, stateCache, settings, "boot"),
             new ShardLoads(reactor, LABEL, STEP_MS),
             new CancellationNotices(),
-            new ControllerMetrics(new EventLoopMeter(reactor::nanoTime)));
+            new ControllerMetrics(new EventLoopMeter(reactor::nanoTime)),
+            new JobObjectives(settings, OperatorSettings.DEFAULT, cloud));
     stateCache.start();
     context.cloud().start();
     network.runFor(STEP_MS);
