--- a/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -50,13 +50,13 @@
   }
 
   /** The shard is led from now on. */
-  public void activated() {
+  public void leadershipBegan() {
     workload.begin();
     listReconciler.begin();
   }
 
   /** A range has come to this shard. */
-  public void arrived(TaskRange range) {
+  public void rangeAdded(TaskRange range) {
     workload.rangeAdded(range);
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -83,7 +83,7 @@
   }
 
   /** A range has come to this shard. */
-  public void arrived(TaskRange range) {
+  public void rangeAdded(TaskRange range) {
     reserve.rangeAdded(range);
   }
 
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -89,8 +89,8 @@
 
     @Override
     public void rangeAdded(TaskRange range) {
-      parts.placer.arrived(range);
-      parts.autoscaler.arrived(range);
+      parts.placer.rangeAdded(range);
+      parts.autoscaler.rangeAdded(range);
     }
 
     @Override
@@ -138,7 +138,7 @@
     parts.inventoryFollower.inherit();
     parts.ranges.inherit();
     log.logLeadership("leadership begins");
-    parts.autoscaler.activated();
+    parts.autoscaler.leadershipBegan();
     placement.request();
     activated.run();
   }
