--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -56,7 +56,7 @@
   }
 
   /** CPUs that this shard reserves: its part by capacity of what all shards reserve together. */
-  double cpus() {
+  double reservedCpus() {
     double capacity = workers.capacity();
     double part = capacity / Math.max(1, capacity + context.loads().capacityOfOthers(shard));
     return Math.min(
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -43,7 +43,7 @@
   private final QuotaShares quotaShares;
   private final Decisions decisions;
   private final WaitingTaskCollector collector;
-  private final ReservedCapacity reserve;
+  private final ReservedCapacity reservedCapacity;
   private final ImageLocality locality;
   private final WorkerSelector selector;
   private final GangPlacer gangs;
@@ -75,7 +75,7 @@
     this.decisions = decisions;
     PlacementConstraints constraints = new PlacementConstraints(failures);
     this.collector = new WaitingTaskCollector(context, policy, falcon, workers, ranges, decisions);
-    this.reserve = new ReservedCapacity(context, shard, workers, constraints);
+    this.reservedCapacity = new ReservedCapacity(context, shard, workers, constraints);
     this.locality = new ImageLocality(context, workers, downloads);
     this.selector = new WorkerSelector(constraints, locality);
     this.gangs = new GangPlacer(quotaShares, selector, decisions);
@@ -84,22 +84,23 @@
 
   /** A range has come to this shard. */
   public void rangeAdded(TaskRange range) {
-    reserve.rangeAdded(range);
+    reservedCapacity.rangeAdded(range);
   }
 
   /** CPUs that are reserved for latency-sensitive jobs. */
-  public double reserve() {
-    return reserve.cpus();
+  public double reservedCpus() {
+    return reservedCapacity.reservedCpus();
   }
 
   /** Places what fits and preempts for what does not; does nothing where nothing waits. */
-  public void pass(long nowMs) {
+  public void runPass(long nowMs) {
     List<QueuedGroup<WaitingTasks>> groups = collector.collect(nowMs);
     if (groups.isEmpty()) {
       return;
     }
     PlacementPass pass =
-        new PlacementPass(nowMs, groups, workers.freeResources(nowMs), reserve.cpus());
+        new PlacementPass(
+            nowMs, groups, workers.freeResources(nowMs), reservedCapacity.reservedCpus());
     // Workers that have the image come first: a task that would fetch must not take room that
     // another task, whose image is there, waits for as well.
     List<QueuedGroup<WaitingTasks>> withoutImage = place(pass, groups, true);
@@ -156,8 +157,8 @@
 
   private boolean isReservedForOthers(PlacementPass pass, WaitingTasks tasks) {
     return !tasks.overdue()
-        && reserve.isWithheldFrom(tasks.range().spec(), pass)
-        && !reserve.yieldsTo(tasks.range(), pass);
+        && reservedCapacity.isWithheldFrom(tasks.range().spec(), pass)
+        && !reservedCapacity.yieldsTo(tasks.range(), pass);
   }
 
   /** Whether a task is not placed on a worker that would have to fetch its image. */
--- a/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
+++ b/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
@@ -61,7 +61,7 @@
     due = false;
     if (term.isLeading() && !context.types().isEmpty()) {
       long beganMs = context.now();
-      placer.pass(beganMs);
+      placer.runPass(beganMs);
       long tookMs = context.now() - beganMs;
       notBeforeMs = context.now() + tookMs * REST_PER_PASS;
       ControllerMetrics.record(context.metrics().passMs, tookMs);
--- a/src/main/java/org/fieldtrestle/shard/ShardComponents.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardComponents.java
@@ -70,6 +70,6 @@
             downloads,
             new AttemptPlacer(context, term, commands));
     autoscaler =
-        new Autoscaler(context, term, workers, ranges, failures, inventory, placer::reserve);
+        new Autoscaler(context, term, workers, ranges, failures, inventory, placer::reservedCpus);
   }
 }
