--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -53,7 +53,7 @@
 
   /** Plans the acceptance of a job by the present loads and epochs of the shards. */
   Plan plan(JobSpec spec) {
-    String zone = spec.oneZone() ? context.loads().roomiestZone(allowedZones(spec)) : null;
+    String zone = spec.oneZone() ? context.loads().zoneWithMostFreeCpus(allowedZones(spec)) : null;
     List<JobSplitter.Part> parts = split(spec, zone);
     Map<String, Long> epochs = epochsOfShards(parts);
     // One record holds the job and all its ranges; a range gets its own once it differs.
@@ -106,7 +106,7 @@
     for (JobSplitter.Part part : parts) {
       recorded.add(
           new InitialRange(
-              part.shard(), epochs.get(part.shard()), part.from(), part.to(), part.caps()));
+              part.shard(), epochs.get(part.shard()), part.from(), part.to(), part.zoneLimits()));
     }
     return recorded;
   }
--- a/src/main/java/org/fieldtrestle/routing/JobSplitter.java
+++ b/src/main/java/org/fieldtrestle/routing/JobSplitter.java
@@ -39,9 +39,9 @@
    * @param shard the shard's name
    * @param from the first task
    * @param to the task after the last one
-   * @param caps how many of these tasks may be in each zone at a time; empty if not limited
+   * @param zoneLimits how many of these tasks may be in each zone at a time; empty if not limited
    */
-  public record Part(String shard, int from, int to, Map<String, Integer> caps) {}
+  public record Part(String shard, int from, int to, Map<String, Integer> zoneLimits) {}
 
   /**
    * Splits a job. Free room is used first, most of it first, so that small jobs stay together and
@@ -62,7 +62,7 @@
       int left = counts.getOrDefault(candidate.shard(), 0);
       while (left > 0) {
         int to = from + Math.min(left, maxPart);
-        parts.add(new Part(candidate.shard(), from, to, caps(spec, from, to, zones)));
+        parts.add(new Part(candidate.shard(), from, to, zoneLimits(spec, from, to, zones)));
         left -= to - from;
         from = to;
       }
@@ -130,19 +130,20 @@
   }
 
   /**
-   * How many of the tasks from..to may be in each zone at a time, so that the caps of all ranges
+   * How many of the tasks from..to may be in each zone at a time, so that the limits of all ranges
    * together keep to the job's zone limit. Each range gets its proportional part, rounded so that
    * they add up exactly.
    */
-  private static Map<String, Integer> caps(JobSpec spec, int from, int to, List<String> zones) {
+  private static Map<String, Integer> zoneLimits(
+      JobSpec spec, int from, int to, List<String> zones) {
     if (!spec.spread()) {
       return Map.of();
     }
-    Map<String, Integer> caps = new TreeMap<>();
+    Map<String, Integer> zoneLimits = new TreeMap<>();
     long limit = spec.zoneLimit();
     for (String zone : zones) {
-      caps.put(zone, (int) (limit * to / spec.tasks() - limit * from / spec.tasks()));
+      zoneLimits.put(zone, (int) (limit * to / spec.tasks() - limit * from / spec.tasks()));
     }
-    return caps;
+    return zoneLimits;
   }
 }
--- a/src/main/java/org/fieldtrestle/routing/ShardLoads.java
+++ b/src/main/java/org/fieldtrestle/routing/ShardLoads.java
@@ -161,7 +161,7 @@
   }
 
   /** The zone with most free CPUs, out of at least one. */
-  public String roomiestZone(List<String> zones) {
+  public String zoneWithMostFreeCpus(List<String> zones) {
     Map<String, Double> freeCpus = new TreeMap<>();
     for (Report report : reports.values()) {
       if (isFresh(report)) {
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -56,7 +56,7 @@
   }
 
   /** Marks a machine as up. Tasks may be started on it once that is durable. */
-  public void up(String id) {
+  public void markUp(String id) {
     update(id, new PendingUpdate.MarkUp());
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
@@ -10,12 +10,13 @@
 final class GangPlacer {
   private final QuotaShares quotaShares;
   private final WorkerSelector selector;
-  private final TaskPlacer.Decisions decisions;
+  private final TaskPlacer.PlacementExecutor executor;
 
-  GangPlacer(QuotaShares quotaShares, WorkerSelector selector, TaskPlacer.Decisions decisions) {
+  GangPlacer(
+      QuotaShares quotaShares, WorkerSelector selector, TaskPlacer.PlacementExecutor executor) {
     this.quotaShares = quotaShares;
     this.selector = selector;
-    this.decisions = decisions;
+    this.executor = executor;
   }
 
   /** Places all waiting tasks of a gang if the quota and the workers have room for all of them. */
@@ -36,7 +37,7 @@
       selected.put(offset, free);
     }
     // One attempt number for all: the tasks of a gang find each other by it.
-    long attempt = decisions.nextAttempt();
-    selected.forEach((offset, free) -> decisions.place(range, offset, free.worker(), attempt));
+    long attempt = executor.nextAttempt();
+    selected.forEach((offset, free) -> executor.place(range, offset, free.worker(), attempt));
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -30,7 +30,7 @@
   private final QuotaShares quotaShares;
   private final GuaranteedShares guaranteedShares;
   private final PlacementConstraints constraints;
-  private final TaskPlacer.Decisions decisions;
+  private final TaskPlacer.PlacementExecutor executor;
   private final VictimSelector victimSelector;
   private long lastRunMs;
 
@@ -40,13 +40,13 @@
       WorkerRegistry workers,
       QuotaShares quotaShares,
       PlacementConstraints constraints,
-      TaskPlacer.Decisions decisions) {
+      TaskPlacer.PlacementExecutor executor) {
     this.context = context;
     this.falcon = falcon;
     this.workers = workers;
     this.quotaShares = quotaShares;
     this.constraints = constraints;
-    this.decisions = decisions;
+    this.executor = executor;
     this.guaranteedShares = new GuaranteedShares(context, workers);
     this.victimSelector = new VictimSelector(falcon, guaranteedShares);
   }
@@ -184,6 +184,6 @@
     LOG.debug("task {} preempted by {} ({})", victim, preemptedBy.id(), preemptedBy.priority());
     context.metrics().countEvicted();
     JobSpec spec = victim.range().spec();
-    decisions.stop(victim, spec.hasCheckpoints() ? spec.saveS() : 0);
+    executor.stop(victim, spec.hasCheckpoints() ? spec.saveS() : 0);
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -22,7 +22,7 @@
  */
 public final class TaskPlacer {
   /** Carries out what a pass decides. */
-  public interface Decisions {
+  public interface PlacementExecutor {
     /**
      * Places a task on a worker.
      *
@@ -41,7 +41,7 @@
   private final SelectivePreemption falcon;
   private final WorkerRegistry workers;
   private final QuotaShares quotaShares;
-  private final Decisions decisions;
+  private final PlacementExecutor executor;
   private final WaitingTaskCollector collector;
   private final ReservedCapacity reservedCapacity;
   private final ImageLocality locality;
@@ -56,7 +56,7 @@
    * @param shard the shard's name
    * @param policy decides whether tasks of a range may start at all
    * @param downloads tells whether images that a worker fetches at once share its bandwidth
-   * @param decisions carries out what the passes decide
+   * @param executor carries out what the passes decide
    */
   public TaskPlacer(
       ControllerContext context,
@@ -68,18 +68,18 @@
       QuotaShares quotaShares,
       FailureTracker failures,
       ImageDownloads downloads,
-      Decisions decisions) {
+      PlacementExecutor executor) {
     this.falcon = falcon;
     this.workers = workers;
     this.quotaShares = quotaShares;
-    this.decisions = decisions;
+    this.executor = executor;
     PlacementConstraints constraints = new PlacementConstraints(failures);
-    this.collector = new WaitingTaskCollector(context, policy, falcon, workers, ranges, decisions);
+    this.collector = new WaitingTaskCollector(context, policy, falcon, workers, ranges, executor);
     this.reservedCapacity = new ReservedCapacity(context, shard, workers, constraints);
     this.locality = new ImageLocality(context, workers, downloads);
     this.selector = new WorkerSelector(constraints, locality);
-    this.gangs = new GangPlacer(quotaShares, selector, decisions);
-    this.preemptor = new Preemptor(context, falcon, workers, quotaShares, constraints, decisions);
+    this.gangs = new GangPlacer(quotaShares, selector, executor);
+    this.preemptor = new Preemptor(context, falcon, workers, quotaShares, constraints, executor);
   }
 
   /** A range has come to this shard. */
@@ -187,7 +187,7 @@
   private void place(PlacementPass pass, WaitingTasks tasks, FreeResources free) {
     TaskRange range = tasks.range();
     int offset = tasks.firstOffset();
-    decisions.place(range, offset, free.worker(), decisions.nextAttempt());
+    executor.place(range, offset, free.worker(), executor.nextAttempt());
     range.placed().get(offset).exemptFromPreemption(tasks.overdue());
     pass.placed(free, range.spec());
   }
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -29,7 +29,7 @@
   private final SelectivePreemption falcon;
   private final WorkerRegistry workers;
   private final TaskRanges ranges;
-  private final TaskPlacer.Decisions decisions;
+  private final TaskPlacer.PlacementExecutor executor;
 
   WaitingTaskCollector(
       ControllerContext context,
@@ -37,13 +37,13 @@
       SelectivePreemption falcon,
       WorkerRegistry workers,
       TaskRanges ranges,
-      TaskPlacer.Decisions decisions) {
+      TaskPlacer.PlacementExecutor executor) {
     this.context = context;
     this.policy = policy;
     this.falcon = falcon;
     this.workers = workers;
     this.ranges = ranges;
-    this.decisions = decisions;
+    this.executor = executor;
   }
 
   /** Returns all groups that may be placed; stops what is left of gangs that have lost a task. */
@@ -82,7 +82,7 @@
               range.waiting()));
     } else {
       // A task of the gang was lost: the others cannot go on without it.
-      List.copyOf(range.placed().values()).forEach(task -> decisions.stop(task, spec.saveS()));
+      List.copyOf(range.placed().values()).forEach(task -> executor.stop(task, spec.saveS()));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -17,7 +17,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Carries out what a placement pass decides: attempts begin on workers, or are stopped there. */
-final class AttemptPlacer implements TaskPlacer.Decisions {
+final class AttemptPlacer implements TaskPlacer.PlacementExecutor {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptPlacer.class);
 
   private final ControllerContext context;
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -95,7 +95,7 @@
 
     @Override
     public void workerUp(String worker) {
-      parts.inventory.up(worker);
+      parts.inventory.markUp(worker);
     }
 
     @Override
--- a/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
+++ b/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
@@ -51,21 +51,22 @@
     JobSpec job = job(tasks, spread);
     List<JobSplitter.Part> parts = JobSplitter.split(job, candidates, maxPart, List.of("a", "b"));
     int next = 0;
-    int capA = 0;
-    int capB = 0;
+    int limitA = 0;
+    int limitB = 0;
     for (JobSplitter.Part part : parts) {
       assertEquals(next, part.from());
       assertTrue(part.to() > part.from() && part.to() - part.from() <= maxPart);
       next = part.to();
-      capA += part.caps().getOrDefault("a", 0);
-      capB += part.caps().getOrDefault("b", 0);
+      limitA += part.zoneLimits().getOrDefault("a", 0);
+      limitB += part.zoneLimits().getOrDefault("b", 0);
       if (spread) {
-        assertTrue(part.caps().values().stream().anyMatch(cap -> cap > 0), "can run at all");
+        assertTrue(
+            part.zoneLimits().values().stream().anyMatch(limit -> limit > 0), "can run at all");
       }
     }
     assertEquals(tasks, next);
     if (spread) {
-      assertTrue(capA <= job.zoneLimit() && capB <= job.zoneLimit());
+      assertTrue(limitA <= job.zoneLimit() && limitB <= job.zoneLimit());
     }
   }
 }
