--- a/src/main/java/org/fieldtrestle/routing/JobSplitter.java
+++ b/src/main/java/org/fieldtrestle/routing/JobSplitter.java
@@ -28,7 +28,7 @@
    */
   public record Candidate(String shard, int freeTasks, double waitingCpus, double capacityCpus) {
     /** Waiting work per CPU of its machines. */
-    public double pressure() {
+    public double waitingPerCpu() {
       return waitingCpus / Math.max(1, capacityCpus);
     }
   }
@@ -109,7 +109,7 @@
     int step = Math.max(1, tasks / (STEPS_PER_CANDIDATE * candidates.size()));
     int left = tasks;
     while (left > 0) {
-      String shard = leastPressured(candidates, waitingCpus, minCapacity);
+      String shard = shardWithLeastWaiting(candidates, waitingCpus, minCapacity);
       int assigned = Math.min(step, left);
       counts.merge(shard, assigned, Integer::sum);
       waitingCpus.merge(shard, assigned * cpus, Double::sum);
@@ -117,7 +117,7 @@
     }
   }
 
-  private static String leastPressured(
+  private static String shardWithLeastWaiting(
       List<Candidate> candidates, Map<String, Double> waitingCpus, double minCapacity) {
     Candidate least = candidates.get(0);
     for (Candidate candidate : candidates) {
--- a/src/main/java/org/fieldtrestle/routing/ShardLoads.java
+++ b/src/main/java/org/fieldtrestle/routing/ShardLoads.java
@@ -143,7 +143,7 @@
       if (best == null
           || candidate.freeTasks() > best.freeTasks()
           || (candidate.freeTasks() == best.freeTasks()
-              && candidate.pressure() < best.pressure())) {
+              && candidate.waitingPerCpu() < best.waitingPerCpu())) {
         best = candidate;
       }
     }
--- a/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
@@ -6,20 +6,25 @@
 import org.fieldtrestle.worker.FreeResources;
 import org.fieldtrestle.worker.TaskRange;
 
-/** Gang scheduling: all tasks of a gang are placed at once, or none. */
+/** Places gangs: either all waiting tasks of a gang are placed together or none of them. */
 final class GangPlacer {
   private final QuotaShares quotaShares;
-  private final WorkerSelector selector;
+  private final WorkerSelector workerSelector;
   private final TaskPlacer.PlacementExecutor executor;
 
   GangPlacer(
-      QuotaShares quotaShares, WorkerSelector selector, TaskPlacer.PlacementExecutor executor) {
+      QuotaShares quotaShares,
+      WorkerSelector workerSelector,
+      TaskPlacer.PlacementExecutor executor) {
     this.quotaShares = quotaShares;
-    this.selector = selector;
+    this.workerSelector = workerSelector;
     this.executor = executor;
   }
 
-  /** Places all waiting tasks of a gang if the quota and the workers have room for all of them. */
+  /**
+   * Places all waiting tasks of a gang if the quota share and the workers have room for all of
+   * them.
+   */
   void place(PlacementPass pass, TaskRange range) {
     BitSet waiting = (BitSet) range.fresh().clone();
     range.retries().keySet().forEach(waiting::set);
@@ -28,7 +33,7 @@
     }
     Map<Integer, FreeResources> selected = new TreeMap<>();
     for (int offset = waiting.nextSetBit(0); offset >= 0; offset = waiting.nextSetBit(offset + 1)) {
-      FreeResources free = selector.select(pass, new WaitingTasks(range, offset), offset);
+      FreeResources free = workerSelector.select(pass, new WaitingTasks(range, offset), offset);
       if (free == null) {
         selected.values().forEach(taken -> taken.release(range.spec()));
         return;
@@ -36,7 +41,7 @@
       free.take(range.spec());
       selected.put(offset, free);
     }
-    // One attempt number for all: the tasks of a gang find each other by it.
+    // The tasks of a gang share one attempt number, by which they find each other.
     long attempt = executor.nextAttempt();
     selected.forEach((offset, free) -> executor.place(range, offset, free.worker(), attempt));
   }
--- a/src/main/java/org/fieldtrestle/scheduling/GuaranteedShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/GuaranteedShares.java
@@ -8,7 +8,10 @@
 import org.fieldtrestle.worker.TeamUsage;
 import org.fieldtrestle.worker.WorkerRegistry;
 
-/** The teams' guaranteed shares: which work need not wait, and what may be preempted for it. */
+/**
+ * Decides by the teams' guaranteed shares which work may preempt earlier than other work, and which
+ * running tasks may be preempted for it.
+ */
 final class GuaranteedShares {
   private final ControllerContext context;
   private final WorkerRegistry workers;
@@ -18,11 +21,14 @@
     this.workers = workers;
   }
 
-  /** Whether a job and its team's earlier unfinished jobs fit the team's guaranteed share. */
+  /**
+   * Whether a job and the earlier unfinished jobs of its team together fit into the team's
+   * guaranteed share.
+   */
   boolean isGuaranteed(TaskRange range) {
     Settings.Team team = context.settings().team(range.spec().team());
-    ActiveJob own = context.stateCache().job(range.key().job());
-    if (team == null || own == null || (team.cpus() <= 0 && team.gpus() <= 0)) {
+    ActiveJob ownJob = context.stateCache().job(range.key().job());
+    if (team == null || ownJob == null || (team.cpus() <= 0 && team.gpus() <= 0)) {
       return false;
     }
     double cpus = 0;
@@ -30,7 +36,7 @@
     for (ActiveJob job : context.stateCache().jobs()) {
       if (job.job() != null
           && job.job().record().spec().team().equals(team.name())
-          && job.job().record().acceptedWallMs() <= own.job().record().acceptedWallMs()) {
+          && job.job().record().acceptedWallMs() <= ownJob.job().record().acceptedWallMs()) {
         JobSpec spec = job.job().record().spec();
         cpus += spec.cpus() * spec.tasks();
         gpus += spec.gpus() * spec.tasks();
@@ -40,25 +46,26 @@
   }
 
   /**
-   * Whether a team may reclaim room from another: it uses less than its part of its guaranteed
-   * share here, and the other one more than its own.
+   * Whether a team may reclaim resources from another team: on this shard, the team uses less than
+   * the shard's part of its guaranteed share, and the other team uses more than the shard's part of
+   * its own.
    */
-  boolean mayReclaim(String team, String from) {
-    if (team.equals(from)) {
+  boolean mayReclaim(String team, String otherTeam) {
+    if (team.equals(otherTeam)) {
       return false;
     }
-    Settings.Team below = context.settings().team(team);
-    Settings.Team above = context.settings().team(from);
-    if (below == null || above == null) {
+    Settings.Team claimant = context.settings().team(team);
+    Settings.Team other = context.settings().team(otherTeam);
+    if (claimant == null || other == null) {
       return false;
     }
     double shards = context.settings().peers().size() + 1;
     TeamUsage usage = workers.usage();
-    return (below.cpus() > 0
-            && usage.cpus(team) < below.cpus() / shards
-            && usage.cpus(from) > above.cpus() / shards)
-        || (below.gpus() > 0
-            && usage.gpus(team) < below.gpus() / shards
-            && usage.gpus(from) > above.gpus() / shards);
+    return (claimant.cpus() > 0
+            && usage.cpus(team) < claimant.cpus() / shards
+            && usage.cpus(otherTeam) > other.cpus() / shards)
+        || (claimant.gpus() > 0
+            && usage.gpus(team) < claimant.gpus() / shards
+            && usage.gpus(otherTeam) > other.gpus() / shards);
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -10,26 +10,35 @@
 import org.fieldtrestle.worker.WorkerRegistry;
 
 /**
- * Data locality of images: whether a task waits for a worker that has its image rather than have
- * another worker fetch it. An addition to the paper, which leaves data locality open.
+ * Data locality of images: decides whether a task waits for a worker that has its image instead of
+ * being placed on a worker that has to fetch it. This is an addition to the Falcon paper, which
+ * does not cover data locality.
  */
 final class ImageLocality {
-  /** Share of a fetch for which a worker that has the image is waited for in any case. */
+  /**
+   * How long a task waits for a worker that has its image in any case, as a share of the fetch
+   * time.
+   */
   private static final double MIN_WAIT_FETCHES = 0.4;
 
-  /** Share of the slack before the deadline for which a worker that has the image is waited for. */
+  /**
+   * How long a task waits for a worker that has its image, as a share of the slack before its
+   * deadline.
+   */
   private static final double WAIT_SLACK_SHARE = 0.6;
 
-  /** The most fetches for which a worker that has the image is waited for. */
+  /**
+   * Longest time that a task with a deadline waits for a worker that has its image, in fetch times.
+   */
   private static final double MAX_WAIT_FETCHES = 3;
 
-  /** Share of its slack after which a task shares a worker's download bandwidth. */
-  private static final double SHARES_BANDWIDTH_AT = 0.5;
+  /** Share of its slack after which a task may fetch its image while the worker fetches another. */
+  private static final double CONCURRENT_FETCH_SLACK_SHARE = 0.5;
 
-  /** Share of its slack after which a task is placed wherever there is room. */
-  private static final double PLACED_ANYWHERE_AT = 0.9;
+  /** Share of its slack after which a task is placed on any worker that has room. */
+  private static final double PLACE_ANYWHERE_SLACK_SHARE = 0.9;
 
-  /** Slack of a job without a deadline, in fetches of its image. */
+  /** Slack assumed for a job without a deadline, in fetch times of its image. */
   private static final double SLACK_WITHOUT_DEADLINE_FETCHES = 4;
 
   private final ControllerContext context;
@@ -43,24 +52,27 @@
   }
 
   /**
-   * Whether a task may go to a worker that would fetch its image beside another one. Usually not:
-   * fetches share the bandwidth, and both tasks would start when the later one would have started
-   * anyway. A latency-sensitive task goes there all the same, unless downloads were observed to
-   * share the bandwidth: then its small image takes as long as a large one beside it, and a worker
-   * that has the image will have room before.
+   * Whether a task may be placed on a worker that would fetch its image while it is fetching
+   * another one. Usually it may not: the fetches would share the bandwidth, so that both tasks
+   * start only when the later one would have started anyway. A latency-sensitive task may, unless
+   * concurrent downloads were observed to share the bandwidth: its small image would then take as
+   * long as the large one, and a worker that has the image will have room earlier.
    */
-  boolean acceptsConcurrentFetch(WaitingTasks tasks, long nowMs) {
+  boolean mayFetchConcurrently(WaitingTasks tasks, long nowMs) {
     return context.isLatencySensitive(tasks.range().spec())
-        && (!downloads.shared() || usedSlackShare(tasks, nowMs) > SHARES_BANDWIDTH_AT);
+        && (!downloads.shared() || usedSlackShare(tasks, nowMs) > CONCURRENT_FETCH_SLACK_SHARE);
   }
 
-  /** Whether a task has waited for so much of its slack that any worker with room will do. */
-  boolean isPlacedAnywhere(WaitingTasks tasks, long nowMs) {
+  /**
+   * Whether a task may be placed on any worker with room, because it is latency-sensitive or has
+   * waited for most of its slack.
+   */
+  boolean mayBePlacedAnywhere(WaitingTasks tasks, long nowMs) {
     return context.isLatencySensitive(tasks.range().spec())
-        || usedSlackShare(tasks, nowMs) > PLACED_ANYWHERE_AT;
+        || usedSlackShare(tasks, nowMs) > PLACE_ANYWHERE_SLACK_SHARE;
   }
 
-  /** The share of its slack that a task has waited for. */
+  /** Returns the share of its slack for which a task has waited. */
   private double usedSlackShare(WaitingTasks tasks, long nowMs) {
     JobSpec spec = tasks.range().spec();
     double fetchS = context.fetchS(spec);
@@ -72,20 +84,21 @@
   }
 
   /**
-   * Whether tasks of a range wait for workers that have their image: those get through everything
-   * that waits for the image before another worker would have fetched it.
+   * Whether the tasks of a range must wait for workers that have their image. They must if these
+   * workers are expected to get through everything that waits for the image before a fetch by
+   * another worker would pay off.
    */
-  boolean waitsForImage(TaskRange range, PlacementPass pass) {
-    Boolean decided = pass.waitsForImage(range);
+  boolean mustWaitForImage(TaskRange range, PlacementPass pass) {
+    Boolean decided = pass.mustWaitForImage(range);
     if (decided != null) {
       return decided;
     }
-    boolean waits = decideWaitsForImage(range, pass);
-    pass.setWaitsForImage(range, waits);
-    return waits;
+    boolean mustWait = decideMustWaitForImage(range, pass);
+    pass.setMustWaitForImage(range, mustWait);
+    return mustWait;
   }
 
-  private boolean decideWaitsForImage(TaskRange range, PlacementPass pass) {
+  private boolean decideMustWaitForImage(TaskRange range, PlacementPass pass) {
     JobSpec spec = range.spec();
     if (context.isLatencySensitive(spec)) {
       return false;
@@ -116,7 +129,10 @@
     return Math.max(waitS, Math.min(slackS * WAIT_SLACK_SHARE, fetchS * MAX_WAIT_FETCHES));
   }
 
-  /** How many tasks of a job fit a worker once its tasks of the same image have ended. */
+  /**
+   * Returns how many tasks of a job fit on a worker once the worker's tasks that use the same image
+   * have ended.
+   */
   private static double slotsFor(Worker worker, MachineType type, JobSpec spec) {
     double otherCpus = 0;
     for (TaskAttempt task : worker.attempts()) {
@@ -124,10 +140,10 @@
         otherCpus += task.cpus();
       }
     }
-    int all = type.tasksPerMachine(spec);
+    int maxSlots = type.tasksPerMachine(spec);
     return spec.cpus() > 0
-        ? Math.min(all, Math.floor((type.cpus() - otherCpus) / spec.cpus()))
-        : all;
+        ? Math.min(maxSlots, Math.floor((type.cpus() - otherCpus) / spec.cpus()))
+        : maxSlots;
   }
 
   private static boolean usesImage(TaskAttempt task, String image) {
--- a/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
@@ -6,7 +6,7 @@
 import org.fieldtrestle.worker.TaskRange;
 import org.fieldtrestle.worker.Worker;
 
-/** The constraints on where a task may run, apart from free resources. */
+/** The constraints on where a task may be placed, apart from free resources. */
 final class PlacementConstraints {
   private final FailureTracker failures;
 
@@ -15,8 +15,9 @@
   }
 
   /**
-   * Whether a task of a range may be placed on a worker by machine type, spot use, zone and earlier
-   * failures. A worker that still holds an attempt of the same task is not allowed.
+   * Whether the worker's machine type, market (spot or ordinary) and zone and the earlier failures
+   * allow a task of a range to be placed on it. A worker that still holds an attempt of the same
+   * task is not allowed.
    */
   boolean allow(TaskRange range, int offset, Worker worker) {
     JobSpec spec = range.spec();
@@ -27,7 +28,10 @@
         && !failures.avoids(range, worker);
   }
 
-  /** Whether some job is kept from a worker by a failure, so that it differs from its kind. */
+  /**
+   * Whether any job avoids a worker because of a failure, so that the worker is not equivalent to
+   * others of its machine type and zone.
+   */
   boolean isAvoidedByAnyJob(Worker worker) {
     return failures.avoidsAny(worker);
   }
--- a/src/main/java/org/fieldtrestle/scheduling/PlacementPass.java
+++ b/src/main/java/org/fieldtrestle/scheduling/PlacementPass.java
@@ -8,27 +8,34 @@
 import org.fieldtrestle.worker.FreeResources;
 import org.fieldtrestle.worker.TaskRange;
 
-/** The state of one placement pass: the workers with free resources and the work that waits. */
+/** The state of one placement pass: the workers with free resources and the waiting work. */
 final class PlacementPass {
   private final long nowMs;
   private final double reservedCpus;
 
-  /** Free resources of the workers that have room for the smallest waiting task. */
+  /**
+   * Free resources of the workers that have at least the smallest amount of each resource that a
+   * waiting task asks for.
+   */
   private final List<FreeResources> candidates = new ArrayList<>();
 
-  /** Seconds of run time that wait, by image. */
+  /** Estimated run time of the waiting tasks in seconds, by image. */
   private final Map<String, Double> waitingWorkS = new HashMap<>();
 
-  /** Whether tasks of a range wait for a worker that has their image; decided once in a pass. */
-  private final Map<TaskRange, Boolean> waitsForImage = new HashMap<>();
+  /**
+   * Whether the tasks of a range must wait for a worker that has their image; decided once per
+   * pass.
+   */
+  private final Map<TaskRange, Boolean> mustWaitForImage = new HashMap<>();
 
   private double freeCpus;
   private double totalCpus;
 
   /**
-   * Begins a pass.
+   * Creates the state at the start of a pass.
    *
-   * @param workers the free resources of all workers that may be given tasks
+   * @param groups the groups of waiting tasks that may be placed
+   * @param workers the free resources of all workers on which tasks may be placed
    * @param reservedCpus CPUs that are reserved for latency-sensitive jobs
    */
   PlacementPass(
@@ -57,48 +64,53 @@
     }
   }
 
-  /** The time of the pass in ms. */
+  /** Returns the time of the pass in milliseconds. */
   long nowMs() {
     return nowMs;
   }
 
-  /** Free resources of the workers that may take a task. */
+  /** Returns the free resources of the workers that may have room for a waiting task. */
   List<FreeResources> candidates() {
     return candidates;
   }
 
-  /** CPUs that are reserved for latency-sensitive jobs during this pass. */
+  /** Returns the CPUs that are reserved for latency-sensitive jobs during this pass. */
   double reservedCpus() {
     return reservedCpus;
   }
 
-  /** CPUs that are free on all workers. */
+  /** Returns the number of free CPUs of all workers together. */
   double freeCpus() {
     return freeCpus;
   }
 
-  /** Whether no worker runs anything. */
+  /** Whether no CPU of any worker is in use. */
   boolean isIdle() {
     return freeCpus >= totalCpus - 1e-6;
   }
 
-  /** Seconds of run time of the waiting tasks that use an image. */
+  /** Returns the estimated run time in seconds of all waiting tasks that use an image. */
   double waitingWorkS(String image) {
     return waitingWorkS.getOrDefault(image, 0.0);
   }
 
-  /** What was decided in this pass on whether a range waits for its image; null if nothing was. */
-  Boolean waitsForImage(TaskRange range) {
-    return waitsForImage.get(range);
+  /**
+   * Returns whether the tasks of a range must wait for a worker that has their image, or {@code
+   * null} if this pass has not decided that yet.
+   */
+  Boolean mustWaitForImage(TaskRange range) {
+    return mustWaitForImage.get(range);
   }
 
-  /** Keeps a decision on whether tasks of a range wait for a worker that has their image. */
-  void setWaitsForImage(TaskRange range, boolean waits) {
-    waitsForImage.put(range, waits);
+  /**
+   * Stores the decision whether the tasks of a range must wait for a worker that has their image.
+   */
+  void setMustWaitForImage(TaskRange range, boolean mustWait) {
+    mustWaitForImage.put(range, mustWait);
   }
 
-  /** Accounts for a task of a job that was placed. */
-  void placed(FreeResources worker, JobSpec spec) {
+  /** Subtracts the resources and the work of a task that was placed on a worker. */
+  void recordPlacement(FreeResources worker, JobSpec spec) {
     freeCpus -= Math.min(worker.cpus(), spec.cpus());
     worker.take(spec);
     waitingWorkS.merge(spec.image(), -spec.estimateS(), Double::sum);
--- a/src/main/java/org/fieldtrestle/scheduling/PreemptionDemand.java
+++ b/src/main/java/org/fieldtrestle/scheduling/PreemptionDemand.java
@@ -7,16 +7,18 @@
 import java.util.Map;
 
 /**
- * How many waiting tasks still need room to be freed for them. Room that stopping tasks are about
- * to leave is subtracted, highest priority and score first, so that no more is preempted than
- * needed.
+ * Counts the waiting tasks for which resources still have to be freed. Tasks that fit into
+ * resources which stopping tasks are about to release are subtracted, highest priority and score
+ * first, so that no more tasks are preempted than necessary.
  */
 final class PreemptionDemand {
-  /** Least CPUs by which a task is counted, as tasks may ask for none. */
-  private static final double MIN_CPUS = 0.1;
+  /** Minimum number of CPUs that a task is counted with, as a task may ask for none. */
+  private static final double MIN_CPUS_PER_TASK = 0.1;
 
-  /** Tasks without room by group, in the order in which freed room is used. */
-  private final Map<QueuedGroup<WaitingTasks>, Integer> unmet = new LinkedHashMap<>();
+  /**
+   * Number of tasks without room by group, in the order in which the groups use freed resources.
+   */
+  private final Map<QueuedGroup<WaitingTasks>, Integer> unmetTasks = new LinkedHashMap<>();
 
   PreemptionDemand(List<QueuedGroup<WaitingTasks>> unplaced) {
     List<QueuedGroup<WaitingTasks>> ordered = new ArrayList<>(unplaced);
@@ -25,37 +27,38 @@
             .thenComparing(
                 Comparator.comparingDouble(QueuedGroup<WaitingTasks>::score).reversed()));
     for (QueuedGroup<WaitingTasks> group : ordered) {
-      unmet.put(group, group.count());
+      unmetTasks.put(group, group.count());
     }
   }
 
-  /** Whether tasks of a group still need room. */
+  /** Whether resources still have to be freed for tasks of a group. */
   boolean isUnmet(QueuedGroup<WaitingTasks> group) {
-    return unmet.get(group) > 0;
+    return unmetTasks.get(group) > 0;
   }
 
-  /** Subtracts what fits into CPUs that a stopping task is about to leave. */
+  /** Subtracts the tasks that fit into the CPUs that a stopping task is about to release. */
   void subtractStopping(double cpus) {
-    double left = cpus;
-    for (Map.Entry<QueuedGroup<WaitingTasks>, Integer> entry : unmet.entrySet()) {
-      if (left < MIN_CPUS) {
+    double remaining = cpus;
+    for (Map.Entry<QueuedGroup<WaitingTasks>, Integer> entry : unmetTasks.entrySet()) {
+      if (remaining < MIN_CPUS_PER_TASK) {
         return;
       }
       double cpusPerTask = cpusPerTask(entry.getKey());
-      int met = (int) Math.min(entry.getValue(), Math.floor(left / cpusPerTask + 1e-6));
+      int met = (int) Math.min(entry.getValue(), Math.floor(remaining / cpusPerTask + 1e-6));
       entry.setValue(entry.getValue() - met);
-      left -= met * cpusPerTask;
+      remaining -= met * cpusPerTask;
     }
   }
 
-  /** Subtracts what fits into CPUs that were freed for a group by preemption. */
+  /** Subtracts the tasks of a group that fit into the CPUs freed for it by preemption. */
   void subtractPreempted(QueuedGroup<WaitingTasks> group, double freedCpus) {
-    // At least one task, or the next worker would be preempted for the same task again.
+    // Subtracts at least one task; otherwise tasks of the next worker would be preempted for the
+    // same task again.
     int met = Math.max(1, (int) Math.floor(freedCpus / cpusPerTask(group)));
-    unmet.merge(group, -met, (left, change) -> Math.max(0, left + change));
+    unmetTasks.merge(group, -met, (remaining, change) -> Math.max(0, remaining + change));
   }
 
   private static double cpusPerTask(QueuedGroup<WaitingTasks> group) {
-    return Math.max(MIN_CPUS, group.tasks().range().record().cpus());
+    return Math.max(MIN_CPUS_PER_TASK, group.tasks().range().record().cpus());
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -14,18 +14,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Preempts running tasks for waiting ones that fit nowhere, one worker at a time. */
+/**
+ * Preempts running tasks in favour of waiting tasks that fit on no worker. Tasks are preempted on
+ * one worker after another.
+ */
 final class Preemptor {
   private static final Logger LOG = LoggerFactory.getLogger(Preemptor.class);
 
-  /** Time between two runs, in heartbeat intervals. */
-  private static final double RUN_HEARTBEATS = 0.2;
+  /** Minimum time between two runs, in heartbeat intervals. */
+  private static final double MIN_RUN_INTERVAL_HEARTBEATS = 0.2;
 
-  /** How long freed room is kept for the range that it was freed for, in heartbeat intervals. */
+  /**
+   * How long the resources freed by preemption are kept for the range that they were freed for, in
+   * heartbeat intervals.
+   */
   private static final double CLAIM_HEARTBEATS = 2;
 
   private final ControllerContext context;
-  private final SelectivePreemption falcon;
+  private final SelectivePreemption selectivePreemption;
   private final WorkerRegistry workers;
   private final QuotaShares quotaShares;
   private final GuaranteedShares guaranteedShares;
@@ -36,24 +42,28 @@
 
   Preemptor(
       ControllerContext context,
-      SelectivePreemption falcon,
+      SelectivePreemption selectivePreemption,
       WorkerRegistry workers,
       QuotaShares quotaShares,
       PlacementConstraints constraints,
       TaskPlacer.PlacementExecutor executor) {
     this.context = context;
-    this.falcon = falcon;
+    this.selectivePreemption = selectivePreemption;
     this.workers = workers;
     this.quotaShares = quotaShares;
     this.constraints = constraints;
     this.executor = executor;
     this.guaranteedShares = new GuaranteedShares(context, workers);
-    this.victimSelector = new VictimSelector(falcon, guaranteedShares);
+    this.victimSelector = new VictimSelector(selectivePreemption, guaranteedShares);
   }
 
-  /** Preempts for groups that found no room; does nothing if the last run was just before. */
+  /**
+   * Preempts running tasks for the groups that could not be placed. Does nothing if the previous
+   * run was too recent.
+   */
   void preempt(List<QueuedGroup<WaitingTasks>> unplaced, long nowMs) {
-    if (unplaced.isEmpty() || nowMs - lastRunMs < context.heartbeatIntervalsMs(RUN_HEARTBEATS)) {
+    if (unplaced.isEmpty()
+        || nowMs - lastRunMs < context.heartbeatIntervalsMs(MIN_RUN_INTERVAL_HEARTBEATS)) {
       return;
     }
     lastRunMs = nowMs;
@@ -62,7 +72,7 @@
     }
     PreemptionDemand demand = new PreemptionDemand(unplaced);
     subtractStoppingTasks(demand, nowMs);
-    Map<String, List<QueuedGroup<WaitingTasks>>> eligibleByKind = new HashMap<>();
+    Map<String, List<QueuedGroup<WaitingTasks>>> eligibleByWorkerKind = new HashMap<>();
     for (Worker worker : workers.all()) {
       MachineType type = context.type(worker.machineType());
       if (type == null
@@ -74,12 +84,12 @@
       List<QueuedGroup<WaitingTasks>> eligible =
           constraints.isAvoidedByAnyJob(worker)
               ? eligibleOn(worker, type, unplaced, nowMs)
-              : eligibleByKind.computeIfAbsent(
+              : eligibleByWorkerKind.computeIfAbsent(
                   worker.machineType() + "/" + worker.zone() + "/" + worker.isSpot(),
                   kind -> eligibleOn(worker, type, unplaced, nowMs));
-      List<QueuedGroup<WaitingTasks>> ready = unmetOn(worker, eligible, demand);
-      if (!ready.isEmpty()) {
-        preemptOn(worker, type, falcon.draw(ready), demand, nowMs);
+      List<QueuedGroup<WaitingTasks>> unmetGroups = unmetGroupsOn(worker, eligible, demand);
+      if (!unmetGroups.isEmpty()) {
+        preemptOn(worker, type, selectivePreemption.draw(unmetGroups), demand, nowMs);
       }
     }
   }
@@ -93,7 +103,7 @@
     return false;
   }
 
-  /** Whether tasks have waited long enough to preempt others. */
+  /** Whether waiting tasks have waited long enough to preempt running ones. */
   private boolean mayPreempt(WaitingTasks tasks, long nowMs) {
     double waitedS = tasks.waitedS(nowMs);
     JobSpec spec = tasks.range().spec();
@@ -124,8 +134,10 @@
   }
 
   /**
-   * The groups that may preempt on a worker by condition C3. The paper's queue of the worker is all
-   * that waits and may run there, which is the same for all workers of a kind.
+   * Returns the groups that may preempt on a worker: those that fulfil condition C3 of the Falcon
+   * paper and have waited long enough. The queue of a worker, in the sense of the paper, consists
+   * of all waiting tasks that may run on it. It is the same for all workers of one kind, that is,
+   * of the same machine type and zone, and either spot or ordinary.
    */
   private List<QueuedGroup<WaitingTasks>> eligibleOn(
       Worker worker, MachineType type, List<QueuedGroup<WaitingTasks>> unplaced, long nowMs) {
@@ -141,7 +153,8 @@
       }
     }
     List<QueuedGroup<WaitingTasks>> eligible = new ArrayList<>();
-    for (QueuedGroup<WaitingTasks> group : falcon.fulfillingRankCondition(queue)) {
+    for (QueuedGroup<WaitingTasks> group :
+        selectivePreemption.groupsFulfillingRankCondition(queue)) {
       if (mayPreempt(group.tasks(), nowMs)) {
         eligible.add(group);
       }
@@ -149,7 +162,7 @@
     return eligible;
   }
 
-  private List<QueuedGroup<WaitingTasks>> unmetOn(
+  private List<QueuedGroup<WaitingTasks>> unmetGroupsOn(
       Worker worker, List<QueuedGroup<WaitingTasks>> eligible, PreemptionDemand demand) {
     List<QueuedGroup<WaitingTasks>> unmet = new ArrayList<>();
     for (QueuedGroup<WaitingTasks> group : eligible) {
@@ -161,7 +174,9 @@
     return unmet;
   }
 
-  /** Makes room for one task of a group on a worker, if enough can be freed. */
+  /**
+   * Stops tasks of a worker to make room for one task of a group, if enough resources can be freed.
+   */
   private void preemptOn(
       Worker worker,
       MachineType type,
@@ -181,7 +196,11 @@
   }
 
   private void stop(TaskAttempt victim, JobSpec preemptedBy) {
-    LOG.debug("task {} preempted by {} ({})", victim, preemptedBy.id(), preemptedBy.priority());
+    LOG.debug(
+        "preempting task {} for job {} of priority {}",
+        victim,
+        preemptedBy.id(),
+        preemptedBy.priority());
     context.metrics().countEvicted();
     JobSpec spec = victim.range().spec();
     executor.stop(victim, spec.hasCheckpoints() ? spec.saveS() : 0);
--- a/src/main/java/org/fieldtrestle/scheduling/QueuedGroup.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QueuedGroup.java
@@ -3,11 +3,11 @@
 import org.fieldtrestle.protocol.Priority;
 
 /**
- * Waiting tasks that have the same priority and the same score, so that they are ranked together.
+ * A group of waiting tasks that have the same priority and score and are therefore ranked together.
  *
- * @param tasks the tasks that the group stands for
- * @param priority the priority that the draw uses
- * @param score the tasks' score by {@link SelectivePreemption#score}
- * @param count how many tasks wait
+ * @param tasks the tasks of the group
+ * @param priority the priority by which the tasks are drawn
+ * @param score the score of the tasks, computed by {@link SelectivePreemption#score}
+ * @param count the number of waiting tasks
  */
 public record QueuedGroup<T>(T tasks, Priority priority, double score, int count) {}
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -26,31 +26,38 @@
 import org.fieldtrestle.worker.WorkerRegistry;
 
 /**
- * This shard's shares of the teams' quotas. A share grows by compare-and-swap out of what no other
- * shard has, and shrinks no further than what the shard's tasks may be using.
+ * Manages this shard's shares of the teams' quotas. A share grows by a compare-and-swap, up to the
+ * part of the quota that no other shard holds, and never shrinks below what the shard's tasks may
+ * be using.
  */
 public final class QuotaShares {
-  /** Tolerance for rounding in sums of resources. */
-  private static final double ROUNDING = 1e-6;
+  /** Tolerance for rounding errors in sums of resources. */
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
-  /** Resources of a machine of unknown type: more than any quota, though a few can be added. */
-  private static final double UNKNOWN_MACHINE = Double.MAX_VALUE / 4;
+  /**
+   * CPUs or GPUs that a machine of unknown type counts with: more than any quota, yet small enough
+   * that a few of them can be added without overflow.
+   */
+  private static final double UNKNOWN_MACHINE_RESOURCES = Double.MAX_VALUE / 4;
 
-  /** How long a share is larger than needed before it shrinks, in heartbeat intervals. */
+  /** How long a share has to be larger than needed before it shrinks, in heartbeat intervals. */
   private static final double SHRINK_AFTER_HEARTBEATS = 2;
 
-  /** Watch intervals after a failed write, or one of unknown outcome, before the next. */
+  /** Watch intervals between a write that failed or has an unknown outcome and the next write. */
   private static final int RETRY_WATCH_INTERVALS = 2;
 
-  /** A smaller share that may have been written over a version of the quota's record. */
+  /**
+   * A smaller share that may have been written in place of the given version of the quota record.
+   */
   private record PendingShrink(long version, QuotaAmount share) {}
 
   /**
-   * What a team's tasks on this shard need.
+   * What the tasks of a team on this shard need.
    *
-   * @param used what its tasks may be using now
-   * @param total what its tasks use and wait for
-   * @param smallestTask the least that a waiting task asks for, each resource by itself
+   * @param used what the team's tasks may be using now
+   * @param total what the team's tasks may be using and what its waiting tasks ask for
+   * @param smallestTask the smallest amount that a waiting task asks for, for each resource
+   *     separately
    */
   private record Demand(QuotaAmount used, QuotaAmount total, QuotaAmount smallestTask) {}
 
@@ -59,12 +66,12 @@
   private final TaskRanges ranges;
   private final ControllerContext context;
   private final Map<String, PendingShrink> pendingShrinks = new HashMap<>();
-  private final Set<String> writing = new HashSet<>();
+  private final Set<String> teamsBeingWritten = new HashSet<>();
 
-  /** Since when a team's share could shrink, in ms. */
-  private final Map<String, Long> shrinkableSince = new HashMap<>();
+  /** Since when the share of a team has been larger than needed, in milliseconds. */
+  private final Map<String, Long> shrinkableSinceMs = new HashMap<>();
 
-  /** Sets up the shares of a shard; nothing is written before the first {@link #tick}. */
+  /** Creates the shares of a shard. Nothing is written before the first {@link #tick}. */
   public QuotaShares(
       ControllerContext context, LeadershipTerm term, WorkerRegistry workers, TaskRanges ranges) {
     this.context = context;
@@ -77,12 +84,12 @@
     return team.cpusMax() > 0 || team.gpusMax() > 0;
   }
 
-  /** Whether the quota allows one more task of a job. */
+  /** Whether the quota share allows one more task of a job. */
   boolean allows(JobSpec spec) {
     return allows(spec, 1);
   }
 
-  /** Whether the quota allows so many more tasks of a job. */
+  /** Whether the quota share allows the given number of further tasks of a job. */
   boolean allows(JobSpec spec, int tasks) {
     Settings.Team team = context.settings().team(spec.team());
     if (team == null) {
@@ -93,11 +100,16 @@
     }
     QuotaAmount share = share(team.name());
     QuotaAmount used = used(team.name());
-    return (team.cpusMax() <= 0 || used.cpus() + spec.cpus() * tasks <= share.cpus() + ROUNDING)
-        && (team.gpusMax() <= 0 || used.gpus() + spec.gpus() * tasks <= share.gpus() + ROUNDING);
+    return (team.cpusMax() <= 0
+            || used.cpus() + spec.cpus() * tasks <= share.cpus() + ROUNDING_TOLERANCE)
+        && (team.gpusMax() <= 0
+            || used.gpus() + spec.gpus() * tasks <= share.gpus() + ROUNDING_TOLERANCE);
   }
 
-  /** The share that may be used: the smaller one while it is not known whether it was written. */
+  /**
+   * Returns the share that may be used. While it is not known whether a smaller share was written,
+   * the smaller one applies.
+   */
   private QuotaAmount share(String team) {
     Versioned<QuotaRecord> stored = context.stateCache().quota(team);
     if (stored == null) {
@@ -113,23 +125,26 @@
     return share;
   }
 
-  /** What the team may be using here; all of a machine that has not reported in this term. */
+  /**
+   * Returns what the team's tasks may be using on this shard. A machine that has not reported in
+   * this term counts with all its resources.
+   */
   private QuotaAmount used(String team) {
     TeamUsage usage = workers.usage();
     double cpus = usage.cpus(team);
     double gpus = usage.gpus(team);
     for (Worker worker : workers.unreconciled()) {
       MachineType type = context.type(worker.machineType());
-      cpus += type == null ? UNKNOWN_MACHINE : type.cpus();
-      gpus += type == null ? UNKNOWN_MACHINE : type.gpus();
+      cpus += type == null ? UNKNOWN_MACHINE_RESOURCES : type.cpus();
+      gpus += type == null ? UNKNOWN_MACHINE_RESOURCES : type.gpus();
     }
     return new QuotaAmount(cpus, gpus);
   }
 
-  /** Grows and shrinks the shares as needed; at most one write of a team is in flight. */
+  /** Grows and shrinks the shares as needed. At most one write per team is in flight. */
   public void tick() {
     for (Settings.Team team : context.settings().teams()) {
-      if (isLimited(team) && !writing.contains(team.name())) {
+      if (isLimited(team) && !teamsBeingWritten.contains(team.name())) {
         adjust(team);
       }
     }
@@ -144,39 +159,43 @@
     Map<String, QuotaAmount> shares =
         stored == null ? new TreeMap<>() : new TreeMap<>(stored.record().shares());
     QuotaAmount share = shares.getOrDefault(term.shard(), QuotaAmount.NONE);
-    QuotaAmount wanted = wantedShare(team, shares, share);
+    QuotaAmount target = targetShare(team, shares, share);
     boolean grows =
-        wanted.cpus() > share.cpus() + ROUNDING || wanted.gpus() > share.gpus() + ROUNDING;
+        target.cpus() > share.cpus() + ROUNDING_TOLERANCE
+            || target.gpus() > share.gpus() + ROUNDING_TOLERANCE;
     boolean shrinks =
-        wanted.cpus() < share.cpus() - ROUNDING || wanted.gpus() < share.gpus() - ROUNDING;
-    // A shrink of unknown outcome limits this shard until the record has a newer version, which
-    // any write gives it.
+        target.cpus() < share.cpus() - ROUNDING_TOLERANCE
+            || target.gpus() < share.gpus() - ROUNDING_TOLERANCE;
+    // A smaller share of which it is not known whether it was written limits this shard until the
+    // record has a newer version. As any write gives it one, the share is written again at once.
     PendingShrink pending = pendingShrinks.get(team.name());
     boolean writeNow = grows || (pending != null && pending.version() == version);
     if (!isDue(team.name(), writeNow, shrinks)) {
       return;
     }
-    shares.put(term.shard(), wanted);
+    shares.put(term.shard(), target);
     if (stored != null && shrinks) {
-      pendingShrinks.put(team.name(), new PendingShrink(version, wanted));
+      pendingShrinks.put(team.name(), new PendingShrink(version, target));
     }
     write(team.name(), version, new QuotaRecord(shares));
   }
 
-  /** Whether a share is written: at once where it grows, and after some time where it shrinks. */
+  /**
+   * Whether a share is to be written now: a larger share at once, a smaller one after some time.
+   */
   private boolean isDue(String team, boolean writeNow, boolean shrinks) {
     if (!writeNow && shrinks) {
       long nowMs = context.now();
-      long sinceMs = shrinkableSince.computeIfAbsent(team, t -> nowMs);
+      long sinceMs = shrinkableSinceMs.computeIfAbsent(team, t -> nowMs);
       if (nowMs - sinceMs < context.heartbeatIntervalsMs(SHRINK_AFTER_HEARTBEATS)) {
         return false;
       }
     }
-    shrinkableSince.remove(team);
+    shrinkableSinceMs.remove(team);
     return writeNow || shrinks;
   }
 
-  private QuotaAmount wantedShare(
+  private QuotaAmount targetShare(
       Settings.Team team, Map<String, QuotaAmount> shares, QuotaAmount share) {
     double cpusOfOthers = 0;
     double gpusOfOthers = 0;
@@ -188,14 +207,14 @@
     }
     Demand demand = demand(team.name());
     return new QuotaAmount(
-        wantedShare(
+        targetShare(
             team.cpusMax(),
             cpusOfOthers,
             demand.used().cpus(),
             demand.total().cpus(),
             demand.smallestTask().cpus(),
             share.cpus()),
-        wantedShare(
+        targetShare(
             team.gpusMax(),
             gpusOfOthers,
             demand.used().gpus(),
@@ -205,33 +224,35 @@
   }
 
   /**
-   * The share of one resource that this shard should have.
+   * Returns the share of one resource that this shard should have.
    *
    * @param limit the team's limit
-   * @param ofOthers the sum of all other shards' shares
-   * @param used what the team may be using here
-   * @param needed what it uses and waits for here
-   * @param smallestTask the least that a waiting task asks for
-   * @param current the share as it is
+   * @param sharesOfOthers the sum of the shares of all other shards
+   * @param used what the team's tasks may be using on this shard
+   * @param needed {@code used} and what the team's waiting tasks on this shard ask for
+   * @param smallestTask the smallest amount that a waiting task asks for
+   * @param current the present share
    */
-  private double wantedShare(
+  private double targetShare(
       double limit,
-      double ofOthers,
+      double sharesOfOthers,
       double used,
       double needed,
       double smallestTask,
       double current) {
-    double available = Math.max(0, limit - ofOthers);
-    // Half of an even part is kept even when idle, so that new work need not wait for a write;
-    // but not where others have nearly all the rest, as they may lack it.
+    double available = Math.max(0, limit - sharesOfOthers);
+    // A shard keeps half of an equal part of the quota even when it is idle, so that new work does
+    // not have to wait for a write. It keeps none if the other shards hold nearly all of the quota,
+    // as they may need more.
     double idleShare = limit / shardCount() / 2;
-    double wanted =
+    double target =
         Math.min(Math.max(needed, available < 2 * idleShare ? 0 : idleShare), available);
-    if (wanted < needed && wanted - used < smallestTask - ROUNDING) {
-      // Too little for any task that waits here, but several such rests are enough for one.
-      wanted = Math.min(used, available);
+    if (target < needed && target - used < smallestTask - ROUNDING_TOLERANCE) {
+      // What could be added is too little for any task that waits here, but several such remainders
+      // together are enough for a task on another shard.
+      target = Math.min(used, available);
     }
-    return Math.max(wanted, Math.min(current, used));
+    return Math.max(target, Math.min(current, used));
   }
 
   private double shardCount() {
@@ -262,7 +283,7 @@
     List<KeyValueProtocol.Condition> conditions =
         List.of(new KeyValueProtocol.Condition(key, version), term.guard());
     List<KeyValueProtocol.Change> changes = List.of(StateChanges.put(key, quota));
-    writing.add(team);
+    teamsBeingWritten.add(team);
     context
         .store()
         .commit(
@@ -273,7 +294,7 @@
                 context.stateCache().applyCommit(changes, committed.revision());
                 pauseMs = 0;
               }
-              context.reactor().schedule(pauseMs, () -> writing.remove(team));
+              context.reactor().schedule(pauseMs, () -> teamsBeingWritten.remove(team));
             });
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -20,42 +20,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reassigns waiting tasks to a shard that has room, or where less waits for each CPU. Only tasks
- * that no worker may have are reassigned, as the tail of a range that becomes a range of its own.
- * Tasks that were lost are among them: where the cloud has no more machines, they would otherwise
- * wait here for ever.
+ * Reassigns waiting tasks to a shard that has room for them or less waiting work per CPU. Only
+ * tasks that no worker can hold are reassigned: the tail of a range, which becomes a range of its
+ * own. Lost tasks are reassigned too, as they would otherwise wait here forever if the cloud has no
+ * more machines.
  */
 public final class RangeReassignment {
   private static final Logger LOG = LoggerFactory.getLogger(RangeReassignment.class);
 
-  /** Time between two reassignments, in heartbeat intervals. */
-  private static final double PAUSE_HEARTBEATS = 0.2;
+  /** Minimum time between two reassignments, in heartbeat intervals. */
+  private static final double MIN_INTERVAL_HEARTBEATS = 0.2;
 
   /**
-   * Where neither shard has room, tasks move if the waiting work per CPU here exceeds that of the
-   * other shard by this factor and {@link #MIN_PRESSURE_DIFFERENCE}.
+   * If neither shard has room, tasks are reassigned when the waiting work per CPU of this shard
+   * exceeds that of the other shard times this factor by more than {@link
+   * #MIN_WAITING_PER_CPU_DIFFERENCE}.
    */
-  private static final double MIN_PRESSURE_RATIO = 1.5;
+  private static final double MIN_WAITING_PER_CPU_RATIO = 1.5;
 
-  private static final double MIN_PRESSURE_DIFFERENCE = 0.25;
+  private static final double MIN_WAITING_PER_CPU_DIFFERENCE = 0.25;
 
-  /** Least CPUs by which a task is counted, as tasks may ask for none. */
-  private static final double MIN_CPUS = 0.1;
+  /** Minimum number of CPUs that a task is counted with, as a task may ask for none. */
+  private static final double MIN_CPUS_PER_TASK = 0.1;
 
   /**
-   * Operations of the transaction that ends a job, beside those of its present ranges: the range
-   * that is split off is one of them.
+   * Operations of the transaction that ends a job, apart from those for its present ranges. The
+   * range that is split off takes one of them.
    */
-  private static final int OTHER_OPERATIONS = 4;
+  private static final int OTHER_JOB_END_OPERATIONS = 4;
 
   private final LeadershipTerm term;
   private final WorkerRegistry workers;
   private final TaskRanges ranges;
   private final ControllerContext context;
   private boolean writing;
-  private long nextAtMs;
+  private long notBeforeMs;
 
-  /** Sets up reassignment for a shard. */
+  /** Creates the reassignment of tasks of a shard. */
   public RangeReassignment(
       ControllerContext context, LeadershipTerm term, WorkerRegistry workers, TaskRanges ranges) {
     this.context = context;
@@ -64,9 +65,9 @@
     this.ranges = ranges;
   }
 
-  /** Reassigns tasks of one range at most; only one write is in flight at a time. */
+  /** Reassigns tasks of at most one range. Only one write is in flight at a time. */
   public void tick(long nowMs) {
-    if (writing || nowMs < nextAtMs || context.store().isCongested()) {
+    if (writing || nowMs < notBeforeMs || context.store().isCongested()) {
       return;
     }
     double waitingCpus = -1;
@@ -76,20 +77,20 @@
       if (tail == 0) {
         continue;
       }
-      if (waitingCpus < 0) { // summed once, and only if something can move
+      if (waitingCpus < 0) { // computed only once, and only if any task can be reassigned
         waitingCpus = ranges.waitingCpus();
         capacityCpus = workers.capacity();
       }
       if (reassign(range, tail, waitingCpus, capacityCpus)) {
-        nextAtMs = nowMs + context.heartbeatIntervalsMs(PAUSE_HEARTBEATS);
+        notBeforeMs = nowMs + context.heartbeatIntervalsMs(MIN_INTERVAL_HEARTBEATS);
         return;
       }
     }
   }
 
   /**
-   * How many tasks at the end of the range no worker may have. A task that has failed stays, as the
-   * failures are only known here.
+   * Returns how many tasks at the end of a range can be reassigned because no worker can hold them.
+   * A task that has failed stays on this shard, as only this shard knows of its failures.
    */
   private int movableTail(TaskRange range) {
     if (range.spec() == null
@@ -97,7 +98,7 @@
         || range.isWriting()
         || ranges.blocked(range)
         || !range.record().zoneLimits().isEmpty()
-        || context.stateCache().rangesOf(range.key().job()).size() + OTHER_OPERATIONS
+        || context.stateCache().rangesOf(range.key().job()).size() + OTHER_JOB_END_OPERATIONS
             > context.settings().state().txnOps()) {
       return 0;
     }
@@ -136,29 +137,30 @@
 
   private static int tasksToMove(
       TaskRange range, JobSplitter.Candidate target, double waitingCpus, double capacityCpus) {
-    double cpus = Math.max(range.spec().cpus(), MIN_CPUS);
+    double cpus = Math.max(range.spec().cpus(), MIN_CPUS_PER_TASK);
     if (target.freeTasks() > 0 && target.waitingCpus() < cpus) {
       return target.freeTasks();
     }
-    double pressure = waitingCpus / Math.max(1, capacityCpus);
-    if (pressure > MIN_PRESSURE_RATIO * target.pressure() + MIN_PRESSURE_DIFFERENCE) {
-      // What moves leaves both shards with the same waiting work per CPU.
-      double balancedPressure =
+    double waitingPerCpu = waitingCpus / Math.max(1, capacityCpus);
+    if (waitingPerCpu
+        > MIN_WAITING_PER_CPU_RATIO * target.waitingPerCpu() + MIN_WAITING_PER_CPU_DIFFERENCE) {
+      // Both shards then have the same waiting work per CPU.
+      double balancedWaitingPerCpu =
           (waitingCpus + target.waitingCpus()) / Math.max(1, capacityCpus + target.capacityCpus());
-      return (int) ((waitingCpus - balancedPressure * capacityCpus) / cpus);
+      return (int) ((waitingCpus - balancedWaitingPerCpu * capacityCpus) / cpus);
     }
     return 0;
   }
 
-  /** Gives the last {@code count} tasks of a range to another shard. */
+  /** Reassigns the last {@code count} tasks of a range to another shard. */
   private void move(TaskRange range, int count, String shard) {
-    int cut = range.record().to() - count;
+    int firstMoved = range.record().to() - count;
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    addMove(range, cut, shard, conditions, changes);
-    // From here on another shard may own these tasks at any time: they must not be started.
+    addMove(range, firstMoved, shard, conditions, changes);
+    // From now on another shard may own these tasks, so they must not be started here.
     BitSet moving = new BitSet();
-    moving.set(cut - range.record().from(), range.record().size());
+    moving.set(firstMoved - range.record().from(), range.record().size());
     range.reserveForReassignment(moving);
     range.beginWrite();
     writing = true;
@@ -176,10 +178,13 @@
         });
   }
 
-  /** Adds what gives the tasks from {@code cut} on to another shard in its present epoch. */
+  /**
+   * Adds the conditions and changes that reassign the tasks from {@code firstMoved} on to another
+   * shard in its present epoch.
+   */
   private void addMove(
       TaskRange range,
-      int cut,
+      int firstMoved,
       String shard,
       List<KeyValueProtocol.Condition> conditions,
       List<KeyValueProtocol.Change> changes) {
@@ -190,20 +195,20 @@
     conditions.add(new KeyValueProtocol.Condition(rangeKey, range.version()));
     conditions.add(new KeyValueProtocol.Condition(jobKey, context.stateCache().version(jobKey)));
     conditions.add(new KeyValueProtocol.Condition(StateKeys.shard(shard), epoch));
-    if (cut == record.from()) {
+    if (firstMoved == record.from()) {
       changes.add(StateChanges.put(rangeKey, record.ownedBy(shard, epoch)));
       return;
     }
-    RangeRecord kept = record.slice(record.from(), cut);
-    RangeRecord moved = record.slice(cut, record.to()).ownedBy(shard, epoch);
-    String newKey = StateKeys.range(nextKey(range.key().job()));
+    RangeRecord kept = record.slice(record.from(), firstMoved);
+    RangeRecord moved = record.slice(firstMoved, record.to()).ownedBy(shard, epoch);
+    String newKey = StateKeys.range(nextRangeKey(range.key().job()));
     conditions.add(new KeyValueProtocol.Condition(newKey, 0));
     changes.add(StateChanges.put(rangeKey, kept));
     changes.add(StateChanges.put(newKey, moved));
   }
 
-  /** The key of a further range of a job. */
-  private StateKey.RangeKey nextKey(String job) {
+  /** Returns the key of the next range that is added to a job. */
+  private StateKey.RangeKey nextRangeKey(String job) {
     int last = 0;
     for (int index : context.stateCache().rangesOf(job).keySet()) {
       last = Math.max(last, index);
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -7,28 +7,28 @@
 import org.fieldtrestle.worker.WorkerRegistry;
 
 /**
- * Capacity that is kept free of other tasks for latency-sensitive jobs: as many CPUs as one of
- * these jobs usually takes, over all shards together.
+ * Reserves capacity for latency-sensitive jobs, which other tasks may not take: over all shards
+ * together, as many CPUs as one of these jobs usually takes.
  */
 final class ReservedCapacity {
-  /** The largest share of a shard's CPUs that is reserved. */
-  private static final double MAX_SHARE = 0.25;
+  /** Largest share of a shard's CPUs that is reserved. */
+  private static final double MAX_RESERVED_SHARE = 0.25;
 
   /** Weight of the next job in the moving average of job sizes. */
   private static final double JOB_SIZE_WEIGHT = 0.2;
 
   /**
-   * Worker leases for which a range may wait, none of its tasks starting or ending, beside free
-   * resources that are reserved. After that one of its tasks may take reserved resources.
+   * Time in worker leases for which reserved resources may be withheld from a range while none of
+   * its tasks starts or ends. After that, one of its tasks may take reserved resources.
    */
-  private static final double YIELDS_AFTER_LEASES = 2;
+  private static final double MAX_WITHHELD_LEASES = 2;
 
   private final ControllerContext context;
   private final String shard;
   private final WorkerRegistry workers;
   private final PlacementConstraints constraints;
 
-  /** Moving average of the CPUs of a latency-sensitive job; 0 until there was one. */
+  /** Moving average of the CPUs of a latency-sensitive job; 0 until the first one is added. */
   private double latencySensitiveJobCpus;
 
   ReservedCapacity(
@@ -42,7 +42,7 @@
     this.constraints = constraints;
   }
 
-  /** A range has come to this shard. A job is counted with its first range. */
+  /** Called when a task range is added to this shard. A job is counted with its first range. */
   void rangeAdded(TaskRange range) {
     if (range.spec() != null
         && context.isLatencySensitive(range.spec())
@@ -55,19 +55,23 @@
     }
   }
 
-  /** CPUs that this shard reserves: its part by capacity of what all shards reserve together. */
+  /**
+   * Returns the CPUs that this shard reserves. All shards together reserve the usual size of a job,
+   * and each shard reserves a part in proportion to its capacity.
+   */
   double reservedCpus() {
     double capacity = workers.capacity();
-    double part = capacity / Math.max(1, capacity + context.loads().capacityOfOthers(shard));
+    double capacityShare =
+        capacity / Math.max(1, capacity + context.loads().capacityOfOthers(shard));
     return Math.min(
-        latencySensitiveJobCpus * context.operatorSettings().reserve() * part,
-        capacity * MAX_SHARE);
+        latencySensitiveJobCpus * context.operatorSettings().reserve() * capacityShare,
+        capacity * MAX_RESERVED_SHARE);
   }
 
-  /** Whether the free resources are reserved, so that a task of this job may not take them. */
+  /** Whether a task of this job may not take the free resources because they are reserved. */
   boolean isWithheldFrom(JobSpec spec, PlacementPass pass) {
-    // On an idle fleet nothing is withheld: a task larger than what is not reserved would wait
-    // for ever.
+    // On an idle fleet nothing is withheld: a task that needs more than the unreserved resources
+    // would otherwise wait forever.
     return latencySensitiveJobCpus > 0
         && !context.isLatencySensitive(spec)
         && pass.freeCpus() - spec.cpus() < pass.reservedCpus()
@@ -75,12 +79,12 @@
   }
 
   /**
-   * Whether a task of a range may take reserved resources, as the range has made no progress for
-   * too long beside them. Users see free resources, whatever they are reserved for, and expect
-   * nothing to wait beside them for long. A range whose tasks start or end now and then does make
-   * progress.
+   * Whether a task of a range may take reserved resources because the range has made no progress
+   * for too long while they were free. Users see that resources are free but not that they are
+   * reserved, and do not expect a task to wait for long while there are any. A range makes progress
+   * as long as its tasks start or end now and then.
    */
-  boolean yieldsTo(TaskRange range, PlacementPass pass) {
+  boolean mayTakeReserved(TaskRange range, PlacementPass pass) {
     if (!hasRoomFor(range, pass)) {
       range.markNotWithheld();
       return false;
@@ -88,15 +92,15 @@
     if (range.withheldSince() == TaskRange.NOT_WITHHELD) {
       range.markWithheldSince(pass.nowMs());
     }
-    long yieldAfterMs =
+    long maxWithheldMs =
         Math.round(
             Math.min(
-                context.settings().workerLeaseMs() * YIELDS_AFTER_LEASES,
+                context.settings().workerLeaseMs() * MAX_WITHHELD_LEASES,
                 context.shortestBootS() * 1000));
-    return pass.nowMs() - range.withheldSince() > yieldAfterMs;
+    return pass.nowMs() - range.withheldSince() > maxWithheldMs;
   }
 
-  /** Whether some worker has room for a task of the range, reserved or not. */
+  /** Whether any worker has room for a task of the range, reserved or not. */
   private boolean hasRoomFor(TaskRange range, PlacementPass pass) {
     int offset = range.firstWaiting();
     for (FreeResources free : pass.candidates()) {
--- a/src/main/java/org/fieldtrestle/scheduling/RunningTask.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RunningTask.java
@@ -7,11 +7,11 @@
  *
  * @param task the task
  * @param priority the priority of its job
- * @param score its score by {@link SelectivePreemption#score}
- * @param elapsedS seconds since it was placed
- * @param estimateS estimated run time in seconds
- * @param reclaimable whether it runs beyond its team's guaranteed share while the waiting task's
- *     team is below its own
+ * @param score its score, computed by {@link SelectivePreemption#score}
+ * @param elapsedS the time since it was placed, in seconds
+ * @param estimateS its estimated run time in seconds
+ * @param reclaimable whether its team uses more than its guaranteed share while the team of the
+ *     waiting task uses less than its own
  */
 public record RunningTask<T>(
     T task,
--- a/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
+++ b/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
@@ -8,22 +8,22 @@
 import org.fieldtrestle.protocol.Priority;
 
 /**
- * Selective Preemption as in the Falcon paper, section III.C: the score of a task, the order in
- * which waiting tasks are drawn, and the conditions under which one may preempt. It knows neither
- * workers nor messages.
+ * Selective Preemption as described in section III.C of the Falcon paper: the score of a task, the
+ * order in which waiting tasks are drawn, and the conditions under which a waiting task may preempt
+ * a running one. This class depends on neither workers nor messages.
  *
- * <p>One exception to the paper: a job's priority comes before the score, which knows nothing of
- * priorities.
+ * <p>Deviation from the paper: the priority of a job takes precedence over the score, which does
+ * not depend on the priority.
  */
 public final class SelectivePreemption {
   private final OperatorSettings operatorSettings;
   private final RandomGenerator random;
 
   /**
-   * Sets up the calculation.
+   * Creates an instance.
    *
-   * @param operatorSettings weights and thresholds
-   * @param random the source of the draws
+   * @param operatorSettings the weights and thresholds
+   * @param random the random source of the draws
    */
   public SelectivePreemption(OperatorSettings operatorSettings, RandomGenerator random) {
     this.operatorSettings = operatorSettings;
@@ -31,23 +31,27 @@
   }
 
   /**
-   * The score of a task without dependent tasks (equation 3); remaining time has a lower bound.
+   * Returns the score of a task on which no other tasks depend (equation 3 of the paper). The
+   * remaining time has a lower bound.
    *
-   * @param remainingS estimated seconds until the task has finished
-   * @param waitedS seconds that the task has waited
+   * @param remainingS the estimated time in seconds until the task finishes
+   * @param waitedS the time in seconds for which the task has waited
    */
   public double score(double remainingS, double waitedS) {
     return operatorSettings.remainingWeight() / Math.max(operatorSettings.floorS(), remainingS)
         + operatorSettings.waitingWeight() * Math.max(0, waitedS);
   }
 
-  /** Queues groups for drawing one task after the other. Scores must not change meanwhile. */
+  /**
+   * Returns a queue of the groups, from which tasks are drawn one after another. The scores must
+   * not change while the queue is in use.
+   */
   public <T> WaitingQueue<T> queue(List<QueuedGroup<T>> groups) {
     return new WaitingQueue<>(groups, 1 - operatorSettings.delta(), random);
   }
 
   /**
-   * Draws the group whose task goes next, as a {@link WaitingQueue} of the groups would.
+   * Draws the group of the next task, exactly as a {@link WaitingQueue} of these groups would.
    *
    * @param groups at least one group, none of them empty
    */
@@ -72,13 +76,13 @@
   }
 
   /**
-   * The groups whose next task fulfils condition C3 (equation 5): of k waiting tasks it outscores
-   * at least delta * k. Tasks of a lower priority count as outscored, and of tasks with the same
-   * score the earlier one ranks before the later.
+   * Returns the groups whose next task fulfils condition C3 (equation 5 of the paper): it outscores
+   * at least delta * k of the k waiting tasks. Tasks of a lower priority count as outscored, and
+   * within a group the next task counts as outscoring the later ones.
    *
-   * @param waiting all groups that wait for the same worker
+   * @param waiting all groups of tasks that wait for the same worker
    */
-  public <T> List<QueuedGroup<T>> fulfillingRankCondition(List<QueuedGroup<T>> waiting) {
+  public <T> List<QueuedGroup<T>> groupsFulfillingRankCondition(List<QueuedGroup<T>> waiting) {
     List<QueuedGroup<T>> ascending = new ArrayList<>(waiting);
     ascending.sort(
         Comparator.comparing((QueuedGroup<T> group) -> group.priority())
@@ -94,20 +98,23 @@
     int start = 0;
     while (start < ascending.size()) {
       int end = endOfEqualRank(ascending, start);
-      long equal = 0;
+      long equalTasks = 0;
       for (QueuedGroup<T> group : ascending.subList(start, end)) {
-        equal += group.count();
+        equalTasks += group.count();
         if (outscored + group.count() - 1 >= required) {
           fulfilling.add(group);
         }
       }
-      outscored += equal;
+      outscored += equalTasks;
       start = end;
     }
     return fulfilling;
   }
 
-  /** The end (exclusive) of the groups that have the priority and the score of the first one. */
+  /**
+   * Returns the exclusive end of the run of groups, beginning at {@code start}, that have the same
+   * priority and score.
+   */
   private static <T> int endOfEqualRank(List<QueuedGroup<T>> sorted, int start) {
     QueuedGroup<T> first = sorted.get(start);
     int end = start + 1;
@@ -120,16 +127,17 @@
   }
 
   /**
-   * The running tasks that a waiting one may preempt, lowest score first. Condition C1 with a
-   * margin, and two exceptions to the paper: only tasks of a lower priority or reclaimable ones are
-   * preempted, and only those that have run a small share of their estimate.
+   * Returns the running tasks that a waiting task may preempt, lowest score first. The waiting task
+   * has to fulfil condition C1 of the paper with a margin. There are two deviations from the paper:
+   * only tasks that have a lower priority or are reclaimable are preempted, and only tasks that
+   * have run for no more than a small share of their estimated run time.
    */
   public <T, U> List<RunningTask<U>> victims(QueuedGroup<T> waiting, List<RunningTask<U>> running) {
     List<RunningTask<U>> victims = new ArrayList<>();
     for (RunningTask<U> candidate : running) {
       if ((waiting.priority().isHigherThan(candidate.priority()) || candidate.reclaimable())
           && waiting.score() > candidate.score() + operatorSettings.margin()
-          && hasRunLittle(candidate.elapsedS(), candidate.estimateS())) {
+          && isEarlyInRun(candidate.elapsedS(), candidate.estimateS())) {
         victims.add(candidate);
       }
     }
@@ -137,8 +145,10 @@
     return victims;
   }
 
-  /** Whether a task has run so small a share of its estimate that it may be preempted. */
-  boolean hasRunLittle(double elapsedS, double estimateS) {
+  /**
+   * Whether a task has run for so small a share of its estimated run time that it may be preempted.
+   */
+  boolean isEarlyInRun(double elapsedS, double estimateS) {
     return elapsedS <= operatorSettings.victimShare() * estimateS;
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -16,83 +16,89 @@
 import org.fieldtrestle.worker.WorkerRegistry;
 
 /**
- * Places a shard's waiting tasks on its workers, in passes. A pass costs what there is of waiting
- * groups and of workers with room: full workers and tasks of one group are not looked at one by
- * one.
+ * Places the waiting tasks of a shard on its workers, in placement passes. The cost of a pass
+ * depends on the number of waiting groups and of workers with free resources: a pass examines
+ * neither full workers nor the tasks of a group one by one.
  */
 public final class TaskPlacer {
-  /** Carries out what a pass decides. */
+  /** Carries out the decisions of a placement pass. */
   public interface PlacementExecutor {
     /**
      * Places a task on a worker.
      *
      * @param offset the task's offset in the range
-     * @param attempt the number of the attempt; the tasks of a gang share one
+     * @param attempt the attempt number, which is the same for all tasks of a gang
      */
     void place(TaskRange range, int offset, Worker worker, long attempt);
 
-    /** A number for an attempt that no other attempt of the shard has. */
+    /** Returns an attempt number that no other attempt of the shard has. */
     long nextAttempt();
 
-    /** Stops a task, with a grace period in seconds to save its work. */
+    /** Stops a task, with a grace period in seconds in which it can save its work. */
     void stop(TaskAttempt task, double graceS);
   }
 
-  private final SelectivePreemption falcon;
+  private final SelectivePreemption selectivePreemption;
   private final WorkerRegistry workers;
   private final QuotaShares quotaShares;
   private final PlacementExecutor executor;
   private final WaitingTaskCollector collector;
   private final ReservedCapacity reservedCapacity;
-  private final ImageLocality locality;
-  private final WorkerSelector selector;
-  private final GangPlacer gangs;
+  private final ImageLocality imageLocality;
+  private final WorkerSelector workerSelector;
+  private final GangPlacer gangPlacer;
   private final Preemptor preemptor;
-  private long steps;
+  private long lastStep;
 
   /**
-   * Sets up placement for a shard.
+   * Creates the placer of a shard.
    *
    * @param shard the shard's name
-   * @param policy decides whether tasks of a range may start at all
-   * @param downloads tells whether images that a worker fetches at once share its bandwidth
-   * @param executor carries out what the passes decide
+   * @param policy decides whether tasks of a range may be started
+   * @param downloads tells whether images that a worker fetches at the same time share its
+   *     bandwidth
+   * @param executor carries out the decisions of the passes
    */
   public TaskPlacer(
       ControllerContext context,
       String shard,
       CommandPolicy policy,
-      SelectivePreemption falcon,
+      SelectivePreemption selectivePreemption,
       WorkerRegistry workers,
       TaskRanges ranges,
       QuotaShares quotaShares,
       FailureTracker failures,
       ImageDownloads downloads,
       PlacementExecutor executor) {
-    this.falcon = falcon;
+    this.selectivePreemption = selectivePreemption;
     this.workers = workers;
     this.quotaShares = quotaShares;
     this.executor = executor;
     PlacementConstraints constraints = new PlacementConstraints(failures);
-    this.collector = new WaitingTaskCollector(context, policy, falcon, workers, ranges, executor);
+    this.collector =
+        new WaitingTaskCollector(context, policy, selectivePreemption, workers, ranges, executor);
     this.reservedCapacity = new ReservedCapacity(context, shard, workers, constraints);
-    this.locality = new ImageLocality(context, workers, downloads);
-    this.selector = new WorkerSelector(constraints, locality);
-    this.gangs = new GangPlacer(quotaShares, selector, executor);
-    this.preemptor = new Preemptor(context, falcon, workers, quotaShares, constraints, executor);
+    this.imageLocality = new ImageLocality(context, workers, downloads);
+    this.workerSelector = new WorkerSelector(constraints, imageLocality);
+    this.gangPlacer = new GangPlacer(quotaShares, workerSelector, executor);
+    this.preemptor =
+        new Preemptor(context, selectivePreemption, workers, quotaShares, constraints, executor);
   }
 
-  /** A range has come to this shard. */
+  /** Called when a task range is added to this shard. */
   public void rangeAdded(TaskRange range) {
     reservedCapacity.rangeAdded(range);
   }
 
-  /** CPUs that are reserved for latency-sensitive jobs. */
+  /** Returns the CPUs that this shard reserves for latency-sensitive jobs. */
   public double reservedCpus() {
     return reservedCapacity.reservedCpus();
   }
 
-  /** Places what fits and preempts for what does not; does nothing where nothing waits. */
+  /**
+   * Runs a placement pass: places the waiting tasks that fit on a worker and preempts running tasks
+   * for those that do not. Does nothing if no task waits.
+   */
   public void runPass(long nowMs) {
     List<QueuedGroup<WaitingTasks>> groups = collector.collect(nowMs);
     if (groups.isEmpty()) {
@@ -101,29 +107,29 @@
     PlacementPass pass =
         new PlacementPass(
             nowMs, groups, workers.freeResources(nowMs), reservedCapacity.reservedCpus());
-    // Workers that have the image come first: a task that would fetch must not take room that
-    // another task, whose image is there, waits for as well.
-    List<QueuedGroup<WaitingTasks>> withoutImage = place(pass, groups, true);
-    List<QueuedGroup<WaitingTasks>> unplaced = place(pass, withoutImage, false);
+    // The first step prefers workers that already have a task's image: a task that has to fetch its
+    // image must not take a worker from another waiting task whose image that worker has.
+    List<QueuedGroup<WaitingTasks>> withoutImage = runStep(pass, groups, true);
+    List<QueuedGroup<WaitingTasks>> unplaced = runStep(pass, withoutImage, false);
     preemptor.preempt(unplaced, nowMs);
   }
 
   /**
-   * One step of a pass: places what fits and returns what does not.
+   * Runs one step of a pass: places the tasks that fit and returns those that do not.
    *
-   * @param preferImage whether tasks that can wait are placed only where their image is
+   * @param preferImage whether tasks that can wait are placed only on workers that have their image
    */
-  private List<QueuedGroup<WaitingTasks>> place(
+  private List<QueuedGroup<WaitingTasks>> runStep(
       PlacementPass pass, List<QueuedGroup<WaitingTasks>> groups, boolean preferImage) {
-    long step = ++steps;
+    long step = ++lastStep;
     List<QueuedGroup<WaitingTasks>> unplaced = new ArrayList<>();
-    WaitingQueue<WaitingTasks> queue = falcon.queue(groups);
+    WaitingQueue<WaitingTasks> queue = selectivePreemption.queue(groups);
     while (queue.hasNext()) {
       WaitingQueue.Entry<WaitingTasks> entry = queue.next();
       WaitingTasks tasks = entry.group().tasks();
       if (tasks.range().spec().kind() == JobSpec.Kind.GANG) {
         entry.takeAll();
-        gangs.place(pass, tasks.range());
+        gangPlacer.place(pass, tasks.range());
         continue;
       }
       FreeResources free = selectWorker(pass, tasks, step, preferImage);
@@ -137,32 +143,40 @@
     return unplaced;
   }
 
-  /** The free resources of the worker for the next task of a group; null where none may take it. */
+  /**
+   * Returns the free resources of the worker selected for the next task of a group, or {@code null}
+   * if no worker may take it.
+   */
   private FreeResources selectWorker(
       PlacementPass pass, WaitingTasks tasks, long step, boolean preferImage) {
     TaskRange range = tasks.range();
-    // Free resources only shrink within a step: what one task of a range did not find, none finds.
+    // Free resources only shrink during a step: if one task of a range finds no room, neither do
+    // the
+    // others.
     if (range.noRoomIn() == step
         || !quotaShares.allows(range.spec())
         || isReservedForOthers(pass, tasks)) {
       return null;
     }
-    FreeResources free = selector.select(pass, tasks, tasks.firstOffset());
+    FreeResources free = workerSelector.select(pass, tasks, tasks.firstOffset());
     if (free == null) {
       range.markNoRoomIn(step);
       return null;
     }
-    return waitsForImage(pass, tasks, free.worker(), preferImage) ? null : free;
+    return mustWaitForImage(pass, tasks, free.worker(), preferImage) ? null : free;
   }
 
   private boolean isReservedForOthers(PlacementPass pass, WaitingTasks tasks) {
     return !tasks.overdue()
         && reservedCapacity.isWithheldFrom(tasks.range().spec(), pass)
-        && !reservedCapacity.yieldsTo(tasks.range(), pass);
+        && !reservedCapacity.mayTakeReserved(tasks.range(), pass);
   }
 
-  /** Whether a task is not placed on a worker that would have to fetch its image. */
-  private boolean waitsForImage(
+  /**
+   * Whether a task must not be placed on a worker now because the worker would have to fetch its
+   * image.
+   */
+  private boolean mustWaitForImage(
       PlacementPass pass, WaitingTasks tasks, Worker worker, boolean preferImage) {
     TaskRange range = tasks.range();
     if (worker.hasImage(range.spec().image())
@@ -171,15 +185,16 @@
       return false;
     }
     return preferImage
-        ? !locality.isPlacedAnywhere(tasks, pass.nowMs())
-        : locality.waitsForImage(range, pass);
+        ? !imageLocality.mayBePlacedAnywhere(tasks, pass.nowMs())
+        : imageLocality.mustWaitForImage(range, pass);
   }
 
   private static QueuedGroup<WaitingTasks> takeUnplaced(
       WaitingQueue.Entry<WaitingTasks> entry, boolean preferImage) {
     QueuedGroup<WaitingTasks> group = entry.group();
     WaitingTasks tasks = group.tasks();
-    // A task preempts by its job's priority, though it may have been drawn by a higher one.
+    // A task preempts with its job's priority, even if it was drawn with a higher one because the
+    // job is overdue.
     Priority priority = preferImage ? group.priority() : tasks.range().spec().priority();
     return new QueuedGroup<>(tasks, priority, group.score(), entry.takeAll());
   }
@@ -189,6 +204,6 @@
     int offset = tasks.firstOffset();
     executor.place(range, offset, free.worker(), executor.nextAttempt());
     range.placed().get(offset).exemptFromPreemption(tasks.overdue());
-    pass.placed(free, range.spec());
+    pass.recordPlacement(free, range.spec());
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/VictimSelector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/VictimSelector.java
@@ -8,21 +8,25 @@
 import org.fieldtrestle.worker.TaskAttempt;
 import org.fieldtrestle.worker.Worker;
 
-/** Selects the running tasks of a worker that make room for a waiting one. */
+/** Selects the running tasks of a worker that are stopped to make room for a waiting task. */
 final class VictimSelector {
-  private final SelectivePreemption falcon;
+  private final SelectivePreemption selectivePreemption;
   private final GuaranteedShares guaranteedShares;
 
-  VictimSelector(SelectivePreemption falcon, GuaranteedShares guaranteedShares) {
-    this.falcon = falcon;
+  VictimSelector(SelectivePreemption selectivePreemption, GuaranteedShares guaranteedShares) {
+    this.selectivePreemption = selectivePreemption;
     this.guaranteedShares = guaranteedShares;
   }
 
-  /** Whether some task of a worker has run so little that it could be preempted at all. */
+  /**
+   * Whether the worker has a task that may be stopped and has run for so short a time that it may
+   * be preempted.
+   */
   boolean hasPossibleVictim(Worker worker, long nowMs) {
     for (TaskAttempt task : worker.attempts()) {
       if (mayBeStopped(task)
-          && falcon.hasRunLittle(elapsedS(task, nowMs), task.range().spec().estimateS())) {
+          && selectivePreemption.isEarlyInRun(
+              elapsedS(task, nowMs), task.range().spec().estimateS())) {
         return true;
       }
     }
@@ -30,9 +34,10 @@
   }
 
   /**
-   * The tasks to stop so that one task of a group fits a worker, lowest score first.
+   * Returns the tasks that have to be stopped so that one task of a group fits on a worker, lowest
+   * score first.
    *
-   * @return an empty list if enough cannot be freed, or if the task fits already
+   * @return an empty list if not enough resources can be freed, or if the task already fits
    */
   List<TaskAttempt> select(
       QueuedGroup<WaitingTasks> waiting, Worker worker, MachineType type, long nowMs) {
@@ -43,7 +48,7 @@
     double gpus = free.gpus();
     double memoryGb = free.memoryGb();
     List<TaskAttempt> selected = new ArrayList<>();
-    for (RunningTask<TaskAttempt> victim : falcon.victims(waiting, running)) {
+    for (RunningTask<TaskAttempt> victim : selectivePreemption.victims(waiting, running)) {
       if (cpus >= spec.cpus() && gpus >= spec.gpus() && memoryGb >= spec.memoryGb()) {
         break;
       }
@@ -70,7 +75,7 @@
             new RunningTask<>(
                 task,
                 spec.priority(),
-                falcon.score(task.remainingS(nowMs, spec.estimateS()), task.waitedS()),
+                selectivePreemption.score(task.remainingS(nowMs, spec.estimateS()), task.waitedS()),
                 elapsedS(task, nowMs),
                 spec.estimateS(),
                 guaranteed && guaranteedShares.mayReclaim(team, spec.team())));
@@ -86,7 +91,10 @@
         && task.range().spec() != null;
   }
 
-  /** Seconds since a task was placed: a fetch of its image is work that would be lost too. */
+  /**
+   * Returns the seconds since a task was placed. The fetch of its image counts, as that work would
+   * be lost as well.
+   */
   private static double elapsedS(TaskAttempt task, long nowMs) {
     return (nowMs - task.placedAt()) / 1000.0;
   }
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingQueue.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingQueue.java
@@ -8,37 +8,37 @@
 import org.fieldtrestle.protocol.Priority;
 
 /**
- * The waiting tasks from which Falcon draws the next one to place. Only tasks of the highest
- * priority take part, of these only the top (1 - delta) by score, each with its reverse rank as
- * weight (the paper's section III.C).
+ * A queue of waiting tasks from which the next task to place is drawn. Only tasks of the highest
+ * priority are eligible, and of these only the top (1 - delta) by score. Each is weighted by its
+ * reverse rank (section III.C of the Falcon paper).
  *
- * <p>Scores do not change while the queue is in use, so that the groups are sorted once.
+ * <p>Scores must not change while the queue is in use, as the groups are sorted only once.
  */
 public final class WaitingQueue<T> {
-  /** A group in the queue and how many of its tasks are left there. */
+  /** A group in the queue and the number of its tasks that are still in the queue. */
   public static final class Entry<T> {
     private final QueuedGroup<T> group;
-    private int left;
+    private int remaining;
 
     Entry(QueuedGroup<T> group) {
       this.group = group;
-      this.left = group.count();
+      this.remaining = group.count();
     }
 
-    /** The group as it was queued. */
+    /** Returns the group as it was queued. */
     public QueuedGroup<T> group() {
       return group;
     }
 
-    /** Takes one task of the group out of the queue. */
+    /** Removes one task of the group from the queue. */
     public void takeOne() {
-      left--;
+      remaining--;
     }
 
-    /** Takes all remaining tasks of the group out of the queue and returns their number. */
+    /** Removes all remaining tasks of the group from the queue and returns their number. */
     public int takeAll() {
-      int taken = left;
-      left = 0;
+      int taken = remaining;
+      remaining = 0;
       return taken;
     }
   }
@@ -48,7 +48,7 @@
   private final RandomGenerator random;
 
   /** Index of the first entry that has tasks left. */
-  private int first;
+  private int firstNonEmpty;
 
   WaitingQueue(List<QueuedGroup<T>> groups, double eligibleShare, RandomGenerator random) {
     this.eligibleShare = eligibleShare;
@@ -63,28 +63,29 @@
             .thenComparing((a, b) -> Double.compare(b.group.score(), a.group.score())));
   }
 
-  /** Whether any task is left. */
+  /** Whether any task is left in the queue. */
   public boolean hasNext() {
-    while (first < entries.size() && entries.get(first).left == 0) {
-      first++;
+    while (firstNonEmpty < entries.size() && entries.get(firstNonEmpty).remaining == 0) {
+      firstNonEmpty++;
     }
-    return first < entries.size();
+    return firstNonEmpty < entries.size();
   }
 
   /**
-   * Draws the group whose task goes next. The task stays in the queue until it is taken.
+   * Draws the group of the next task. The task stays in the queue until it is removed through the
+   * entry.
    *
-   * @throws NoSuchElementException if no task is left
+   * @throws NoSuchElementException if no task is left in the queue
    */
   public Entry<T> next() {
     if (!hasNext()) {
-      throw new NoSuchElementException("no task is left");
+      throw new NoSuchElementException("no task is left in the queue");
     }
-    Priority highest = entries.get(first).group.priority();
+    Priority highest = entries.get(firstNonEmpty).group.priority();
     long tasks = 0;
-    int end = first;
+    int end = firstNonEmpty;
     while (end < entries.size() && entries.get(end).group.priority() == highest) {
-      tasks += entries.get(end).left;
+      tasks += entries.get(end).remaining;
       end++;
     }
     return drawByReverseRank(end, Math.max(1, (long) Math.floor(eligibleShare * tasks)));
@@ -95,18 +96,19 @@
     double totalWeight = eligible * (eligible + 1) / 2.0;
     double drawn = random.nextDouble() * totalWeight;
     long rank = 0;
-    for (int i = first; i < end; i++) {
+    for (int i = firstNonEmpty; i < end; i++) {
       Entry<T> entry = entries.get(i);
-      long endRank = Math.min(eligible, rank + entry.left);
+      long endRank = Math.min(eligible, rank + entry.remaining);
       long drawable = endRank - rank;
-      // Ranks rank..endRank-1 weigh eligible-rank down to eligible-endRank+1.
+      // The tasks of ranks rank to endRank-1 have weights from eligible-rank down to
+      // eligible-endRank+1.
       double weight = drawable * ((eligible - rank) + (eligible - endRank + 1)) / 2.0;
-      if (entry.left > 0 && (drawn < weight || endRank == eligible)) {
+      if (entry.remaining > 0 && (drawn < weight || endRank == eligible)) {
         return entry;
       }
       drawn -= weight;
       rank = endRank;
     }
-    throw new IllegalStateException("fewer tasks are left than are eligible");
+    throw new IllegalStateException("fewer tasks are left in the queue than are eligible");
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -12,21 +12,27 @@
 import org.fieldtrestle.worker.TaskRanges;
 import org.fieldtrestle.worker.WorkerRegistry;
 
-/** Collects the tasks that may be placed now, grouped by waiting time, with their scores. */
+/**
+ * Collects the waiting tasks that may be placed now, in groups of equal waiting time, and scores
+ * them.
+ */
 final class WaitingTaskCollector {
-  /** A job counts as late once this share of its estimate no longer fits before its deadline. */
+  /**
+   * A job counts as late once this share of its estimated run time no longer fits before its
+   * deadline.
+   */
   private static final double LATE_ESTIMATE_SHARE = 0.7;
 
   /**
-   * A job of which nothing has begun after so many boots of a machine, one after the other, gets
-   * its first task placed before all others. Priorities come before scores, so that a burst of a
-   * higher priority would otherwise starve the job however long it waits.
+   * Waiting time, in boot times of a machine, after which the first task of a job that has not
+   * started is placed before all others. Priorities take precedence over scores, so a burst of jobs
+   * of a higher priority would otherwise starve the job, however long it waits.
    */
   private static final double OVERDUE_BOOTS = 3;
 
   private final ControllerContext context;
   private final CommandPolicy policy;
-  private final SelectivePreemption falcon;
+  private final SelectivePreemption selectivePreemption;
   private final WorkerRegistry workers;
   private final TaskRanges ranges;
   private final TaskPlacer.PlacementExecutor executor;
@@ -34,19 +40,22 @@
   WaitingTaskCollector(
       ControllerContext context,
       CommandPolicy policy,
-      SelectivePreemption falcon,
+      SelectivePreemption selectivePreemption,
       WorkerRegistry workers,
       TaskRanges ranges,
       TaskPlacer.PlacementExecutor executor) {
     this.context = context;
     this.policy = policy;
-    this.falcon = falcon;
+    this.selectivePreemption = selectivePreemption;
     this.workers = workers;
     this.ranges = ranges;
     this.executor = executor;
   }
 
-  /** Returns all groups that may be placed; stops what is left of gangs that have lost a task. */
+  /**
+   * Returns all groups of tasks that may be placed now, and stops the remaining tasks of gangs that
+   * have lost a task.
+   */
   List<QueuedGroup<WaitingTasks>> collect(long nowMs) {
     List<QueuedGroup<WaitingTasks>> groups = new ArrayList<>();
     for (TaskRange range : ranges.all()) {
@@ -78,10 +87,10 @@
           new QueuedGroup<>(
               new WaitingTasks(range, WaitingTasks.NEVER_PLACED),
               spec.priority(),
-              falcon.score(spec.estimateS(), waitedS(range, nowMs)),
+              selectivePreemption.score(spec.estimateS(), waitedS(range, nowMs)),
               range.waiting()));
     } else {
-      // A task of the gang was lost: the others cannot go on without it.
+      // A task of the gang was lost, and the others cannot continue without it.
       List.copyOf(range.placed().values()).forEach(task -> executor.stop(task, spec.saveS()));
     }
   }
@@ -105,7 +114,7 @@
           new QueuedGroup<>(
               new WaitingTasks(range, WaitingTasks.NEVER_PLACED, true),
               Priority.CRITICAL,
-              falcon.score(spec.estimateS(), waitedS(range, nowMs)),
+              selectivePreemption.score(spec.estimateS(), waitedS(range, nowMs)),
               1));
     }
     if (count > 0) {
@@ -113,7 +122,8 @@
           new QueuedGroup<>(
               new WaitingTasks(range, WaitingTasks.NEVER_PLACED),
               spec.priority(),
-              falcon.score(spec.estimateS(), scoredWaitS(range, range.waitingSince(), nowMs)),
+              selectivePreemption.score(
+                  spec.estimateS(), scoredWaitS(range, range.waitingSince(), nowMs)),
               count));
     }
   }
@@ -128,13 +138,17 @@
             new QueuedGroup<>(
                 new WaitingTasks(range, offset),
                 spec.priority(),
-                falcon.score(spec.estimateS(), scoredWaitS(range, retry.waitingSince(), nowMs)),
+                selectivePreemption.score(
+                    spec.estimateS(), scoredWaitS(range, retry.waitingSince(), nowMs)),
                 1));
       }
     }
   }
 
-  /** Whether a job of which nothing has begun has starved; only its first range answers yes. */
+  /**
+   * Whether a job has waited too long without any of its tasks starting. True only for the first
+   * range of a job.
+   */
   private boolean isOverdue(TaskRange range, long nowMs) {
     return range.placed().isEmpty()
         && range.retries().isEmpty()
@@ -149,9 +163,9 @@
   }
 
   /**
-   * The waiting time in seconds that a score uses. For a job that can no longer meet its deadline
-   * it starts anew, an exception to the paper: on a full fleet, late jobs would otherwise make all
-   * others late too.
+   * Returns the waiting time in seconds that the score uses. Once a job can no longer meet its
+   * deadline, its waiting time counts from that moment (a deviation from the paper): on a full
+   * fleet, late jobs would otherwise make all others late too.
    */
   private static double scoredWaitS(TaskRange range, long sinceMs, long nowMs) {
     JobSpec spec = range.spec();
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
@@ -3,36 +3,38 @@
 import org.fieldtrestle.worker.TaskRange;
 
 /**
- * Tasks of a range that have waited equally long: all that were never placed, or a single one that
- * waits for its next attempt.
+ * Tasks of a range that have waited equally long: either all tasks that were never placed, or a
+ * single task that waits for its next attempt.
  *
- * @param range the range that the tasks belong to
- * @param offset the offset in the range of a task that waits for its next attempt, or {@link
+ * @param range the range to which the tasks belong
+ * @param offset the offset within the range of the task that waits for its next attempt, or {@link
  *     #NEVER_PLACED}
- * @param overdue whether the job has waited so long to begin that its first task is placed before
+ * @param overdue whether the job has waited so long to start that its first task is placed before
  *     all others
  */
 record WaitingTasks(TaskRange range, int offset, boolean overdue) {
-  /** In place of an offset: all tasks of the range that were never placed. */
+  /** Used as the offset of all tasks of a range that were never placed. */
   static final int NEVER_PLACED = -1;
 
   WaitingTasks(TaskRange range, int offset) {
     this(range, offset, false);
   }
 
-  private boolean neverPlaced() {
+  private boolean hasNeverBeenPlaced() {
     return offset < 0;
   }
 
-  /** The offset in the range of the task that is placed next; negative where none is left. */
+  /**
+   * Returns the offset within the range of the task that is placed next; negative if none is left.
+   */
   int firstOffset() {
-    return neverPlaced() ? range.fresh().nextSetBit(0) : offset;
+    return hasNeverBeenPlaced() ? range.fresh().nextSetBit(0) : offset;
   }
 
-  /** For how many seconds the tasks have waited. */
+  /** Returns for how many seconds the tasks have waited. */
   double waitedS(long nowMs) {
     long sinceMs =
-        neverPlaced() ? range.waitingSince() : range.retries().get(offset).waitingSince();
+        hasNeverBeenPlaced() ? range.waitingSince() : range.retries().get(offset).waitingSince();
     return (nowMs - sinceMs) / 1000.0;
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/WorkerSelector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WorkerSelector.java
@@ -6,69 +6,73 @@
 import org.fieldtrestle.worker.Worker;
 
 /**
- * Bin packing: selects the worker for a task. It is the one on which least is left free (the
- * paper's most matched server), of those that have the task's image if any has it.
+ * Selects the worker for a task by bin packing. The best worker is the one on which the task leaves
+ * the least free resources (the most matched server of the Falcon paper). If any suitable worker
+ * has the task's image, only workers that have it are considered.
  */
 final class WorkerSelector {
   private final PlacementConstraints constraints;
-  private final ImageLocality locality;
+  private final ImageLocality imageLocality;
 
-  WorkerSelector(PlacementConstraints constraints, ImageLocality locality) {
+  WorkerSelector(PlacementConstraints constraints, ImageLocality imageLocality) {
     this.constraints = constraints;
-    this.locality = locality;
+    this.imageLocality = imageLocality;
   }
 
   /**
-   * The free resources of the best worker for a task; null where no worker fits (this runs for
-   * every placed task, so that nothing is wrapped).
+   * Returns the free resources of the best worker for a task, or {@code null} if no worker fits.
+   * The result is not wrapped in an {@code Optional}, as this method runs for every task that is
+   * placed.
    */
   FreeResources select(PlacementPass pass, WaitingTasks tasks, int offset) {
     TaskRange range = tasks.range();
     JobSpec spec = range.spec();
-    boolean concurrentFetch = locality.acceptsConcurrentFetch(tasks, pass.nowMs());
+    boolean mayFetchConcurrently = imageLocality.mayFetchConcurrently(tasks, pass.nowMs());
     FreeResources best = null;
     boolean bestHasImage = false;
-    double bestLeft = 0;
+    double bestLeftFree = 0;
     for (FreeResources free : pass.candidates()) {
       Worker worker = free.worker();
       if (!free.fits(spec) || worker.claimedFrom(range, pass.nowMs())) {
         continue;
       }
       boolean hasImage = worker.hasImage(spec.image());
-      boolean fetchIsUnwanted =
-          !concurrentFetch && worker.fetching() && !worker.claimedBy(range, pass.nowMs());
-      if (!hasImage && (bestHasImage || fetchIsUnwanted)) {
+      boolean mustNotFetch =
+          !mayFetchConcurrently && worker.fetching() && !worker.claimedBy(range, pass.nowMs());
+      if (!hasImage && (bestHasImage || mustNotFetch)) {
         continue;
       }
-      double left = free.after(spec);
+      double leftFree = free.after(spec);
       boolean better =
           best == null
               || (hasImage && !bestHasImage)
               || (hasImage == bestHasImage
-                  && isBetter(worker, left, best.worker(), bestLeft, hasImage));
+                  && isBetter(worker, leftFree, best.worker(), bestLeftFree, hasImage));
       if (better && constraints.allow(range, offset, worker)) {
         best = free;
         bestHasImage = hasImage;
-        bestLeft = left;
+        bestLeftFree = leftFree;
       }
     }
     return best;
   }
 
   /**
-   * Whether a worker is better than the best one so far, both or neither having the image. Workers
-   * that are not cordoned come first. One that has to fetch the image should not be fetching
-   * others, which share its bandwidth. Spot machines come before ordinary ones for their price (an
-   * exception to the paper), then the worker with least left free.
+   * Whether a worker is better than the best one so far, where either both have the image or
+   * neither has it. A worker that is not cordoned is better than a cordoned one. If the image has
+   * to be fetched, a worker that is not fetching another image is better, as concurrent fetches
+   * share its bandwidth. After that, a spot machine is better than an ordinary one because of its
+   * price (a deviation from the paper), and finally the worker with the least resources left free
+   * is better.
    */
   private static boolean isBetter(
-      Worker worker, double left, Worker best, double bestLeft, boolean hasImage) {
+      Worker worker, double leftFree, Worker best, double bestLeftFree, boolean hasImage) {
     if (worker.isCordoned() != best.isCordoned()) {
       return best.isCordoned();
     }
     if (!hasImage && worker.fetching() != best.fetching()) {
       return best.fetching();
     }
-    return worker.isSpot() != best.isSpot() ? worker.isSpot() : left < bestLeft;
+    return worker.isSpot() != best.isSpot() ? worker.isSpot() : leftFree < bestLeftFree;
   }
 }
--- a/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
+++ b/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
@@ -28,7 +28,7 @@
   private static final OperatorSettings PAPER =
       new OperatorSettings(0.5, 0.5, 1, 0.35, 0.5, 10, 0.3, 1);
 
-  private final SelectivePreemption falcon =
+  private final SelectivePreemption selectivePreemption =
       new SelectivePreemption(PAPER, new SplittableRandom(7));
 
   private static QueuedGroup<String> waiting(String name, Priority priority, double score) {
@@ -37,8 +37,8 @@
 
   @Test
   void scoreIsEquationThreeWithAFloor() {
-    assertEquals(0.5 / 20 + 0.5 * 6, falcon.score(20, 6), 1e-12);
-    assertEquals(0.5 + 0.5 * 6, falcon.score(0.001, 6), 1e-12);
+    assertEquals(0.5 / 20 + 0.5 * 6, selectivePreemption.score(20, 6), 1e-12);
+    assertEquals(0.5 + 0.5 * 6, selectivePreemption.score(0.001, 6), 1e-12);
   }
 
   @Test
@@ -47,14 +47,14 @@
     for (int i = 1; i <= 10; i++) {
       queue.add(waiting("t" + i, Priority.NORMAL, i));
     }
-    List<QueuedGroup<String>> fulfilling = falcon.fulfillingRankCondition(queue);
+    List<QueuedGroup<String>> fulfilling = selectivePreemption.groupsFulfillingRankCondition(queue);
     for (int i = 1; i <= 10; i++) {
       // 10 * 0.35 = 3.5: a task has to outscore four others
       assertEquals(i >= 5, fulfilling.contains(queue.get(i - 1)), "t" + i);
       assertEquals(i >= 5, fulfillsRankCondition(queue.get(i - 1), queue), "t" + i);
     }
     for (int i = 0; i < 500; i++) {
-      double score = falcon.draw(queue).score();
+      double score = selectivePreemption.draw(queue).score();
       assertTrue(score > 4, "drawn from the top floor(0.65 * 10) = 6: " + score);
     }
   }
@@ -67,7 +67,7 @@
     }
     int[] drawn = new int[20];
     for (int i = 0; i < 91_000; i++) {
-      drawn[Integer.parseInt(falcon.draw(queue).tasks().substring(1))]++;
+      drawn[Integer.parseInt(selectivePreemption.draw(queue).tasks().substring(1))]++;
     }
     // 13 eligible: weights 13, 12, ... 1 of 91
     for (int rank = 0; rank < 13; rank++) {
@@ -87,7 +87,7 @@
       queue.add(new QueuedGroup<>("t" + i, priority, scores.get(i), 1 + i % 4));
       highest = priority.isHigherThan(highest) ? priority : highest;
     }
-    assertEquals(highest, falcon.draw(queue).priority());
+    assertEquals(highest, selectivePreemption.draw(queue).priority());
   }
 
   /** The queue, sorted once, and the single draw against ranking the whole list for each task. */
@@ -176,7 +176,9 @@
       }
     }
     Set<Integer> atOnce = new TreeSet<>();
-    falcon.fulfillingRankCondition(queue).forEach(one -> atOnce.add(one.tasks()));
+    selectivePreemption
+        .groupsFulfillingRankCondition(queue)
+        .forEach(one -> atOnce.add(one.tasks()));
     assertEquals(each, atOnce);
   }
 
@@ -201,10 +203,11 @@
   void highScoreAloneDoesNotPreemptTasksOfTheSamePriority() {
     QueuedGroup<String> waiting = waiting("waiting", Priority.NORMAL, 5000);
     RunningTask<String> running = new RunningTask<>("running", Priority.NORMAL, 1, 0, 50, false);
-    assertTrue(falcon.victims(waiting, List.of(running)).isEmpty());
+    assertTrue(selectivePreemption.victims(waiting, List.of(running)).isEmpty());
     RunningTask<String> reclaimable =
         new RunningTask<>("reclaimable", Priority.NORMAL, 1, 0, 50, true);
-    assertEquals(List.of(reclaimable), falcon.victims(waiting, List.of(running, reclaimable)));
+    assertEquals(
+        List.of(reclaimable), selectivePreemption.victims(waiting, List.of(running, reclaimable)));
   }
 
   @Property(tries = 300, seed = "32")
@@ -218,7 +221,7 @@
     }
     double last = Double.NEGATIVE_INFINITY;
     for (RunningTask<Integer> victim :
-        falcon.victims(waiting("w", Priority.URGENT, score), running)) {
+        selectivePreemption.victims(waiting("w", Priority.URGENT, score), running)) {
       assertTrue(victim.score() + PAPER.margin() < score);
       assertTrue(victim.elapsedS() <= PAPER.victimShare() * 60);
       assertFalse(victim.score() < last);
