--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -16,16 +16,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of the cloud, within this controller's share of its request limit. All methods are called
- * on the event loop, where the callbacks run too.
+ * Client of the cloud, which keeps to this controller's share of the cloud's request limit. All
+ * methods are called on the event loop, and all callbacks run on it.
  */
 public final class CloudClient {
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
 
-  /** Part of this controller's share of the request limit that is used. */
+  /** Fraction of this controller's share of the request limit that is used. */
   private static final double USED_SHARE = 0.9;
 
-  /** Time between two readings of the machine types, in lags of the machine list. */
+  /** Time between two requests for the machine types, in multiples of the machine list's lag. */
   private static final int TYPES_INTERVAL_LAGS = 5;
 
   private final Reactor reactor;
@@ -34,9 +34,9 @@
   private final long requestIntervalMs;
   private final long listLagMs;
   private final RateLimitedQueue queue;
-  private List<MachineType> types = List.of();
+  private List<MachineType> machineTypes = List.of();
 
-  /** Sets up the client; nothing is sent before {@link #start}. */
+  /** Creates the client. No request is sent before {@link #start}. */
   public CloudClient(Reactor reactor, Http.Caller caller, Settings settings) {
     this.reactor = reactor;
     this.caller = caller;
@@ -47,31 +47,38 @@
     this.queue = new RateLimitedQueue(reactor, requestIntervalMs);
   }
 
-  /** The machine types with their prices; empty until they were read for the first time. */
+  /**
+   * Returns the machine types with their prices; empty until they have been read for the first
+   * time.
+   */
   public List<MachineType> types() {
-    return types;
+    return machineTypes;
   }
 
-  /** By how much the machine list may lag behind, in ms; also the timeout of a request. */
+  /**
+   * Returns by how many milliseconds the machine list may lag behind. This is also the timeout of a
+   * request.
+   */
   public long listLagMs() {
     return listLagMs;
   }
 
-  /** Reads the machine types now and then periodically, as spot prices change. */
+  /** Reads the machine types now and then at regular intervals, as spot prices change. */
   public void start() {
     read(
         CloudProtocol.TYPES_PATH,
         outcome -> {
           readTypes(outcome);
           reactor.schedule(
-              types.isEmpty() ? requestIntervalMs : listLagMs * TYPES_INTERVAL_LAGS, this::start);
+              machineTypes.isEmpty() ? requestIntervalMs : listLagMs * TYPES_INTERVAL_LAGS,
+              this::start);
         });
   }
 
   private void readTypes(Http.Outcome outcome) {
     if (outcome instanceof Http.Answer answer && answer.status() == 200) {
       try {
-        types = CloudProtocol.readTypes(answer.body());
+        machineTypes = CloudProtocol.readTypes(answer.body());
       } catch (MalformedJsonException e) {
         LOG.atWarn().addKeyValue("reason", e.getMessage()).log("machine types are malformed");
       }
@@ -110,7 +117,7 @@
   /**
    * Returns machines to the cloud.
    *
-   * @param done is given true once the machines and all that was on them are gone; false if that is
+   * @param done receives true once the machines and everything on them are gone; false if that is
    *     not known, in which case the request may be repeated
    */
   public void terminate(List<String> machines, Consumer<Boolean> done) {
@@ -121,9 +128,9 @@
   }
 
   /**
-   * Reads the whole machine list, page by page.
+   * Reads the complete machine list, page by page.
    *
-   * @param done is given the list, or empty if any page could not be read
+   * @param done receives the list, or empty if any page could not be read
    */
   public void list(Consumer<Optional<List<ListedMachine>>> done) {
     readPage("", new ArrayList<>(), done);
--- a/src/main/java/org/fieldtrestle/routing/JobSplitter.java
+++ b/src/main/java/org/fieldtrestle/routing/JobSplitter.java
@@ -8,26 +8,29 @@
 import java.util.TreeMap;
 import org.fieldtrestle.protocol.JobSpec;
 
-/** Splits a job into task ranges over shards by their free room and waiting work. */
+/**
+ * Splits a job into task ranges and assigns them to shards by the shards' free resources and
+ * waiting work.
+ */
 public final class JobSplitter {
-  /** Least CPUs by which a task is counted, as tasks may ask for none. */
-  private static final double MIN_CPUS = 0.1;
+  /** Minimum number of CPUs that a task is counted with, as a task may ask for none. */
+  private static final double MIN_CPUS_PER_TASK = 0.1;
 
-  /** Steps per candidate in which tasks without free room are distributed. */
+  /** Number of steps per candidate in which tasks are distributed that no shard has room for. */
   private static final int STEPS_PER_CANDIDATE = 4;
 
   private JobSplitter() {}
 
   /**
-   * A shard that tasks may be assigned to.
+   * A shard to which tasks may be assigned.
    *
-   * @param shard its name
-   * @param freeTasks how many of the job's tasks it has room for now
-   * @param waitingCpus CPUs of the tasks that wait there already
-   * @param capacityCpus CPUs of its machines
+   * @param shard the name of the shard
+   * @param freeTasks how many tasks of the job the shard has room for now
+   * @param waitingCpus the CPUs of the tasks that already wait on the shard
+   * @param capacityCpus the CPUs of the shard's machines
    */
   public record Candidate(String shard, int freeTasks, double waitingCpus, double capacityCpus) {
-    /** Waiting work per CPU of its machines. */
+    /** Returns the waiting work per CPU of the shard's machines. */
     public double waitingPerCpu() {
       return waitingCpus / Math.max(1, capacityCpus);
     }
@@ -36,19 +39,21 @@
   /**
    * A range of tasks that is assigned to a shard.
    *
-   * @param shard the shard's name
-   * @param from the first task
-   * @param to the task after the last one
-   * @param zoneLimits how many of these tasks may be in each zone at a time; empty if not limited
+   * @param shard the name of the shard
+   * @param from the index of the first task
+   * @param to the index after that of the last task
+   * @param zoneLimits how many of these tasks may run in each zone at a time; empty if there is no
+   *     limit
    */
   public record Part(String shard, int from, int to, Map<String, Integer> zoneLimits) {}
 
   /**
-   * Splits a job. Free room is used first, most of it first, so that small jobs stay together and
-   * their image is fetched by few machines; remaining tasks go where least work waits.
+   * Splits a job. Free resources are used first, beginning with the shard that has room for the
+   * most tasks, so that small jobs stay together and their image is fetched by few machines. The
+   * remaining tasks are assigned to the shards with the least waiting work.
    *
    * @param candidates at least one shard
-   * @param maxPart the most tasks that a part may hold
+   * @param maxPart the maximum number of tasks of a part
    * @param zones all zones of the cluster
    */
   public static List<Part> split(
@@ -70,12 +75,12 @@
     return parts;
   }
 
-  /** How many tasks each shard is assigned. */
+  /** Returns how many tasks are assigned to each shard. */
   private static Map<String, Integer> tasksByShard(JobSpec spec, List<Candidate> byFreeTasks) {
     Map<String, Integer> counts = new HashMap<>();
     if (spec.spread() || spec.kind() == JobSpec.Kind.GANG) {
-      // A zone limit would round to nothing in small parts, and a gang starts as a whole: such a
-      // job stays with one shard.
+      // In small parts a zone limit would round to zero, and a gang can only start as a whole. Such
+      // jobs are assigned to a single shard.
       counts.put(byFreeTasks.get(0).shard(), spec.tasks());
       return counts;
     }
@@ -88,29 +93,33 @@
       }
     }
     if (left > 0) {
-      levelWaitingWork(spec, byFreeTasks, left, counts);
+      assignByWaitingWork(spec, byFreeTasks, left, counts);
     }
     return counts;
   }
 
-  /** Assigns tasks in steps, each to the shard with the least waiting work per CPU then. */
-  private static void levelWaitingWork(
+  /**
+   * Assigns tasks in steps, each step to the shard that has the least waiting work per CPU at that
+   * point.
+   */
+  private static void assignByWaitingWork(
       JobSpec spec, List<Candidate> candidates, int tasks, Map<String, Integer> counts) {
-    double cpus = Math.max(spec.cpus(), MIN_CPUS);
+    double cpus = Math.max(spec.cpus(), MIN_CPUS_PER_TASK);
     Map<String, Double> waitingCpus = new HashMap<>();
     double averageCapacity = 0;
     for (Candidate candidate : candidates) {
       waitingCpus.put(candidate.shard(), candidate.waitingCpus());
       averageCapacity += candidate.capacityCpus() / candidates.size();
     }
-    // A shard with few machines counts as average, as it rents for what it is assigned. If it were
-    // assigned little, the first shard to rent would get nearly all work, and so all machines.
+    // A shard with few machines counts as one of average capacity, as it rents machines for the
+    // tasks that it is assigned. If it were assigned few tasks, the first shard to rent machines
+    // would get nearly all tasks and therefore all further machines.
     double minCapacity = Math.max(cpus, averageCapacity);
-    int step = Math.max(1, tasks / (STEPS_PER_CANDIDATE * candidates.size()));
+    int stepSize = Math.max(1, tasks / (STEPS_PER_CANDIDATE * candidates.size()));
     int left = tasks;
     while (left > 0) {
       String shard = shardWithLeastWaiting(candidates, waitingCpus, minCapacity);
-      int assigned = Math.min(step, left);
+      int assigned = Math.min(stepSize, left);
       counts.merge(shard, assigned, Integer::sum);
       waitingCpus.merge(shard, assigned * cpus, Double::sum);
       left -= assigned;
@@ -130,9 +139,9 @@
   }
 
   /**
-   * How many of the tasks from..to may be in each zone at a time, so that the limits of all ranges
-   * together keep to the job's zone limit. Each range gets its proportional part, rounded so that
-   * they add up exactly.
+   * Returns how many of the tasks {@code from} to {@code to} (exclusive) may run in each zone at a
+   * time. Each range gets its proportional part of the job's zone limit, rounded so that the parts
+   * of all ranges add up to exactly that limit.
    */
   private static Map<String, Integer> zoneLimits(
       JobSpec spec, int from, int to, List<String> zones) {
--- a/src/main/java/org/fieldtrestle/routing/ShardLoads.java
+++ b/src/main/java/org/fieldtrestle/routing/ShardLoads.java
@@ -11,19 +11,22 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * The loads of all shards, as their leaders have reported them lately, plus what this controller
- * has assigned to them since.
+ * The loads of all shards, as last reported by their leaders, plus the tasks that this controller
+ * has assigned to the shards since.
  */
 public final class ShardLoads {
-  /** The most tasks that are counted for one report, as a task may ask for no resources. */
+  /**
+   * Maximum number of free tasks that one entry of a report counts for, as a task may ask for no
+   * resources.
+   */
   private static final double MAX_FREE_TASKS = 1e6;
 
-  /** The last report of a shard's leader. */
+  /** The last report of a shard leader. */
   private static final class Report {
     private PeerMessage.ShardLoad load;
     private long receivedAtMs;
 
-    /** CPUs of tasks that were assigned to the shard since the report. */
+    /** CPUs of the tasks that this controller has assigned to the shard since the report. */
     private double assignedCpus;
 
     private Report(PeerMessage.ShardLoad load) {
@@ -37,11 +40,11 @@
   private final Map<String, Report> reports = new TreeMap<>();
 
   /**
-   * Sets up the loads; none is known at first.
+   * Creates the loads. No load is known at first.
    *
-   * @param ownShard the shard that is named after this controller
-   * @param maxAgeMs age in ms after which a report is out of date, so that its shard is assigned
-   *     nothing
+   * @param ownShard the home shard of this controller
+   * @param maxAgeMs age in milliseconds after which a report is outdated, so that no tasks are
+   *     assigned to its shard
    */
   public ShardLoads(Reactor reactor, String ownShard, long maxAgeMs) {
     this.reactor = reactor;
@@ -49,7 +52,9 @@
     this.maxAgeMs = maxAgeMs;
   }
 
-  /** Takes a report of a shard's leader, unless one of a later epoch was received before. */
+  /**
+   * Stores a report of a shard leader, unless a report of a later epoch has already been received.
+   */
   public void update(PeerMessage.ShardLoad load) {
     Report report = reports.computeIfAbsent(load.shard(), shard -> new Report(load));
     if (load.epoch() < report.load.epoch()) {
@@ -65,10 +70,10 @@
   }
 
   /**
-   * The shards that tasks of a job may be assigned to; this controller's own where no load is
-   * known.
+   * Returns the shards to which tasks of a job may be assigned, or only this controller's home
+   * shard if no current load is known.
    *
-   * @param zone the only zone that free resources count in; null if all zones do
+   * @param zone the only zone whose free resources count; {@code null} if those of all zones do
    */
   public List<JobSplitter.Candidate> candidates(JobSpec spec, String zone) {
     List<JobSplitter.Candidate> candidates = new ArrayList<>();
@@ -89,7 +94,7 @@
     return candidates;
   }
 
-  /** How many tasks of a job a shard has room for, in the zones where they may run. */
+  /** Returns how many tasks of a job a shard has room for in the zones in which they may run. */
   private static int freeTasks(Report report, JobSpec spec, String zone) {
     int tasks = 0;
     for (FreeCapacity free : report.load.freeCapacity()) {
@@ -115,7 +120,7 @@
     return (int) Math.max(0, Math.floor(tasks));
   }
 
-  /** The CPUs of the machines of all shards but one. */
+  /** Returns the CPUs of the machines of all shards except the given one. */
   public double capacityOfOthers(String shard) {
     double sum = 0;
     for (Map.Entry<String, Report> entry : reports.entrySet()) {
@@ -127,17 +132,18 @@
   }
 
   /**
-   * The shard with room for most tasks of a job, or with the least waiting work per CPU where that
-   * is the same.
+   * Returns the shard that has room for the most tasks of a job. Among shards with room for equally
+   * many tasks, it is the one with the least waiting work per CPU.
    *
-   * @param zone the only zone that free resources count in; null if all zones do
-   * @param except a shard that is left out
-   * @return empty if the load of no other shard is known
+   * @param zone the only zone whose free resources count; {@code null} if those of all zones do
+   * @param excludedShard a shard that is not considered
+   * @return the shard, or empty if the load of no other shard is known
    */
-  public Optional<JobSplitter.Candidate> leastLoaded(JobSpec spec, String zone, String except) {
+  public Optional<JobSplitter.Candidate> leastLoaded(
+      JobSpec spec, String zone, String excludedShard) {
     JobSplitter.Candidate best = null;
     for (JobSplitter.Candidate candidate : candidates(spec, zone)) {
-      if (candidate.shard().equals(except) || !reports.containsKey(candidate.shard())) {
+      if (candidate.shard().equals(excludedShard) || !reports.containsKey(candidate.shard())) {
         continue;
       }
       if (best == null
@@ -150,7 +156,7 @@
     return Optional.ofNullable(best);
   }
 
-  /** Counts tasks as taken until their shard's next report. */
+  /** Counts the tasks of the parts as load of their shards until the next report of each shard. */
   public void addAssigned(JobSpec spec, List<JobSplitter.Part> parts) {
     for (JobSplitter.Part part : parts) {
       Report report = reports.get(part.shard());
@@ -160,7 +166,11 @@
     }
   }
 
-  /** The zone with most free CPUs, out of at least one. */
+  /**
+   * Returns the zone with the most free CPUs.
+   *
+   * @param zones the zones to choose from; at least one
+   */
   public String zoneWithMostFreeCpus(List<String> zones) {
     Map<String, Double> freeCpus = new TreeMap<>();
     for (Report report : reports.values()) {
--- a/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -10,22 +10,25 @@
 import org.fieldtrestle.worker.Worker;
 import org.fieldtrestle.worker.WorkerRegistry;
 
-/** Runs the parts that keep a shard's fleet at the size that its work needs, one after another. */
+/**
+ * Keeps a shard's fleet at the size that its work needs, by running the parts of this package one
+ * after another.
+ */
 public final class Autoscaler {
   private final ControllerContext context;
   private final WorkerRegistry workers;
   private final FailureTracker failures;
-  private final WorkloadRate workload;
+  private final WorkloadRate workloadRate;
   private final MachineHealth health;
   private final CloudListReconciler listReconciler;
   private final ScaleIn scaleIn;
   private final ScaleOut scaleOut;
 
   /**
-   * Sets up scaling for a shard.
+   * Creates the autoscaler of a shard.
    *
-   * @param inventory the shard's durable list of machines
-   * @param reservedCpus CPUs that are kept free for latency-sensitive jobs
+   * @param inventory the shard's machine inventory
+   * @param reservedCpus supplies the CPUs that are reserved for latency-sensitive jobs
    */
   public Autoscaler(
       ControllerContext context,
@@ -39,28 +42,28 @@
     this.workers = workers;
     this.failures = failures;
     MachineTypeSelector types = new MachineTypeSelector(context);
-    this.workload = new WorkloadRate(context, types);
+    this.workloadRate = new WorkloadRate(context, types);
     this.health = new MachineHealth(context, workers, failures);
     this.listReconciler = new CloudListReconciler(context, term, workers, inventory, health);
     this.scaleIn =
-        new ScaleIn(context, term, workers, ranges, inventory, health, workload, reservedCpus);
+        new ScaleIn(context, term, workers, ranges, inventory, health, workloadRate, reservedCpus);
     DemandEstimator demand =
-        new DemandEstimator(context, term, workers, ranges, failures, health, workload, types);
-    this.scaleOut = new ScaleOut(context, term, workers, inventory, demand, workload);
+        new DemandEstimator(context, term, workers, ranges, failures, health, workloadRate, types);
+    this.scaleOut = new ScaleOut(context, term, workers, inventory, demand, workloadRate);
   }
 
-  /** The shard is led from now on. */
+  /** Called when this controller begins to lead the shard. */
   public void leadershipBegan() {
-    workload.begin();
+    workloadRate.begin();
     listReconciler.begin();
   }
 
-  /** A range has come to this shard. */
+  /** Called when a task range is added to this shard. */
   public void rangeAdded(TaskRange range) {
-    workload.rangeAdded(range);
+    workloadRate.rangeAdded(range);
   }
 
-  /** Checks all machines, returns those that are not needed and rents those that are. */
+  /** Checks all machines, returns those that are not needed and rents more if any are missing. */
   public void tick(long nowMs) {
     failures.forgetEnded();
     listReconciler.tick(nowMs);
@@ -69,12 +72,12 @@
       MachineType type = context.type(worker.machineType());
       if (!worker.isDraining()
           && type != null
-          && !health.drainIfUseless(worker, type, fleet, nowMs)) {
+          && !health.drainIfUnusable(worker, type, fleet, nowMs)) {
         scaleIn.drainIfIdle(worker, type, fleet, nowMs);
       }
     }
     scaleIn.adjustCordons(nowMs);
-    scaleIn.terminate(nowMs);
+    scaleIn.terminateDrained(nowMs);
     scaleOut.tick(nowMs);
   }
 }
--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -14,19 +14,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the cloud's machine list with the shard's workers: machines that have failed or are
- * gone are drained, and orphans are adopted.
+ * Reconciles the cloud's machine list with the shard's workers: machines that have failed or are no
+ * longer listed are drained, and orphans are adopted.
  */
 final class CloudListReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(CloudListReconciler.class);
 
-  /** A rented machine may be missing in the list for so many times the list's lag. */
+  /** How long a rented machine may be missing from the list, in multiples of the list's lag. */
   private static final int MAX_LAGS_UNTIL_LISTED = 4;
 
-  /** Lists in a row in which a machine has to be missing before it counts as gone. */
+  /** Number of consecutive lists in which a machine has to be missing before it counts as gone. */
   private static final int GONE_AFTER_LISTS = 3;
 
-  /** A machine without a record is an orphan after so many times the list's lag. */
+  /**
+   * How long a machine has to be without a record before it counts as an orphan, in multiples of
+   * the list's lag.
+   */
   private static final int ORPHAN_AFTER_LAGS = 3;
 
   private final ControllerContext context;
@@ -35,14 +38,14 @@
   private final MachineInventory inventory;
   private final MachineHealth health;
 
-  /** Since when machines without a record have been listed, in ms. */
+  /** Since when each machine without a record has been listed, in milliseconds. */
   private final Map<String, Long> unrecordedSinceMs = new HashMap<>();
 
-  /** In how many lists in a row workers have been missing. */
+  /** Number of consecutive lists in which each worker has been missing. */
   private final Map<String, Integer> missingLists = new HashMap<>();
 
-  private boolean listing;
-  private long listedAtMs;
+  private boolean listInFlight;
+  private long listRequestedAtMs;
 
   CloudListReconciler(
       ControllerContext context,
@@ -57,23 +60,23 @@
     this.health = health;
   }
 
-  /** The first list is read one lag from now. */
+  /** Starts the schedule: the first list is requested one lag from now. */
   void begin() {
-    listedAtMs = context.now();
+    listRequestedAtMs = context.now();
   }
 
-  /** Reads the list if the last one is older than the list's lag. */
+  /** Requests the list if the last request is longer ago than the list's lag. */
   void tick(long nowMs) {
-    if (listing || nowMs - listedAtMs < context.cloud().listLagMs()) {
+    if (listInFlight || nowMs - listRequestedAtMs < context.cloud().listLagMs()) {
       return;
     }
-    listing = true;
-    listedAtMs = nowMs;
+    listInFlight = true;
+    listRequestedAtMs = nowMs;
     context
         .cloud()
         .list(
             machines -> {
-              listing = false;
+              listInFlight = false;
               if (machines.isPresent() && term.isLeading()) {
                 reconcile(machines.get(), context.now());
               }
@@ -107,9 +110,11 @@
       missingLists.remove(worker.id());
       return;
     }
-    // A worker that has never reported in this term is not waited for: it would hold up its team's
-    // quota and inherited tasks for the former leader's lease and its own, and each of several
-    // failovers in a row would begin that anew.
+    // A worker that has never reported in this term is given up at once. Otherwise it would block
+    // its
+    // team's quota and inherited tasks until the former leader's lease and its own have expired,
+    // and
+    // each further failover would start that wait again.
     if (missingLists.merge(worker.id(), 1, Integer::sum) >= GONE_AFTER_LISTS
         && (!worker.hasReported() || health.isSilent(worker, nowMs))) {
       if (!worker.isDraining()) {
@@ -120,8 +125,9 @@
   }
 
   /**
-   * Adopts a machine that has been without a record for too long: a late rental, or one whose
-   * renter has failed. Only one controller does so, for its own shard.
+   * Adopts a machine that has been without a record for too long, because the rental was carried
+   * out late or the controller that rented it has failed. Only the first controller adopts
+   * machines, and only for its home shard.
    */
   private void adoptIfOrphan(ListedMachine machine, long nowMs) {
     long sinceMs = unrecordedSinceMs.computeIfAbsent(machine.machine(), id -> nowMs);
--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -16,32 +16,40 @@
 import org.fieldtrestle.worker.Worker;
 import org.fieldtrestle.worker.WorkerRegistry;
 
-/** Estimates how many machines the waiting tasks need to be done in time. */
+/** Estimates how many machines are needed to finish the waiting tasks in time. */
 final class DemandEstimator {
-  /** Share of the slack before a deadline that may pass before the last waiting task starts. */
-  private static final double SLACK_SHARE = 0.75;
+  /**
+   * Largest share of the slack before a deadline that may pass before the last waiting task starts.
+   */
+  private static final double MAX_SLACK_SHARE = 0.75;
 
-  /** The least such share for classes of which nearly all jobs have to meet their deadlines. */
+  /**
+   * Smallest such share, used for job classes in which nearly all jobs have to meet their
+   * deadlines.
+   */
   private static final double MIN_SLACK_SHARE = 0.1;
 
-  /** Share of arriving work for which machines are rented beside those for waiting work. */
-  private static final double ARRIVING_SHARE = 0.5;
+  /** Share of arriving work for which machines are rented in addition to those for waiting work. */
+  private static final double ARRIVING_WORK_SHARE = 0.5;
 
-  /** Time within which work without a deadline is to be done, in boots of a machine. */
-  private static final double WITHIN_BOOTS = 4;
+  /** Time limit for work without a deadline, in boot times of a machine. */
+  private static final double DEFAULT_TIME_LIMIT_BOOTS = 4;
 
-  /** A machine that is rented now is of no help sooner, however late the job is. */
-  private static final double MIN_WITHIN_BOOTS = 2;
+  /**
+   * Smallest time limit in boot times of a machine. A machine that is rented now is of no use
+   * earlier, however late the job is.
+   */
+  private static final double MIN_TIME_LIMIT_BOOTS = 2;
 
-  private static final double MAX_WITHIN_BOOTS = 6;
+  private static final double MAX_TIME_LIMIT_BOOTS = 6;
 
-  /** Least seconds that a running task is expected to go on for. */
+  /** Minimum time in seconds for which a running task is expected to continue. */
   private static final double MIN_REMAINING_S = 2;
 
-  /** Least share of a boot that a machine which is not up yet is expected to take. */
+  /** Minimum share of the boot time that a machine which is not up yet is expected to need. */
   private static final double MIN_REMAINING_BOOT = 0.2;
 
-  /** Share of a machine that may be missing without one more being rented. */
+  /** Share of a machine that may be missing before one more is rented. */
   private static final double TOLERATED_SHORTAGE = 0.2;
 
   private final ControllerContext context;
@@ -50,8 +58,8 @@
   private final TaskRanges ranges;
   private final FailureTracker failures;
   private final MachineHealth health;
-  private final WorkloadRate workload;
-  private final MachineTypeSelector types;
+  private final WorkloadRate workloadRate;
+  private final MachineTypeSelector machineTypes;
 
   DemandEstimator(
       ControllerContext context,
@@ -60,35 +68,37 @@
       TaskRanges ranges,
       FailureTracker failures,
       MachineHealth health,
-      WorkloadRate workload,
-      MachineTypeSelector types) {
+      WorkloadRate workloadRate,
+      MachineTypeSelector machineTypes) {
     this.context = context;
     this.term = term;
     this.workers = workers;
     this.ranges = ranges;
     this.failures = failures;
     this.health = health;
-    this.workload = workload;
-    this.types = types;
+    this.workloadRate = workloadRate;
+    this.machineTypes = machineTypes;
   }
 
-  /** What the waiting tasks of all ranges need, the most urgent first. */
+  /** Returns the demands of the waiting tasks of all ranges, the most urgent first. */
   List<MachineDemand> demands(long nowMs) {
     List<MachineDemand> demands = new ArrayList<>();
     for (TaskRange range : ranges.all()) {
-      // While a worker has not reported, waiting tasks of an inherited range may be on it, and none
-      // of them may start anyway: every restart would rent a second fleet for them.
+      // While a worker has not reported, waiting tasks of an inherited range may be running on it,
+      // and
+      // none of them may be started anyway. If they counted, every restart of a controller would
+      // rent a second fleet for them.
       if (range.spec() != null
           && !term.policy().mustStop(range)
           && range.waiting() > 0
           && !ranges.blocked(range)) {
-        Optional<MachineType> type = types.cheapestFor(range.spec());
+        Optional<MachineType> type = machineTypes.cheapestFor(range.spec());
         if (type.isPresent()) {
           demands.add(demand(range, type.get(), nowMs));
         }
       }
     }
-    demands.sort(Comparator.comparingDouble(MachineDemand::withinS));
+    demands.sort(Comparator.comparingDouble(MachineDemand::timeLimitS));
     return demands;
   }
 
@@ -99,23 +109,25 @@
             * range.waiting()
             / type.tasksPerMachine(spec);
     String zone = range.zone() != null ? range.zone() : spec.zone();
-    double wantedS = WITHIN_BOOTS * type.bootS();
+    double wantedS = DEFAULT_TIME_LIMIT_BOOTS * type.bootS();
     if (spec.deadlineS() >= 0) {
       double waitedS = (nowMs - range.waitingSince()) / 1000.0;
       double slackS = spec.deadlineS() - waitedS - spec.estimateS() - type.imageFetchS(spec);
       wantedS = slackS * slackShare(spec) + spec.estimateS();
     }
-    double withinS =
+    double timeLimitS =
         Math.min(
-            Math.max(wantedS, MIN_WITHIN_BOOTS * type.bootS()), MAX_WITHIN_BOOTS * type.bootS());
-    return new MachineDemand(range, type, spec.spot(), zone, machineS, withinS);
+            Math.max(wantedS, MIN_TIME_LIMIT_BOOTS * type.bootS()),
+            MAX_TIME_LIMIT_BOOTS * type.bootS());
+    return new MachineDemand(range, type, spec.spot(), zone, machineS, timeLimitS);
   }
 
   /**
-   * The share of its slack that a job may wait: the less, the more of its class must be in time.
+   * Returns the share of its slack that a job may wait. The share is smaller, the more jobs of its
+   * class have to meet their deadlines.
    */
   private double slackShare(JobSpec spec) {
-    double share = SLACK_SHARE;
+    double share = MAX_SLACK_SHARE;
     for (Settings.Objective objective : context.settings().objectives()) {
       if (objective.kind().equals("deadline")
           && objective.jobClass().equals(spec.jobClass())
@@ -127,9 +139,9 @@
   }
 
   /**
-   * How many more machines the demands of one kind need.
+   * Returns how many more machines the demands of one kind need.
    *
-   * @param kind one of the demands of that kind
+   * @param kind any demand of that kind
    * @param demands all demands, the most urgent first
    */
   int missingMachines(MachineDemand kind, List<MachineDemand> demands, long nowMs) {
@@ -149,18 +161,18 @@
       }
       busyS = addBusyS(busyS, worker, type, nowMs);
     }
-    // Without any machine even the least work would wait for ever.
+    // Without any machine even the smallest amount of work would wait forever.
     int missing = machines == 0 ? 1 : 0;
     double waitingS = 0;
     for (MachineDemand demand : demands) {
       if (demand.isSameKind(kind)) {
-        // The most urgent work is done first: each later demand adds to those before it.
+        // The most urgent work is done first, so each later demand adds to the previous ones.
         waitingS += demand.machineS();
-        // Work goes on arriving meanwhile; part of it finds room that ending tasks leave.
-        double arrivingS = workload.busyMachines() * demand.withinS() * ARRIVING_SHARE;
-        double availableS = machines * demand.withinS() - bootingS - busyS;
+        // Work continues to arrive in the meantime; part of it uses the room of tasks that end.
+        double arrivingS = workloadRate.busyMachines() * demand.timeLimitS() * ARRIVING_WORK_SHARE;
+        double availableS = machines * demand.timeLimitS() - bootingS - busyS;
         double shortage =
-            (waitingS + arrivingS - Math.max(0, availableS)) / (demand.withinS() - type.bootS());
+            (waitingS + arrivingS - Math.max(0, availableS)) / (demand.timeLimitS() - type.bootS());
         missing = Math.max(missing, (int) Math.ceil(shortage - TOLERATED_SHORTAGE));
       }
     }
@@ -174,7 +186,7 @@
         && !failures.avoids(kind.range(), worker);
   }
 
-  /** Adds the seconds for which a worker's tasks take a whole machine of a type. */
+  /** Adds the time in seconds for which the tasks of a worker occupy a whole machine of a type. */
   private static double addBusyS(double sumS, Worker worker, MachineType type, long nowMs) {
     double busyS = sumS;
     for (TaskAttempt task : worker.attempts()) {
--- a/src/main/java/org/fieldtrestle/scaling/FleetStatus.java
+++ b/src/main/java/org/fieldtrestle/scaling/FleetStatus.java
@@ -6,9 +6,9 @@
 import org.fieldtrestle.worker.Worker;
 import org.fieldtrestle.worker.WorkerRegistry;
 
-/** Sums over a shard's workers that the checks of each worker use; taken once a tick. */
+/** Totals over a shard's workers, computed once per tick for the checks of the single workers. */
 final class FleetStatus {
-  /** A worker counts as silent for its zone after so many heartbeat intervals. */
+  /** Heartbeat intervals without a heartbeat after which a worker counts as silent in its zone. */
   private static final double SILENT_HEARTBEATS = 2;
 
   private static final class ZoneCount {
@@ -42,14 +42,14 @@
     return workers.silentFor(worker, nowMs) > context.heartbeatIntervalsMs(SILENT_HEARTBEATS);
   }
 
-  /** How many spot machines are not draining. */
+  /** Returns the number of spot machines that are not draining. */
   int spotMachines() {
     return spotMachines;
   }
 
   /**
-   * Whether at least half of the other workers in a worker's zone are silent too: a network
-   * partition then, and not the machines.
+   * Whether at least half of the other workers in a worker's zone are silent too. If they are, the
+   * likely cause is a network partition and not a failure of the machines.
    *
    * @param worker a worker that is up
    */
--- a/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
+++ b/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
@@ -14,34 +14,38 @@
 import org.fieldtrestle.state.StateKeys;
 import org.fieldtrestle.worker.LeadershipTerm;
 
-/** Updates of a machine inventory that are written in one compare-and-swap transaction. */
+/** Updates of a machine inventory that are written in a single compare-and-swap transaction. */
 final class InventoryBatch {
-  /** What became of an update. */
+  /** The result of {@link InventoryBatch#include}. */
   enum Inclusion {
-    /** It is in the batch. */
+    /** The update is in the batch. */
     INCLUDED,
-    /** Its part of the inventory no longer fits the transaction. */
+    /** The part of the inventory that the update changes does not fit into the transaction. */
     DEFERRED,
-    /** The state shows that there is nothing to write any more. */
+    /** The update is no longer needed, according to the state cache. */
     OBSOLETE
   }
 
-  /** Share of a value's largest size up to which a part of the inventory is filled. */
-  private static final double MAX_FILL = 0.8;
+  /** Share of the maximum value size up to which a part of the inventory is filled. */
+  private static final double MAX_FILL_SHARE = 0.8;
 
-  /** The most that a machine takes of a value. */
+  /** Maximum number of bytes that a machine takes in a value. */
   private static final int BYTES_PER_MACHINE = 24;
 
-  /** The most that a transaction may hold in values, less what else is in it. */
+  /**
+   * Maximum size of the inventory values in a transaction; the rest is left for its other contents.
+   */
   private static final double MAX_TRANSACTION_KB = 56;
 
-  /** Operations that are kept free for a machine's own changes and the term's guard. */
+  /**
+   * Operations that are kept free for the changes of a further machine and for the term's guard.
+   */
   private static final int SPARE_OPERATIONS = 4;
 
-  /** The store takes so many times as many conditions as operations. */
+  /** The key-value store accepts this many conditions per operation that it accepts. */
   private static final int CONDITIONS_PER_OPERATION = 4;
 
-  /** Conditions that are kept free, as for the parts of other shards' inventories. */
+  /** Conditions that are kept free, for example for the parts of other shards' inventories. */
   private static final int SPARE_CONDITIONS = 16;
 
   private final ControllerContext context;
@@ -50,7 +54,7 @@
   private final List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
   private final List<KeyValueProtocol.Change> changes = new ArrayList<>();
 
-  /** The parts of the inventory that the batch touches, as they will be. */
+  /** The parts of the inventory that the batch changes, as they will be after the transaction. */
   private final Map<StateKey.InventoryKey, Map<String, MachineRecord>> parts =
       new TreeMap<>(Comparator.comparingInt(StateKey.InventoryKey::part));
 
@@ -59,22 +63,25 @@
     this.term = term;
   }
 
-  /** The included updates by machine. */
+  /** Returns the included updates by machine. */
   Map<String, PendingUpdate> updates() {
     return updates;
   }
 
-  /** The conditions of the transaction, complete after {@link #complete}. */
+  /** Returns the conditions of the transaction, which are complete after {@link #complete}. */
   List<KeyValueProtocol.Condition> conditions() {
     return conditions;
   }
 
-  /** The changes of the transaction, complete after {@link #complete}. */
+  /** Returns the changes of the transaction, which are complete after {@link #complete}. */
   List<KeyValueProtocol.Change> changes() {
     return changes;
   }
 
-  /** Whether one more machine fits: the store limits operations and conditions. */
+  /**
+   * Whether an update of one more machine fits. The key-value store limits the operations and
+   * conditions of a transaction.
+   */
   boolean hasCapacity() {
     int operations = context.settings().state().txnOps();
     return changes.size() + parts.size() + SPARE_OPERATIONS < operations
@@ -82,7 +89,7 @@
             < CONDITIONS_PER_OPERATION * operations;
   }
 
-  /** Includes an update if it is still needed and fits. */
+  /** Includes an update if it is still needed and fits into the transaction. */
   Inclusion include(String id, PendingUpdate update) {
     MachineRecord recorded = context.stateCache().machines().get(id);
     if (update instanceof PendingUpdate.Add add) {
@@ -108,24 +115,26 @@
   }
 
   private Inclusion includeAdd(String id, PendingUpdate.Add add) {
-    int number = firstPartWithRoom();
-    if (!partFits(number)) {
+    int partNumber = firstPartNumberWithRoom();
+    if (!partFits(partNumber)) {
       return Inclusion.DEFERRED;
     }
     updates.put(id, add);
     MachineRecord machine = add.machine();
-    part(number)
+    part(partNumber)
         .put(
             id,
             new MachineRecord(
                 machine.shard(),
-                number,
+                partNumber,
                 machine.type(),
                 machine.zone(),
                 machine.spot(),
                 machine.bootingSinceWallMs(),
                 machine.upSinceEpoch()));
-    // An adopter writes this key, so that a renter's late write cannot add the machine again.
+    // The shard that adopts a machine writes this key, so that a late write of the shard that
+    // rented
+    // it cannot add the machine again.
     String orphanKey = StateKeys.orphan(id);
     conditions.add(
         new KeyValueProtocol.Condition(orphanKey, context.stateCache().version(orphanKey)));
@@ -135,45 +144,48 @@
     return Inclusion.INCLUDED;
   }
 
-  private int firstPartWithRoom() {
+  private int firstPartNumberWithRoom() {
     double partBytes = context.settings().state().valueKb() * 1024;
-    int maxMachines = (int) (partBytes * MAX_FILL / BYTES_PER_MACHINE);
-    int number = 0;
-    while (sizeOf(number) >= maxMachines
-        || !context.stateCache().isReadable(StateKeys.inventory(key(number)))) {
-      number++;
+    int maxMachines = (int) (partBytes * MAX_FILL_SHARE / BYTES_PER_MACHINE);
+    int partNumber = 0;
+    while (machineCount(partNumber) >= maxMachines
+        || !context.stateCache().isReadable(StateKeys.inventory(inventoryKey(partNumber)))) {
+      partNumber++;
     }
-    return number;
+    return partNumber;
   }
 
-  private int sizeOf(int number) {
-    Map<String, MachineRecord> changed = parts.get(key(number));
-    return changed != null ? changed.size() : stored(key(number)).size();
+  private int machineCount(int partNumber) {
+    Map<String, MachineRecord> changed = parts.get(inventoryKey(partNumber));
+    return changed != null ? changed.size() : stored(inventoryKey(partNumber)).size();
   }
 
   /**
-   * Whether a part is in the transaction or still fits it. Updates of a part that does not fit wait
-   * for the next batch, while those of parts that are in this one go on: otherwise a shard of many
-   * parts would write few machines at a time.
+   * Whether a part of the inventory is already in the transaction or still fits into it. Updates of
+   * a part that does not fit wait for the next batch, while updates of parts that are in this batch
+   * are still included. Otherwise a shard with many parts would write only a few machines at a
+   * time.
    */
-  private boolean partFits(int number) {
-    return parts.containsKey(key(number))
+  private boolean partFits(int partNumber) {
+    return parts.containsKey(inventoryKey(partNumber))
         || (parts.size() + 1) * context.settings().state().valueKb() <= MAX_TRANSACTION_KB;
   }
 
-  private Map<String, MachineRecord> part(int number) {
-    return parts.computeIfAbsent(key(number), key -> new TreeMap<>(stored(key)));
+  private Map<String, MachineRecord> part(int partNumber) {
+    return parts.computeIfAbsent(inventoryKey(partNumber), key -> new TreeMap<>(stored(key)));
   }
 
   private Map<String, MachineRecord> stored(StateKey.InventoryKey key) {
     return context.stateCache().inventories().getOrDefault(key, Map.of());
   }
 
-  private StateKey.InventoryKey key(int number) {
-    return new StateKey.InventoryKey(term.shard(), number);
+  private StateKey.InventoryKey inventoryKey(int partNumber) {
+    return new StateKey.InventoryKey(term.shard(), partNumber);
   }
 
-  /** Adds the conditions and changes of all updates together; nothing is included after that. */
+  /**
+   * Adds the conditions and changes that all updates share. No update may be included afterwards.
+   */
   void complete() {
     if (updates.values().stream().anyMatch(InventoryBatch::isAdoption)) {
       requireOtherInventoriesUnchanged();
@@ -193,17 +205,20 @@
     return update instanceof PendingUpdate.Add add && add.adopted();
   }
 
-  /** No other shard may have added a machine that is adopted since its absence was seen. */
+  /**
+   * Adds conditions that no other shard has changed its inventory, so that no other shard has added
+   * an adopted machine since it was seen to have no record.
+   */
   private void requireOtherInventoriesUnchanged() {
     for (String other : context.stateCache().shards().keySet()) {
       if (!other.equals(term.shard())) {
-        int number = 0;
+        int partNumber = 0;
         long version;
         do {
-          String key = StateKeys.inventory(new StateKey.InventoryKey(other, number));
+          String key = StateKeys.inventory(new StateKey.InventoryKey(other, partNumber));
           version = context.stateCache().version(key);
           conditions.add(new KeyValueProtocol.Condition(key, version));
-          number++;
+          partNumber++;
         } while (version != 0);
       }
     }
--- a/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
@@ -9,20 +9,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Health checks of machines; those that are of no use are drained and so replaced. */
+/** Health checks of machines. Unusable machines are drained, so that they are replaced. */
 final class MachineHealth {
   private static final Logger LOG = LoggerFactory.getLogger(MachineHealth.class);
 
-  /** A worker counts as silent after so many heartbeat intervals. */
+  /** Heartbeat intervals without a heartbeat after which a worker counts as silent. */
   private static final double SILENT_HEARTBEATS = 3.2;
 
-  /** A machine that has not come up after so many times its usual boot is replaced. */
+  /** Multiple of the usual boot time after which a machine that has not come up is replaced. */
   private static final double MAX_BOOTS = 3.5;
 
-  /** A worker that is silent for so many leases is replaced, whatever its zone does. */
+  /** Number of leases after which a silent worker is replaced, even if its whole zone is silent. */
   private static final int MAX_SILENT_LEASES = 2;
 
-  /** Heartbeat intervals, beside a lease, in which a worker has to show a token of this term. */
+  /**
+   * Heartbeat intervals, in addition to a lease, within which a worker has to show a fencing token
+   * of this term.
+   */
   private static final double RECONCILIATION_HEARTBEATS = 4;
 
   private final ControllerContext context;
@@ -35,8 +38,8 @@
     this.failures = failures;
   }
 
-  /** Drains a machine that is of no use any more; returns whether it did. */
-  boolean drainIfUseless(Worker worker, MachineType type, FleetStatus fleet, long nowMs) {
+  /** Drains a machine if it is no longer usable, and returns whether it was drained. */
+  boolean drainIfUnusable(Worker worker, MachineType type, FleetStatus fleet, long nowMs) {
     checkForSlowTasks(worker, nowMs);
     if (!worker.hasReported()
         && !worker.isUp()
@@ -56,8 +59,9 @@
       return true;
     }
     if (upWithLease && isUnresponsive(worker, nowMs)) {
-      // Its heartbeats do not show whether it receives the answers. Nothing on it can be stopped
-      // but by the end of its lease, and nothing can be started: only its return ensures that.
+      // Its heartbeats do not show that the worker receives the answers. No task can be started on
+      // it, and its tasks can only be stopped by letting its lease expire. Returning the machine is
+      // the only way to ensure that.
       drain(worker, "receives no answers");
       worker.beginTermination();
       return true;
@@ -73,12 +77,12 @@
     }
   }
 
-  /** Whether several heartbeats of a worker in a row are missing. */
+  /** Whether several consecutive heartbeats of a worker are missing. */
   boolean isSilent(Worker worker, long nowMs) {
     return workers.silentFor(worker, nowMs) > context.heartbeatIntervalsMs(SILENT_HEARTBEATS);
   }
 
-  /** Whether a worker that sends heartbeats has not received the answers to them for too long. */
+  /** Whether a worker that sends heartbeats has not received answers to them for too long. */
   boolean isUnresponsive(Worker worker, long nowMs) {
     long leaseMs = context.settings().workerLeaseMs();
     if (worker.isUnresponsive()) {
@@ -90,7 +94,7 @@
             > leaseMs + context.heartbeatIntervalsMs(RECONCILIATION_HEARTBEATS);
   }
 
-  /** Drains a worker and logs why. */
+  /** Drains a worker and logs the reason. */
   static void drain(Worker worker, String reason) {
     worker.drain(reason);
     LOG.atInfo()
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -9,21 +9,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the durable list of a shard's machines. Many machines share a value and many updates a
- * write: hundreds of machines come up within a minute, and a write for each would take all that the
- * key-value store allows. Updates that come in while a write is in flight, and for a short while
- * after, go into the next one.
+ * Writes the machine inventory of a shard, the durable list of its machines. Many machines share a
+ * value and many updates share a write: hundreds of machines may come up within a minute, and a
+ * write for each of them would use up this controller's share of the key-value store's write rate.
+ * Updates that are made while a write is in flight, or shortly after it, go into the next write.
  */
 public final class MachineInventory {
   private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
 
-  /** Time between two writes, in writes of this controller's share of the store's write rate. */
+  /**
+   * Minimum time between two writes, in writes at this controller's share of the store's write
+   * rate.
+   */
   private static final double WRITE_INTERVAL_WRITES = 3;
 
   private final LeadershipTerm term;
   private final ControllerContext context;
 
-  /** The last update of each machine that is not written yet, in the order of the first one. */
+  /**
+   * The latest unwritten update of each machine, in the order of the machines' first unwritten
+   * updates.
+   */
   private final Map<String, PendingUpdate> pending = new LinkedHashMap<>();
 
   /** Whether a write is scheduled or in flight. */
@@ -31,43 +37,43 @@
 
   private long nextWriteAtMs;
 
-  /** Sets up the inventory of a shard for one term. */
+  /** Creates the inventory of a shard for one term. */
   public MachineInventory(ControllerContext context, LeadershipTerm term) {
     this.context = context;
     this.term = term;
   }
 
-  /** Adds a machine that this shard has rented, unless another shard has adopted it before. */
+  /** Adds a machine that this shard has rented, unless another shard has already adopted it. */
   void addRented(String id, String type, String zone, boolean spot) {
-    long rentedAt = context.reactor().wall();
-    MachineRecord machine = new MachineRecord(term.shard(), 0, type, zone, spot, rentedAt, 0);
+    long rentedAtWallMs = context.reactor().wall();
+    MachineRecord machine = new MachineRecord(term.shard(), 0, type, zone, spot, rentedAtWallMs, 0);
     update(id, new PendingUpdate.Add(machine, false, () -> {}));
   }
 
   /**
-   * Adds a machine without a record, unless another shard adds it before. It counts as up, as
-   * another controller may have started tasks on it.
+   * Adds a machine that has no record, unless another shard adds it first. The machine counts as
+   * up, as another controller may have started tasks on it.
    *
-   * @param decided called once the machine is added, or is known not to be
+   * @param onDecided called once the machine was added or is known not to be added
    */
-  public void adopt(String id, String type, String zone, boolean spot, Runnable decided) {
+  public void adopt(String id, String type, String zone, boolean spot, Runnable onDecided) {
     MachineRecord machine = new MachineRecord(term.shard(), 0, type, zone, spot, 0, term.epoch());
-    update(id, new PendingUpdate.Add(machine, true, decided));
+    update(id, new PendingUpdate.Add(machine, true, onDecided));
   }
 
-  /** Marks a machine as up. Tasks may be started on it once that is durable. */
+  /** Marks a machine as up. Tasks may be started on it once the mark is durable. */
   public void markUp(String id) {
     update(id, new PendingUpdate.MarkUp());
   }
 
-  /** Removes a machine that is gone. */
+  /** Removes a machine that no longer exists. */
   void remove(String id) {
     update(id, new PendingUpdate.Remove());
   }
 
   private void update(String id, PendingUpdate update) {
     if (pending.put(id, update) instanceof PendingUpdate.Add replaced) {
-      context.reactor().execute(replaced.decided());
+      context.reactor().execute(replaced.onDecided());
     }
     scheduleWrite();
   }
@@ -89,8 +95,8 @@
       return;
     }
     batch.complete();
-    if (batch.changes().isEmpty()) { // the store holds all of it already
-      written(batch);
+    if (batch.changes().isEmpty()) { // the key-value store already holds all updates
+      batchWritten(batch);
       return;
     }
     busy = true;
@@ -102,16 +108,16 @@
         committed -> {
           busy = false;
           if (committed) {
-            written(batch);
+            batchWritten(batch);
           }
-          // Updates that are not written stay pending and are compared with the state anew.
+          // Updates that were not written stay pending and are compared with the state cache again.
           if (!pending.isEmpty()) {
             scheduleWrite();
           }
         });
   }
 
-  /** Puts pending updates into a batch until it is full; obsolete ones are dropped. */
+  /** Collects pending updates into a batch until it is full, and drops obsolete ones. */
   private InventoryBatch collectBatch() {
     InventoryBatch batch = new InventoryBatch(context, term);
     var updates = pending.entrySet().iterator();
@@ -121,22 +127,22 @@
       if (batch.include(entry.getKey(), update) == InventoryBatch.Inclusion.OBSOLETE) {
         updates.remove();
         if (update instanceof PendingUpdate.Add add) {
-          context.reactor().execute(add.decided());
+          context.reactor().execute(add.onDecided());
         }
       }
     }
     return batch;
   }
 
-  private void written(InventoryBatch batch) {
+  private void batchWritten(InventoryBatch batch) {
     LOG.debug("{} machines written", batch.updates().size());
     batch
         .updates()
         .forEach(
             (id, update) -> {
-              pending.remove(id, update); // one that has replaced it meanwhile stays
+              pending.remove(id, update); // a newer update of the machine stays
               if (update instanceof PendingUpdate.Add add) {
-                add.decided().run();
+                add.onDecided().run();
               }
             });
   }
--- a/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
@@ -13,7 +13,10 @@
     this.context = context;
   }
 
-  /** The type on which a task of a job costs least; empty if no type allows the job. */
+  /**
+   * Returns the machine type on which a task of a job costs least, or empty if no type allows the
+   * job.
+   */
   Optional<MachineType> cheapestFor(JobSpec spec) {
     MachineType cheapest = null;
     double lowestPrice = 0;
@@ -34,7 +37,10 @@
     return price / type.tasksPerMachine(spec);
   }
 
-  /** The seconds for which some tasks of a job take a whole machine; 0 if no type allows it. */
+  /**
+   * Returns the time in seconds for which the given number of tasks of a job occupies a whole
+   * machine; 0 if no machine type allows the job.
+   */
   double machineSeconds(JobSpec spec, int tasks) {
     Optional<MachineType> type = cheapestFor(spec);
     return type.isEmpty() ? 0 : tasks * spec.estimateS() / type.get().tasksPerMachine(spec);
--- a/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
@@ -14,22 +14,37 @@
 
 /** Scale in: cordons and drains machines that are not needed, and returns drained ones. */
 final class ScaleIn {
-  /** How long a machine is idle before it is drained, in boots of its type. */
+  /** How long a machine may be idle before it is drained, in boot times of its machine type. */
   private static final double IDLE_BOOTS = 0.5;
 
-  /** The same for a cordoned machine. */
+  /**
+   * How long a cordoned machine may be idle before it is drained, in boot times of its machine
+   * type.
+   */
   private static final double CORDONED_IDLE_BOOTS = 0.25;
 
-  /** The same for a spot machine that arriving work will need again. */
+  /**
+   * How long a spot machine that arriving work will need again may be idle before it is drained, in
+   * boot times of its machine type.
+   */
   private static final double NEEDED_SPOT_IDLE_BOOTS = 2;
 
-  /** Share of an ordinary machine's CPUs that stay free on others when it is cordoned. */
+  /**
+   * CPUs that have to stay free on other machines when an ordinary machine is cordoned, as a share
+   * of its CPUs.
+   */
   private static final double SURPLUS_AFTER_ORDINARY = 0.25;
 
-  /** Share of a spot machine's CPUs that stay free on others when it is cordoned. */
+  /**
+   * CPUs that have to stay free on other machines when a spot machine is cordoned, as a share of
+   * its CPUs.
+   */
   private static final double SURPLUS_AFTER_SPOT = 0.75;
 
-  /** Order of cordoning: ordinary machines before spot ones, then the least used first. */
+  /**
+   * Order in which machines are cordoned: ordinary machines before spot machines, then the least
+   * used first.
+   */
   private static final Comparator<Worker> CORDONING_ORDER =
       Comparator.comparing((Worker worker) -> worker.isSpot())
           .thenComparingDouble(Worker::usedCpus);
@@ -40,9 +55,9 @@
   private final TaskRanges ranges;
   private final MachineInventory inventory;
   private final MachineHealth health;
-  private final WorkloadRate workload;
+  private final WorkloadRate workloadRate;
   private final DoubleSupplier reservedCpus;
-  private boolean returning;
+  private boolean returnInFlight;
 
   ScaleIn(
       ControllerContext context,
@@ -51,7 +66,7 @@
       TaskRanges ranges,
       MachineInventory inventory,
       MachineHealth health,
-      WorkloadRate workload,
+      WorkloadRate workloadRate,
       DoubleSupplier reservedCpus) {
     this.context = context;
     this.term = term;
@@ -59,7 +74,7 @@
     this.ranges = ranges;
     this.inventory = inventory;
     this.health = health;
-    this.workload = workload;
+    this.workloadRate = workloadRate;
     this.reservedCpus = reservedCpus;
   }
 
@@ -77,20 +92,20 @@
     double boots = IDLE_BOOTS;
     if (worker.isCordoned()) {
       boots = CORDONED_IDLE_BOOTS;
-    } else if (worker.isSpot() && fleet.spotMachines() <= workload.targetMachines()) {
+    } else if (worker.isSpot() && fleet.spotMachines() <= workloadRate.targetMachines()) {
       boots = NEEDED_SPOT_IDLE_BOOTS;
     }
     return Math.round(type.bootS() * (boots * 1000));
   }
 
   /**
-   * Cordons machines that are not needed: they take no new tasks and are drained once empty. They
-   * are uncordoned, the most used first, when less than the reserve is free on the others. Waiting
-   * tasks do not count: on a large fleet some always wait for a moment, so that no machine would
-   * ever be cordoned.
+   * Cordons machines that are not needed: cordoned machines are the last choice for new tasks, and
+   * are drained once they have become idle. Machines are uncordoned, the most used first, when
+   * fewer CPUs are free on the other machines than are reserved. Waiting tasks are not considered:
+   * on a large fleet some tasks always wait for a moment, so no machine would ever be cordoned.
    */
   void adjustCordons(long nowMs) {
-    List<Worker> open = new ArrayList<>();
+    List<Worker> uncordoned = new ArrayList<>();
     List<Worker> cordoned = new ArrayList<>();
     double surplusCpus = -reservedCpus.getAsDouble();
     for (Worker worker : workers.all()) {
@@ -101,14 +116,14 @@
       if (worker.isCordoned()) {
         cordoned.add(worker);
       } else if (workers.isUsable(worker, nowMs)) {
-        open.add(worker);
+        uncordoned.add(worker);
         surplusCpus += type.cpus() - worker.usedCpus();
       }
     }
-    cordon(open, uncordon(cordoned, surplusCpus));
+    cordon(uncordoned, uncordon(cordoned, surplusCpus));
   }
 
-  /** Uncordons until there is no deficit; returns the surplus then. */
+  /** Uncordons machines until there is no deficit, and returns the surplus after that. */
   private double uncordon(List<Worker> cordoned, double surplusCpus) {
     double surplus = surplusCpus;
     cordoned.sort(CORDONING_ORDER.reversed());
@@ -122,20 +137,20 @@
     return surplus;
   }
 
-  /** Cordons as many machines as the surplus allows; at least one stays open. */
-  private void cordon(List<Worker> open, double surplusCpus) {
-    if (open.size() < 2) {
+  /** Cordons as many machines as the surplus allows. At least one machine stays uncordoned. */
+  private void cordon(List<Worker> uncordoned, double surplusCpus) {
+    if (uncordoned.size() < 2) {
       return;
     }
-    open.sort(CORDONING_ORDER);
+    uncordoned.sort(CORDONING_ORDER);
     double surplus = surplusCpus;
-    int left = open.size();
-    for (Worker worker : open) {
+    int left = uncordoned.size();
+    for (Worker worker : uncordoned) {
       MachineType type = context.type(worker.machineType());
       double freeCpus = type.cpus() - worker.usedCpus();
       double requiredShare = worker.isSpot() ? SURPLUS_AFTER_SPOT : SURPLUS_AFTER_ORDINARY;
       if (surplus - freeCpus < type.cpus() * requiredShare
-          || (worker.isSpot() && left <= workload.targetMachines())) {
+          || (worker.isSpot() && left <= workloadRate.targetMachines())) {
         return;
       }
       worker.cordon();
@@ -144,9 +159,9 @@
     }
   }
 
-  /** Returns drained machines to the cloud, with one request at a time. */
-  void terminate(long nowMs) {
-    if (returning) {
+  /** Returns drained machines to the cloud, one request at a time. */
+  void terminateDrained(long nowMs) {
+    if (returnInFlight) {
       return;
     }
     List<String> machines = new ArrayList<>();
@@ -161,22 +176,22 @@
     if (machines.isEmpty()) {
       return;
     }
-    returning = true;
+    returnInFlight = true;
     context
         .cloud()
         .terminate(
             machines,
             terminated -> {
-              returning = false;
+              returnInFlight = false;
               if (terminated && !term.isOver()) {
-                machines.forEach(this::terminated);
+                machines.forEach(this::machineTerminated);
               }
             });
   }
 
   private boolean mayBeReturned(Worker worker, long nowMs) {
     if (worker.hasSpotNotice()) {
-      // It is charged until the cloud takes it back, and may finish its tasks until then.
+      // The machine is charged for until the cloud takes it back, so its tasks may run until then.
       return worker.empty()
           || (nowMs > worker.spotNoticeUntil() + context.heartbeatIntervalsMs(1)
               && health.isSilent(worker, nowMs));
@@ -187,8 +202,8 @@
         || health.isUnresponsive(worker, nowMs);
   }
 
-  /** The cloud has confirmed that a machine and all that was on it are gone. */
-  private void terminated(String id) {
+  /** Called when the cloud has confirmed that a machine and everything on it are gone. */
+  private void machineTerminated(String id) {
     Worker worker = workers.get(id);
     if (worker == null) {
       return;
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -14,19 +14,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Scale out: rents machines for waiting and for arriving work, one rental at a time. */
+/**
+ * Scale out: rents machines for waiting and arriving work. At most one rental request is in flight.
+ */
 final class ScaleOut {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
 
-  /** How long a kind of machine that was refused is not asked for, in lags of the machine list. */
+  /**
+   * How long an offer that was refused is not requested again, in multiples of the machine list's
+   * lag.
+   */
   private static final int REFUSED_FOR_LAGS = 2;
 
-  /** Part of the machine list's lag after which a request of unknown outcome is repeated. */
+  /**
+   * Divisor of the machine list's lag that gives the delay before a request of unknown outcome is
+   * repeated.
+   */
   private static final int RETRY_LAG_PARTS = 4;
 
   private static final int MAX_RETRIES = 20;
 
-  /** What can be rented: a machine type in a zone, on the spot market or not. */
+  /** Machines that can be rented: a machine type in a zone, as spot or ordinary machines. */
   private record Offer(String type, String zone, boolean spot) {}
 
   private final ControllerContext context;
@@ -34,13 +42,15 @@
   private final WorkerRegistry workers;
   private final MachineInventory inventory;
   private final DemandEstimator estimator;
-  private final WorkloadRate workload;
+  private final WorkloadRate workloadRate;
 
-  /** Until when offers are not asked for, as the cloud had too little of them, in ms. */
+  /**
+   * Until when offers are not requested because the cloud had too few machines, in milliseconds.
+   */
   private final Map<Offer, Long> refusedUntilMs = new HashMap<>();
 
-  private long requests;
-  private boolean renting;
+  private long requestCount;
+  private boolean rentalInFlight;
 
   ScaleOut(
       ControllerContext context,
@@ -48,19 +58,19 @@
       WorkerRegistry workers,
       MachineInventory inventory,
       DemandEstimator estimator,
-      WorkloadRate workload) {
+      WorkloadRate workloadRate) {
     this.context = context;
     this.term = term;
     this.workers = workers;
     this.inventory = inventory;
     this.estimator = estimator;
-    this.workload = workload;
+    this.workloadRate = workloadRate;
   }
 
-  /** Rents machines if any are missing and no rental is under way. */
+  /** Rents machines if any are missing and no rental request is in flight. */
   void tick(long nowMs) {
-    workload.update(nowMs);
-    if (renting || context.types().isEmpty() || context.store().isCongested()) {
+    workloadRate.update(nowMs);
+    if (rentalInFlight || context.types().isEmpty() || context.store().isCongested()) {
       return;
     }
     List<MachineDemand> demands = estimator.demands(nowMs);
@@ -69,7 +79,10 @@
     }
   }
 
-  /** Rents for the kind of demand that lacks most machines; returns whether any are missing. */
+  /**
+   * Rents machines for the kind of demand that lacks the most. Returns whether any machines are
+   * missing.
+   */
   private boolean rentForWaitingWork(List<MachineDemand> demands, long nowMs) {
     MachineDemand largest = null;
     int most = 0;
@@ -88,8 +101,9 @@
   }
 
   /**
-   * One demand of each kind. Demands for different machines are counted apart: idle machines of one
-   * kind are no help to another, and would be returned and rented again and again.
+   * Returns one demand of each kind. Demands for different kinds of machines are counted
+   * separately: idle machines of one kind do not serve the demand for another, and would be
+   * returned and rented again and again.
    */
   private static List<MachineDemand> kinds(List<MachineDemand> demands) {
     List<MachineDemand> kinds = new ArrayList<>();
@@ -101,24 +115,24 @@
     return kinds;
   }
 
-  /** Rents ahead what arriving work keeps busy, but only as spot machines, for their price. */
+  /** Rents machines in advance for arriving work, but only spot machines because of their price. */
   private void rentForArrivingWork(MachineDemand demand, long nowMs) {
     int machines = 0;
     for (Worker worker : workers.all()) {
       machines += worker.isDraining() ? 0 : 1;
     }
-    int missing = (int) Math.floor(workload.targetMachines()) - machines;
+    int missing = (int) Math.floor(workloadRate.targetMachines()) - machines;
     if (missing > 0 && demand.spot()) {
       rent(offers(demand, false), missing, nowMs);
     }
   }
 
   /**
-   * The offers that serve a demand, the preferred ones first: spot before ordinary machines, and
-   * the controller's own zone before others, so that a network partition separates a shard from few
-   * of its machines.
+   * Returns the offers that serve a demand, in order of preference: spot machines before ordinary
+   * machines, and the controller's own zone before other zones, so that a network partition
+   * separates a shard from only a few of its machines.
    */
-  private List<Offer> offers(MachineDemand demand, boolean ordinaryToo) {
+  private List<Offer> offers(MachineDemand demand, boolean includeOrdinary) {
     List<String> zones = new ArrayList<>();
     String ownZone = context.settings().zone();
     for (String zone : demand.type().zones()) {
@@ -131,18 +145,18 @@
     if (demand.spot()) {
       zones.forEach(zone -> offers.add(new Offer(demand.type().name(), zone, true)));
     }
-    if (ordinaryToo) {
+    if (includeOrdinary) {
       zones.forEach(zone -> offers.add(new Offer(demand.type().name(), zone, false)));
     }
     return offers;
   }
 
-  /** Rents from the first offer that was not refused lately. */
+  /** Rents machines of the first offer that was not refused recently. */
   private void rent(List<Offer> offers, int machines, long nowMs) {
     int count = Math.min(machines, CloudProtocol.MAX_RENT);
     for (Offer offer : offers) {
       if (refusedUntilMs.getOrDefault(offer, 0L) <= nowMs) {
-        renting = true;
+        rentalInFlight = true;
         send(
             new RentalRequest(nextRequestId(), offer.type(), offer.zone(), offer.spot(), count),
             offer,
@@ -152,9 +166,12 @@
     }
   }
 
-  /** A name that no other request has: the cloud executes a request only once by its name. */
+  /**
+   * Returns an identifier that no other request has. The cloud executes requests with the same
+   * identifier only once.
+   */
   private String nextRequestId() {
-    requests++;
+    requestCount++;
     return "r-"
         + context.membership().self()
         + "-"
@@ -162,7 +179,7 @@
         + "-"
         + term.epoch()
         + "-"
-        + requests;
+        + requestCount;
   }
 
   private void send(RentalRequest request, Offer offer, int retries) {
@@ -172,29 +189,29 @@
             request,
             result -> {
               if (!term.isOver()) {
-                handle(result, request, offer, retries);
+                handleResult(result, request, offer, retries);
               }
             });
   }
 
-  private void handle(RentalResult result, RentalRequest request, Offer offer, int retries) {
+  private void handleResult(RentalResult result, RentalRequest request, Offer offer, int retries) {
     if (result instanceof RentalResult.Rented rented) {
-      renting = false;
-      rented(rented.machines(), request, offer);
+      rentalInFlight = false;
+      machinesRented(rented.machines(), request, offer);
     } else if (result instanceof RentalResult.OutcomeUnknown && retries < MAX_RETRIES) {
-      // Under the same name: if the request was executed, this gets the same machines.
+      // The request keeps its identifier: if it was executed, the answer lists the same machines.
       context
           .reactor()
           .schedule(
               context.cloud().listLagMs() / RETRY_LAG_PARTS,
               () -> send(request, offer, retries + 1));
     } else {
-      renting = false;
-      refused(offer);
+      rentalInFlight = false;
+      offerRefused(offer);
     }
   }
 
-  private void rented(List<String> machines, RentalRequest request, Offer offer) {
+  private void machinesRented(List<String> machines, RentalRequest request, Offer offer) {
     context.metrics().countRented(machines.size());
     LOG.atInfo()
         .addKeyValue("count", machines.size())
@@ -205,14 +222,14 @@
         .addKeyValue("machines", machines)
         .log("machines rented");
     if (machines.size() < request.count()) {
-      refused(offer);
+      offerRefused(offer);
     }
     for (String id : machines) {
       inventory.addRented(id, offer.type(), offer.zone(), offer.spot());
     }
   }
 
-  private void refused(Offer offer) {
+  private void offerRefused(Offer offer) {
     refusedUntilMs.put(offer, context.now() + REFUSED_FOR_LAGS * context.cloud().listLagMs());
   }
 }
--- a/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
+++ b/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
@@ -4,73 +4,78 @@
 import org.fieldtrestle.worker.TaskRange;
 
 /**
- * The rate at which work arrives, as a moving average: machine-seconds per second, which is the
+ * The rate at which work arrives, as a moving average in machine-seconds per second. This is the
  * number of machines that arriving work keeps busy.
  */
 final class WorkloadRate {
   /** Time constant of the moving average, in seconds. */
   private static final double TIME_CONSTANT_S = 150;
 
-  /** Machines that are worth having for each one that arriving work keeps busy. */
+  /**
+   * Number of machines that the fleet should have for each machine that arriving work keeps busy.
+   */
   private static final double HEADROOM = 1.2;
 
   private final ControllerContext context;
-  private final MachineTypeSelector types;
+  private final MachineTypeSelector machineTypes;
 
-  /** Machine-seconds that have arrived since the last update. */
+  /** Machine-seconds of work that has arrived since the last update. */
   private double arrivedMachineS;
 
   private double busyMachines;
   private long updatedAtMs = -1;
 
-  WorkloadRate(ControllerContext context, MachineTypeSelector types) {
+  WorkloadRate(ControllerContext context, MachineTypeSelector machineTypes) {
     this.context = context;
-    this.types = types;
+    this.machineTypes = machineTypes;
   }
 
-  /** Arriving work is measured from now on. */
+  /** Starts to measure arriving work. */
   void begin() {
     updatedAtMs = context.now();
   }
 
   /**
-   * Work has arrived. An inherited range arrived when it was accepted: counted as if all of it had
-   * arrived at once, every restart and every failover would rent for a rate of work that there
-   * never was.
+   * Adds the work of a task range. The work of an inherited range counts as having arrived when the
+   * range was accepted. If it counted as arriving now, every restart and every failover would rent
+   * machines for a rate of work that never existed.
    */
   void rangeAdded(TaskRange range) {
     if (range.spec() == null) {
       return;
     }
     if (range.isInherited()) {
-      double agoS = (context.now() - range.waitingSince()) / 1000.0;
+      double ageS = (context.now() - range.waitingSince()) / 1000.0;
       busyMachines +=
-          types.machineSeconds(range.spec(), range.record().size())
-              * Math.exp(-agoS / TIME_CONSTANT_S)
+          machineTypes.machineSeconds(range.spec(), range.record().size())
+              * Math.exp(-ageS / TIME_CONSTANT_S)
               / TIME_CONSTANT_S;
     } else {
-      arrivedMachineS += types.machineSeconds(range.spec(), range.waiting());
+      arrivedMachineS += machineTypes.machineSeconds(range.spec(), range.waiting());
     }
   }
 
-  /** Takes what has arrived since the last update into the average. */
+  /** Includes the work that has arrived since the last update in the average. */
   void update(long nowMs) {
     double elapsedS = (nowMs - updatedAtMs) / 1000.0;
     if (elapsedS <= 0) {
       return;
     }
-    double kept = Math.exp(-elapsedS / TIME_CONSTANT_S);
-    busyMachines = busyMachines * kept + arrivedMachineS / elapsedS * (1 - kept);
+    double decay = Math.exp(-elapsedS / TIME_CONSTANT_S);
+    busyMachines = busyMachines * decay + arrivedMachineS / elapsedS * (1 - decay);
     arrivedMachineS = 0;
     updatedAtMs = nowMs;
   }
 
-  /** How many machines arriving work keeps busy. */
+  /** Returns the number of machines that arriving work keeps busy. */
   double busyMachines() {
     return busyMachines;
   }
 
-  /** How many machines are worth having for arriving work, with some headroom. */
+  /**
+   * Returns the number of machines that the fleet should have for arriving work, including
+   * headroom.
+   */
   double targetMachines() {
     return busyMachines * HEADROOM;
   }
--- a/src/test/java/org/fieldtrestle/cloud/RateLimitedQueueTest.java
+++ b/src/test/java/org/fieldtrestle/cloud/RateLimitedQueueTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void threeRequestsGoAtOnceAfterAPauseAndTheRestAtTheRate() {
+  void threeRequestsAreSentAtOnceAfterAPauseAndTheRestAtTheRateLimit() {
     for (int i = 1; i <= 5; i++) {
       queue.addRead(request("r" + i));
     }
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void changesGoBeforeReadsThatWait() {
+  void changesAreSentBeforeWaitingReads() {
     for (int i = 1; i <= 5; i++) {
       queue.addRead(request("r" + i));
     }
--- a/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
+++ b/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
@@ -12,7 +12,7 @@
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Priority;
 
-/** Splits of jobs over shards with random free room. */
+/** Splits of jobs over shards with random free resources. */
 class JobSplitterTest {
   private static JobSpec job(int tasks, boolean spread) {
     return new JobSpec(
@@ -42,11 +42,11 @@
   void everyTaskIsInExactlyOnePart(
       @ForAll @IntRange(min = 1, max = 100_000) int tasks,
       @ForAll boolean spread,
-      @ForAll @Size(min = 1, max = 5) List<@IntRange(max = 400) Integer> rooms,
+      @ForAll @Size(min = 1, max = 5) List<@IntRange(max = 400) Integer> freeTasks,
       @ForAll @IntRange(min = 5_000, max = 25_000) int maxPart) {
     List<JobSplitter.Candidate> candidates = new ArrayList<>();
-    for (int i = 0; i < rooms.size(); i++) {
-      candidates.add(new JobSplitter.Candidate("m" + i, rooms.get(i), 10.0 * i, 100));
+    for (int i = 0; i < freeTasks.size(); i++) {
+      candidates.add(new JobSplitter.Candidate("m" + i, freeTasks.get(i), 10.0 * i, 100));
     }
     JobSpec job = job(tasks, spread);
     List<JobSplitter.Part> parts = JobSplitter.split(job, candidates, maxPart, List.of("a", "b"));
--- a/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
+++ b/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
@@ -22,9 +22,12 @@
 import org.fieldtrestle.protocol.Priority;
 import org.junit.jupiter.api.Test;
 
-/** Falcon's scores, draw and conditions against the paper's figures and against plain forms. */
+/**
+ * Compares the scores, draws and conditions of Selective Preemption with the figures of the Falcon
+ * paper and with straightforward implementations.
+ */
 class SelectivePreemptionTest {
-  /** The paper's figures, whatever the defaults are. */
+  /** The figures of the paper, independent of the default settings. */
   private static final OperatorSettings PAPER =
       new OperatorSettings(0.5, 0.5, 1, 0.35, 0.5, 10, 0.3, 1);
 
@@ -36,7 +39,7 @@
   }
 
   @Test
-  void scoreIsEquationThreeWithAFloor() {
+  void scoreFollowsEquationThreeWithLowerBound() {
     assertEquals(0.5 / 20 + 0.5 * 6, selectivePreemption.score(20, 6), 1e-12);
     assertEquals(0.5 + 0.5 * 6, selectivePreemption.score(0.001, 6), 1e-12);
   }
@@ -60,7 +63,7 @@
   }
 
   @Test
-  void drawWeighsByReverseRank() {
+  void drawIsWeightedByReverseRank() {
     List<QueuedGroup<String>> queue = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       queue.add(waiting("t" + i, Priority.NORMAL, 100 - i));
@@ -90,36 +93,39 @@
     assertEquals(highest, selectivePreemption.draw(queue).priority());
   }
 
-  /** The queue, sorted once, and the single draw against ranking the whole list for each task. */
+  /**
+   * The queue, which is sorted once, and the single draw give the same results as ranking the whole
+   * list again for each task.
+   */
   @Property(tries = 300, seed = "33")
-  void queueDrawsAsRankingAnewForEachTaskWould(
+  void queueDrawsLikeRankingAnewForEachTask(
       @ForAll @Size(min = 1, max = 25) List<@IntRange(max = 12) Integer> scores,
       @ForAll @Size(min = 1, max = 25) List<Priority> priorities,
-      @ForAll @IntRange(min = 1, max = 9) int most,
+      @ForAll @IntRange(min = 1, max = 9) int maxCount,
       @ForAll long seed) {
-    List<QueuedGroup<Integer>> plain = new ArrayList<>();
+    List<QueuedGroup<Integer>> groups = new ArrayList<>();
     for (int i = 0; i < scores.size(); i++) {
       Priority priority = priorities.get(i % priorities.size());
-      plain.add(new QueuedGroup<>(i, priority, scores.get(i), 1 + (i * 7) % most));
+      groups.add(new QueuedGroup<>(i, priority, scores.get(i), 1 + (i * 7) % maxCount));
     }
-    SplittableRandom plainRandom = new SplittableRandom(seed);
+    SplittableRandom expectedRandom = new SplittableRandom(seed);
     SelectivePreemption single = new SelectivePreemption(PAPER, new SplittableRandom(seed));
     WaitingQueue<Integer> queue =
-        new SelectivePreemption(PAPER, new SplittableRandom(seed)).queue(List.copyOf(plain));
-    SplittableRandom outcome = new SplittableRandom(seed);
-    while (!plain.isEmpty()) {
-      QueuedGroup<Integer> expected = drawByRankingAnew(plain, plainRandom);
+        new SelectivePreemption(PAPER, new SplittableRandom(seed)).queue(List.copyOf(groups));
+    SplittableRandom outcomes = new SplittableRandom(seed);
+    while (!groups.isEmpty()) {
+      QueuedGroup<Integer> expected = drawByRankingAnew(groups, expectedRandom);
       WaitingQueue.Entry<Integer> entry = queue.next();
       assertEquals(expected.tasks(), entry.group().tasks());
-      assertEquals(expected, single.draw(plain));
-      int at = plain.indexOf(expected);
-      if (outcome.nextInt(4) == 0 || expected.count() == 1) { // found no room, or was the last
+      assertEquals(expected, single.draw(groups));
+      int index = groups.indexOf(expected);
+      if (outcomes.nextInt(4) == 0 || expected.count() == 1) { // no room, or its last task
         assertEquals(expected.count(), entry.takeAll());
-        plain.remove(at);
+        groups.remove(index);
       } else {
         entry.takeOne();
-        plain.set(
-            at,
+        groups.set(
+            index,
             new QueuedGroup<>(
                 expected.tasks(), expected.priority(), expected.score(), expected.count() - 1));
       }
@@ -128,40 +134,40 @@
     assertThrows(NoSuchElementException.class, queue::next);
   }
 
-  /** The plain form of the draw: the whole list is ranked for each task that is drawn. */
+  /** A straightforward implementation of the draw, which ranks the whole list for each task. */
   private static <T> QueuedGroup<T> drawByRankingAnew(
       List<QueuedGroup<T>> waiting, RandomGenerator random) {
     Priority highest = Priority.LOW;
-    for (QueuedGroup<T> one : waiting) {
-      highest = one.priority().isHigherThan(highest) ? one.priority() : highest;
+    for (QueuedGroup<T> group : waiting) {
+      highest = group.priority().isHigherThan(highest) ? group.priority() : highest;
     }
     List<QueuedGroup<T>> ranked = new ArrayList<>();
     long tasks = 0;
-    for (QueuedGroup<T> one : waiting) {
-      if (one.priority() == highest) {
-        ranked.add(one);
-        tasks += one.count();
+    for (QueuedGroup<T> group : waiting) {
+      if (group.priority() == highest) {
+        ranked.add(group);
+        tasks += group.count();
       }
     }
-    ranked.sort(Comparator.comparingDouble((QueuedGroup<T> one) -> one.score()).reversed());
+    ranked.sort(Comparator.comparingDouble((QueuedGroup<T> group) -> group.score()).reversed());
     long eligible = Math.max(1, (long) Math.floor((1 - PAPER.delta()) * tasks));
-    double at = random.nextDouble() * (eligible * (eligible + 1) / 2.0);
+    double drawn = random.nextDouble() * (eligible * (eligible + 1) / 2.0);
     long rank = 0;
-    for (QueuedGroup<T> one : ranked) {
-      long last = Math.min(eligible, rank + one.count());
+    for (QueuedGroup<T> group : ranked) {
+      long last = Math.min(eligible, rank + group.count());
       long taken = last - rank;
       double weight = taken * ((eligible - rank) + (eligible - last + 1)) / 2.0;
-      if (at < weight || last == eligible) {
-        return one;
+      if (drawn < weight || last == eligible) {
+        return group;
       }
-      at -= weight;
+      drawn -= weight;
       rank = last;
     }
     return ranked.get(ranked.size() - 1);
   }
 
   @Property(tries = 300, seed = "34")
-  void rankConditionForAllAtOnceIsThatForEach(
+  void rankConditionForAllGroupsMatchesThatForEachGroup(
       @ForAll @Size(max = 40) List<@IntRange(max = 15) Integer> scores,
       @ForAll @Size(min = 1, max = 40) List<Priority> priorities) {
     List<QueuedGroup<Integer>> queue = new ArrayList<>();
@@ -170,19 +176,21 @@
       queue.add(new QueuedGroup<>(i, priority, scores.get(i), 1 + i % 5));
     }
     Set<Integer> each = new TreeSet<>();
-    for (QueuedGroup<Integer> one : queue) {
-      if (fulfillsRankCondition(one, queue)) {
-        each.add(one.tasks());
+    for (QueuedGroup<Integer> group : queue) {
+      if (fulfillsRankCondition(group, queue)) {
+        each.add(group.tasks());
       }
     }
     Set<Integer> atOnce = new TreeSet<>();
     selectivePreemption
         .groupsFulfillingRankCondition(queue)
-        .forEach(one -> atOnce.add(one.tasks()));
+        .forEach(group -> atOnce.add(group.tasks()));
     assertEquals(each, atOnce);
   }
 
-  /** The plain form of equation 5: a group is compared with each of the others. */
+  /**
+   * A straightforward implementation of equation 5, which compares a group with each of the others.
+   */
   private static <T> boolean fulfillsRankCondition(
       QueuedGroup<T> group, List<QueuedGroup<T>> waiting) {
     long tasks = 0;
@@ -211,7 +219,7 @@
   }
 
   @Property(tries = 300, seed = "32")
-  void victimsAreOutscoredHaveRunLittleAndTheLowestComesFirst(
+  void victimsAreOutscoredAndEarlyInTheirRunLowestScoreFirst(
       @ForAll @Size(max = 20) List<@DoubleRange(min = 0, max = 20) Double> scores,
       @ForAll @DoubleRange(min = 0, max = 20) double score,
       @ForAll @DoubleRange(min = 0, max = 60) double elapsedS) {
