--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -63,7 +63,7 @@
     return listLagMs;
   }
 
-  /** Reads the machine types now and then at regular intervals, as spot prices change. */
+  /** Reads the machine types at once and then periodically, as spot prices change. */
   public void start() {
     read(
         CloudProtocol.TYPES_PATH,
--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -110,11 +110,9 @@
       missingLists.remove(worker.id());
       return;
     }
-    // A worker that has never reported in this term is given up at once. Otherwise it would block
-    // its
-    // team's quota and inherited tasks until the former leader's lease and its own have expired,
-    // and
-    // each further failover would start that wait again.
+    // A worker that has never reported in this term does not have to be silent as well. Otherwise
+    // it would block its team's quota and inherited tasks for the former leader's lease and its
+    // own, and each of several failovers in a row would start that wait again.
     if (missingLists.merge(worker.id(), 1, Integer::sum) >= GONE_AFTER_LISTS
         && (!worker.hasReported() || health.isSilent(worker, nowMs))) {
       if (!worker.isDraining()) {
--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -46,7 +46,7 @@
   /** Minimum time in seconds for which a running task is expected to continue. */
   private static final double MIN_REMAINING_S = 2;
 
-  /** Minimum share of the boot time that a machine which is not up yet is expected to need. */
+  /** Minimum share of the boot time that a machine that is not up yet is expected to still need. */
   private static final double MIN_REMAINING_BOOT = 0.2;
 
   /** Share of a machine that may be missing before one more is rented. */
@@ -85,9 +85,8 @@
     List<MachineDemand> demands = new ArrayList<>();
     for (TaskRange range : ranges.all()) {
       // While a worker has not reported, waiting tasks of an inherited range may be running on it,
-      // and
-      // none of them may be started anyway. If they counted, every restart of a controller would
-      // rent a second fleet for them.
+      // and none of them may be started anyway. If they counted, every restart of a controller
+      // would rent a second fleet for them.
       if (range.spec() != null
           && !term.policy().mustStop(range)
           && range.waiting() > 0
--- a/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
+++ b/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
@@ -133,8 +133,7 @@
                 machine.bootingSinceWallMs(),
                 machine.upSinceEpoch()));
     // The shard that adopts a machine writes this key, so that a late write of the shard that
-    // rented
-    // it cannot add the machine again.
+    // rented it cannot add the machine again.
     String orphanKey = StateKeys.orphan(id);
     conditions.add(
         new KeyValueProtocol.Condition(orphanKey, context.stateCache().version(orphanKey)));
--- a/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
@@ -59,9 +59,9 @@
       return true;
     }
     if (upWithLease && isUnresponsive(worker, nowMs)) {
-      // Its heartbeats do not show that the worker receives the answers. No task can be started on
-      // it, and its tasks can only be stopped by letting its lease expire. Returning the machine is
-      // the only way to ensure that.
+      // The worker's heartbeats do not show whether it receives the answers. No task can be started
+      // on it, and its tasks stop only when its lease expires. Only the return of the machine
+      // ensures that they stop.
       drain(worker, "receives no answers");
       worker.beginTermination();
       return true;
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -11,15 +11,15 @@
 /**
  * Writes the machine inventory of a shard, the durable list of its machines. Many machines share a
  * value and many updates share a write: hundreds of machines may come up within a minute, and a
- * write for each of them would use up this controller's share of the key-value store's write rate.
- * Updates that are made while a write is in flight, or shortly after it, go into the next write.
+ * write for each of them would use up the write rate that the key-value store allows. Updates that
+ * are made while a write is in flight, or shortly after it, go into the next write.
  */
 public final class MachineInventory {
   private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
 
   /**
-   * Minimum time between two writes, in writes at this controller's share of the store's write
-   * rate.
+   * Minimum time between two writes, as the time that this many writes take at this controller's
+   * share of the key-value store's write rate.
    */
   private static final double WRITE_INTERVAL_WRITES = 3;
 
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Returns the CPUs that this shard reserves. All shards together reserve the usual size of a job,
-   * and each shard reserves a part in proportion to its capacity.
+   * Returns the CPUs that this shard reserves: its part, in proportion to its capacity, of what all
+   * shards reserve together.
    */
   double reservedCpus() {
     double capacity = workers.capacity();
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -151,8 +151,7 @@
       PlacementPass pass, WaitingTasks tasks, long step, boolean preferImage) {
     TaskRange range = tasks.range();
     // Free resources only shrink during a step: if one task of a range finds no room, neither do
-    // the
-    // others.
+    // the others.
     if (range.noRoomIn() == step
         || !quotaShares.allows(range.spec())
         || isReservedForOthers(pass, tasks)) {
