--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -24,7 +24,7 @@
   private static final double MAX_SLACK_SHARE = 0.75;
 
   /**
-   * Smallest such share, used for job classes in which nearly all jobs have to meet their
+   * Smallest share of the slack, used for job classes in which nearly all jobs have to meet their
    * deadlines.
    */
   private static final double MIN_SLACK_SHARE = 0.1;
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -135,7 +135,7 @@
   }
 
   private void batchWritten(InventoryBatch batch) {
-    LOG.debug("{} machines written", batch.updates().size());
+    LOG.debug("{} updates of the machine inventory written", batch.updates().size());
     batch
         .updates()
         .forEach(
