--- a/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
+++ b/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
@@ -12,7 +12,7 @@
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.Priority;
 
-/** Splits of jobs over shards with random free room. */
+/** Splits of jobs over shards with random free resources. */
 class JobSplitterTest {
   private static JobSpec job(int tasks, boolean spread) {
     return new JobSpec(
@@ -42,30 +42,31 @@
   void everyTaskIsInExactlyOnePart(
       @ForAll @IntRange(min = 1, max = 100_000) int tasks,
       @ForAll boolean spread,
-      @ForAll @Size(min = 1, max = 5) List<@IntRange(max = 400) Integer> rooms,
+      @ForAll @Size(min = 1, max = 5) List<@IntRange(max = 400) Integer> freeTasks,
       @ForAll @IntRange(min = 5_000, max = 25_000) int maxPart) {
     List<JobSplitter.Candidate> candidates = new ArrayList<>();
-    for (int i = 0; i < rooms.size(); i++) {
-      candidates.add(new JobSplitter.Candidate("m" + i, rooms.get(i), 10.0 * i, 100));
+    for (int i = 0; i < freeTasks.size(); i++) {
+      candidates.add(new JobSplitter.Candidate("m" + i, freeTasks.get(i), 10.0 * i, 100));
     }
     JobSpec job = job(tasks, spread);
     List<JobSplitter.Part> parts = JobSplitter.split(job, candidates, maxPart, List.of("a", "b"));
     int next = 0;
-    int capA = 0;
-    int capB = 0;
+    int limitA = 0;
+    int limitB = 0;
     for (JobSplitter.Part part : parts) {
       assertEquals(next, part.from());
       assertTrue(part.to() > part.from() && part.to() - part.from() <= maxPart);
       next = part.to();
-      capA += part.caps().getOrDefault("a", 0);
-      capB += part.caps().getOrDefault("b", 0);
+      limitA += part.zoneLimits().getOrDefault("a", 0);
+      limitB += part.zoneLimits().getOrDefault("b", 0);
       if (spread) {
-        assertTrue(part.caps().values().stream().anyMatch(cap -> cap > 0), "can run at all");
+        assertTrue(
+            part.zoneLimits().values().stream().anyMatch(limit -> limit > 0), "can run at all");
       }
     }
     assertEquals(tasks, next);
     if (spread) {
-      assertTrue(capA <= job.zoneLimit() && capB <= job.zoneLimit());
+      assertTrue(limitA <= job.zoneLimit() && limitB <= job.zoneLimit());
     }
   }
 }
