--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -85,7 +85,7 @@
   }
 
   /** See {@link JobObjectives#imageFetchS}. */
-  public double fetchS(JobSpec spec) {
+  public double imageFetchS(JobSpec spec) {
     return objectives.imageFetchS(spec);
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -63,7 +63,7 @@
   /** The share of its slack that a task has waited for. */
   private double usedSlackShare(WaitingTasks tasks, long nowMs) {
     JobSpec spec = tasks.range().spec();
-    double fetchS = context.fetchS(spec);
+    double fetchS = context.imageFetchS(spec);
     double slackS =
         spec.deadlineS() < 0
             ? SLACK_WITHOUT_DEADLINE_FETCHES * fetchS
