--- a/src/main/java/org/fieldtrestle/api/StatusHandler.java
+++ b/src/main/java/org/fieldtrestle/api/StatusHandler.java
@@ -113,7 +113,7 @@
    * only this controller may be behind, and the user should retry on another connection.
    */
   private RequestOutcome unanswered(Unanswered reason) {
-    context.metrics().questions.unanswered(reason, context.now());
+    context.metrics().questions.unanswered(reason, context.nowMs());
     return new RequestOutcome.Unavailable(
         reason != Unanswered.STATE_SERVICE_SILENT || availability.isCutOff());
   }
--- a/src/main/java/org/fieldtrestle/api/UserApi.java
+++ b/src/main/java/org/fieldtrestle/api/UserApi.java
@@ -92,23 +92,23 @@
   }
 
   private void submit(Submit submit) {
-    long startedAtMs = context.now();
+    long startedAtMs = context.nowMs();
     submissionHandler.submit(
         submit.body(),
         outcome -> {
-          ControllerMetrics.record(context.metrics().submitMs, context.now() - startedAtMs);
+          ControllerMetrics.record(context.metrics().submitMs, context.nowMs() - startedAtMs);
           submit.reply().accept(HttpResponses.of(outcome, HttpResponses.Detail.STAGE));
         });
   }
 
   private void query(Poll poll) {
-    long startedAtMs = context.now();
+    long startedAtMs = context.nowMs();
     statusHandler.query(
         poll.id(),
         outcome -> {
-          ControllerMetrics.record(context.metrics().pollMs, context.now() - startedAtMs);
+          ControllerMetrics.record(context.metrics().pollMs, context.nowMs() - startedAtMs);
           if (!(outcome instanceof RequestOutcome.Unavailable)) {
-            context.metrics().questions.answered(context.now());
+            context.metrics().questions.answered(context.nowMs());
           }
           poll.reply().accept(HttpResponses.of(outcome, HttpResponses.Detail.PROGRESS));
         });
--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -65,7 +65,7 @@
   }
 
   /** The reactor's steady clock, in ms. */
-  public long now() {
+  public long nowMs() {
     return reactor.now();
   }
 
--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -59,7 +59,7 @@
 
   /** The first list is read one lag from now. */
   void begin() {
-    listedAtMs = context.now();
+    listedAtMs = context.nowMs();
   }
 
   /** Reads the list if the last one is older than the list's lag. */
@@ -75,7 +75,7 @@
             machines -> {
               listing = false;
               if (machines.isPresent() && term.isLeading()) {
-                reconcile(machines.get(), context.now());
+                reconcile(machines.get(), context.nowMs());
               }
             });
   }
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -75,7 +75,7 @@
   private void scheduleWrite() {
     if (!busy) {
       busy = true;
-      context.reactor().schedule(Math.max(0, nextWriteAtMs - context.now()), this::write);
+      context.reactor().schedule(Math.max(0, nextWriteAtMs - context.nowMs()), this::write);
     }
   }
 
@@ -95,7 +95,7 @@
     }
     busy = true;
     double writesPerS = context.settings().share(context.settings().state().writeRps());
-    nextWriteAtMs = context.now() + Math.round(1000 * WRITE_INTERVAL_WRITES / writesPerS);
+    nextWriteAtMs = context.nowMs() + Math.round(1000 * WRITE_INTERVAL_WRITES / writesPerS);
     term.write(
         batch.conditions(),
         batch.changes(),
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -213,6 +213,6 @@
   }
 
   private void refused(Offer offer) {
-    refusedUntilMs.put(offer, context.now() + REFUSED_FOR_LAGS * context.cloud().listLagMs());
+    refusedUntilMs.put(offer, context.nowMs() + REFUSED_FOR_LAGS * context.cloud().listLagMs());
   }
 }
--- a/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
+++ b/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
@@ -30,7 +30,7 @@
 
   /** Arriving work is measured from now on. */
   void begin() {
-    updatedAtMs = context.now();
+    updatedAtMs = context.nowMs();
   }
 
   /**
@@ -43,7 +43,7 @@
       return;
     }
     if (range.isInherited()) {
-      double agoS = (context.now() - range.waitingSince()) / 1000.0;
+      double agoS = (context.nowMs() - range.waitingSince()) / 1000.0;
       busyMachines +=
           types.machineSeconds(range.spec(), range.record().size())
               * Math.exp(-agoS / TIME_CONSTANT_S)
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -166,7 +166,7 @@
   /** Whether a share is written: at once where it grows, and after some time where it shrinks. */
   private boolean isDue(String team, boolean writeNow, boolean shrinks) {
     if (!writeNow && shrinks) {
-      long nowMs = context.now();
+      long nowMs = context.nowMs();
       long sinceMs = shrinkableSince.computeIfAbsent(team, t -> nowMs);
       if (nowMs - sinceMs < context.heartbeatIntervalsMs(SHRINK_AFTER_HEARTBEATS)) {
         return false;
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -45,7 +45,7 @@
 
   @Override
   public void place(TaskRange range, int offset, Worker worker, long attemptNumber) {
-    long now = context.now();
+    long now = context.nowMs();
     Retry retry = range.retries().get(offset);
     long waitingSince = retry == null ? range.waitingSince() : retry.waitingSince();
     long waitedMs = now - waitingSince;
--- a/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
+++ b/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
@@ -53,17 +53,17 @@
     context
         .reactor()
         .schedule(
-            Math.max(soonMs, notBeforeMs - context.now()),
+            Math.max(soonMs, notBeforeMs - context.nowMs()),
             () -> context.metrics().work.run(Activity.PLACEMENT, this::run));
   }
 
   private void run() {
     due = false;
     if (term.isLeading() && !context.types().isEmpty()) {
-      long beganMs = context.now();
+      long beganMs = context.nowMs();
       placer.pass(beganMs);
-      long tookMs = context.now() - beganMs;
-      notBeforeMs = context.now() + tookMs * REST_PER_PASS;
+      long tookMs = context.nowMs() - beganMs;
+      notBeforeMs = context.nowMs() + tookMs * REST_PER_PASS;
       ControllerMetrics.record(context.metrics().passMs, tookMs);
     }
     afterPass.run();
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -184,7 +184,7 @@
     if (!term.isActive()) {
       return;
     }
-    long now = context.now();
+    long now = context.nowMs();
     if (!term.isLeading() || now - tickedAtMs > context.heartbeatIntervalsMs(1)) {
       parts.workers.restartListening(now);
     }
@@ -260,7 +260,7 @@
     for (Worker worker : parts.workers.all()) {
       if (worker.isUp() && !worker.isDraining()) {
         up++;
-        silent += parts.workers.silentFor(worker, context.now()) > silentAfterMs ? 1 : 0;
+        silent += parts.workers.silentFor(worker, context.nowMs()) > silentAfterMs ? 1 : 0;
       }
     }
     return new LeadershipTransfer.WorkerReachability(up, silent);
@@ -269,7 +269,7 @@
   /** Free room by zone and the CPUs that wait, by which controllers split jobs over the shards. */
   public PeerMessage.ShardLoad load() {
     Map<String, double[]> freeByZone = new TreeMap<>();
-    for (FreeResources free : parts.workers.freeResources(context.now())) {
+    for (FreeResources free : parts.workers.freeResources(context.nowMs())) {
       double[] sums = freeByZone.computeIfAbsent(free.worker().zone(), z -> new double[3]);
       sums[0] += free.cpus();
       sums[1] += free.gpus();
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
@@ -59,7 +59,7 @@
 
   /** A heartbeat was received. */
   public Result process(Worker worker, Heartbeat heartbeat) {
-    long now = context.now();
+    long now = context.nowMs();
     if (heartbeat.fencingToken() > worker.fencingToken()) {
       LOG.atWarn()
           .addKeyValue("worker", worker.id())
@@ -88,7 +88,7 @@
 
   /** The commands in the answer to a heartbeat, which renews the worker's lease. */
   public List<WorkerCommand> answer(Worker worker) {
-    worker.connection().renewLease(context.now());
+    worker.connection().renewLease(context.nowMs());
     if (!workers.mayReceiveCommands(worker)) {
       return List.of();
     }
@@ -108,7 +108,7 @@
    * @return whether anything that matters to placement has changed by it
    */
   boolean apply(Worker worker, Heartbeat heartbeat) {
-    long now = context.now();
+    long now = context.nowMs();
     HeartbeatOrder order = worker.connection().order();
     if (!order.isNewer(heartbeat)) {
       return false;
@@ -189,7 +189,7 @@
   }
 
   private void applySpotNotice(Worker worker, double noticeS) {
-    long now = context.now();
+    long now = context.nowMs();
     worker.giveSpotNotice(now + Math.round(noticeS * 1000));
     if (!worker.isDraining()) {
       worker.drain("spot notice");
--- a/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
+++ b/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
@@ -33,7 +33,7 @@
     context.stateCache().machines().keySet().forEach(id -> sync(id, true));
     if (context.stateCache().isInventoryDamaged(term.shard())) {
       workers.expectUnknownWorkersUntil(
-          context.now() + term.formerLeaderGraceMs() + workers.leaseExpiryMs());
+          context.nowMs() + term.formerLeaderGraceMs() + workers.leaseExpiryMs());
     }
   }
 
@@ -54,7 +54,7 @@
     if (worker == null) {
       worker = add(id, record, inherited);
     }
-    if (worker.followRecord(record.isUp(), context.now())) {
+    if (worker.followRecord(record.isUp(), context.nowMs())) {
       events.requestPlacementPass();
     }
   }
@@ -68,9 +68,9 @@
   private Worker add(String id, MachineRecord record, boolean inherited) {
     long rentedBeforeMs = Math.max(0, context.reactor().wall() - record.bootingSinceWallMs());
     Worker worker =
-        new Worker(id, record, term.firstToken(), context.now(), rentedBeforeMs, workers.usage());
+        new Worker(id, record, term.firstToken(), context.nowMs(), rentedBeforeMs, workers.usage());
     if (inherited) {
-      worker.connection().renewLease(context.now() + term.formerLeaderGraceMs());
+      worker.connection().renewLease(context.nowMs() + term.formerLeaderGraceMs());
     }
     workers.add(worker);
     // A machine that came up in this term cannot have been given anything before it.
--- a/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
@@ -105,7 +105,7 @@
     if (!range.isFinished()) {
       // Until all are done, what is done is safe on its workers; it is written now and then only
       // so that heartbeats stay short and little is done again where a worker is lost.
-      range.writes().scheduleAt(context.now() + context.settings().workerLeaseMs());
+      range.writes().scheduleAt(context.nowMs() + context.settings().workerLeaseMs());
       return;
     }
     range.beginWrite();
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -140,14 +140,14 @@
       worker.remove(expected);
     }
     TaskAttempt attempt =
-        new TaskAttempt(reported.task(), reported.attempt(), worker, range, context.now(), 0);
+        new TaskAttempt(reported.task(), reported.attempt(), worker, range, context.nowMs(), 0);
     worker.put(attempt);
     return attempt;
   }
 
   private TaskAttempt discoverRunning(
       Worker worker, TaskStatus reported, TaskRange range, int offset) {
-    long now = context.now();
+    long now = context.nowMs();
     double waitedS = (now - range.waitingSince()) / 1000.0;
     TaskAttempt attempt =
         new TaskAttempt(reported.task(), reported.attempt(), worker, range, now, waitedS);
@@ -195,7 +195,7 @@
     if (attempt.hasRun()) {
       return;
     }
-    long now = context.now();
+    long now = context.nowMs();
     attempt.markRunning(now);
     if (attempt.concurrentFetchAloneS() > 0) {
       downloads.record((now - attempt.placedAt()) / 1000.0, attempt.concurrentFetchAloneS());
--- a/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
@@ -51,7 +51,7 @@
   private void completed(TaskAttempt attempt) {
     TaskRange range = attempt.range();
     range.finish(attempt.offset());
-    failures.succeeded(attempt, context.now());
+    failures.succeeded(attempt, context.nowMs());
     if (range.stopState().isEnded() || range.isDone(attempt.offset())) {
       attempt.markClearable();
     } else {
@@ -62,7 +62,7 @@
 
   private void retry(TaskAttempt attempt) {
     TaskRange range = attempt.range();
-    long now = context.now();
+    long now = context.nowMs();
     Retry retry = range.retry(attempt.offset(), attempt.waitingSinceMs());
     switch (attempt.exitCause()) {
       case ERROR -> {
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -145,7 +145,7 @@
             : Math.max(0, context.reactor().wall() - job.job().record().acceptedWallMs());
     boolean inherited = kept.record().epoch() < term.epoch();
     TaskRange range =
-        new TaskRange(key, kept.record(), kept.version(), inherited, context.now() - ageMs);
+        new TaskRange(key, kept.record(), kept.version(), inherited, context.nowMs() - ageMs);
     if (context.cancellations().wasHeard(key.job())) {
       range.stopState().markCancelled();
     }
@@ -221,7 +221,7 @@
   }
 
   private void stopAll(TaskRange range) {
-    range.stopState().markStopping(context.now());
+    range.stopState().markStopping(context.nowMs());
     for (TaskAttempt attempt : List.copyOf(range.placed().values())) {
       commands.stop(attempt, 0);
     }
--- a/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
@@ -111,7 +111,7 @@
           : "the outcome of an earlier command is unknown";
     }
     return "the worker has not reported its end, last heard "
-        + (context.now() - worker.connection().lastHeartbeatAtMs())
+        + (context.nowMs() - worker.connection().lastHeartbeatAtMs())
         + " ms ago";
   }
 }
