--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -113,7 +113,7 @@
 
   private List<String> allowedZones(JobSpec spec) {
     TreeSet<String> zones = new TreeSet<>();
-    for (MachineType type : context.types()) {
+    for (MachineType type : context.machineTypes()) {
       if (type.allowedFor(spec)) {
         zones.addAll(type.zones());
       }
--- a/src/main/java/org/fieldtrestle/api/SubmissionHandler.java
+++ b/src/main/java/org/fieldtrestle/api/SubmissionHandler.java
@@ -69,7 +69,7 @@
       statusHandler.query(spec.id(), reply);
       return;
     }
-    if (context.types().isEmpty()) {
+    if (context.machineTypes().isEmpty()) {
       reply.accept(availability.unavailable());
       return;
     }
--- a/src/main/java/org/fieldtrestle/api/UserApi.java
+++ b/src/main/java/org/fieldtrestle/api/UserApi.java
@@ -64,7 +64,9 @@
 
   /** Returns whether this controller can take users' requests. */
   public boolean ready() {
-    return context.stateCache().isReady() && !context.types().isEmpty() && !availability.isCutOff();
+    return context.stateCache().isReady()
+        && !context.machineTypes().isEmpty()
+        && !availability.isCutOff();
   }
 
   @Override
--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -50,7 +50,7 @@
     JobObjectives objectives) {
 
   /** The machine type of this name; null if the cloud does not offer it, or is not known yet. */
-  public MachineType type(String name) {
+  public MachineType machineType(String name) {
     for (MachineType type : cloud.types()) {
       if (type.name().equals(name)) {
         return type;
@@ -60,7 +60,7 @@
   }
 
   /** The machine types that the cloud offers; empty until they are known. */
-  public List<MachineType> types() {
+  public List<MachineType> machineTypes() {
     return cloud.types();
   }
 
--- a/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -66,7 +66,7 @@
     listReconciler.tick(nowMs);
     FleetStatus fleet = new FleetStatus(context, workers, nowMs);
     for (Worker worker : workers.all()) {
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       if (!worker.isDraining()
           && type != null
           && !health.drainIfUseless(worker, type, fleet, nowMs)) {
--- a/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
@@ -17,7 +17,7 @@
   Optional<MachineType> cheapestFor(JobSpec spec) {
     MachineType cheapest = null;
     double lowestPrice = 0;
-    for (MachineType type : context.types()) {
+    for (MachineType type : context.machineTypes()) {
       if (type.allowedFor(spec)) {
         double price = pricePerTask(type, spec);
         if (cheapest == null || price < lowestPrice) {
--- a/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
@@ -94,7 +94,7 @@
     List<Worker> cordoned = new ArrayList<>();
     double surplusCpus = -reservedCpus.getAsDouble();
     for (Worker worker : workers.all()) {
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       if (type == null || !worker.isUp() || worker.isDraining()) {
         continue;
       }
@@ -117,7 +117,7 @@
         break;
       }
       worker.uncordon();
-      surplus += context.type(worker.machineType()).cpus() - worker.usedCpus();
+      surplus += context.machineType(worker.machineType()).cpus() - worker.usedCpus();
     }
     return surplus;
   }
@@ -131,7 +131,7 @@
     double surplus = surplusCpus;
     int left = open.size();
     for (Worker worker : open) {
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       double freeCpus = type.cpus() - worker.usedCpus();
       double requiredShare = worker.isSpot() ? SURPLUS_AFTER_SPOT : SURPLUS_AFTER_ORDINARY;
       if (surplus - freeCpus < type.cpus() * requiredShare
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -60,7 +60,7 @@
   /** Rents machines if any are missing and no rental is under way. */
   void tick(long nowMs) {
     workload.update(nowMs);
-    if (renting || context.types().isEmpty() || context.store().isCongested()) {
+    if (renting || context.machineTypes().isEmpty() || context.store().isCongested()) {
       return;
     }
     List<MachineDemand> demands = estimator.demands(nowMs);
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -96,7 +96,7 @@
       if (!worker.hasImage(spec.image()) || !workers.acceptsStarts(worker) || worker.isDraining()) {
         continue;
       }
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       if (type != null) {
         slots += slotsFor(worker, type, spec);
         fetchS = Math.max(fetchS, type.imageFetchS(spec));
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -64,7 +64,7 @@
     subtractStoppingTasks(demand, nowMs);
     Map<String, List<QueuedGroup<WaitingTasks>>> eligibleByKind = new HashMap<>();
     for (Worker worker : workers.all()) {
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       if (type == null
           || !workers.isUsable(worker, nowMs)
           || hasStoppingTask(worker)
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -119,7 +119,7 @@
     double cpus = usage.cpus(team);
     double gpus = usage.gpus(team);
     for (Worker worker : workers.unreconciled()) {
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       cpus += type == null ? UNKNOWN_MACHINE : type.cpus();
       gpus += type == null ? UNKNOWN_MACHINE : type.gpus();
     }
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -53,7 +53,7 @@
     TaskAttempt attempt =
         new TaskAttempt(task, attemptNumber, worker, range, now, waitedMs / 1000.0);
     JobSpec spec = range.spec();
-    MachineType type = context.type(worker.machineType());
+    MachineType type = context.machineType(worker.machineType());
     boolean fetches = !worker.hasImage(spec.image());
     if (fetches && worker.fetching()) {
       attempt.expectConcurrentFetch(type.imageFetchS(spec));
--- a/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
+++ b/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
@@ -59,7 +59,7 @@
 
   private void run() {
     due = false;
-    if (term.isLeading() && !context.types().isEmpty()) {
+    if (term.isLeading() && !context.machineTypes().isEmpty()) {
       long beganMs = context.nowMs();
       placer.pass(beganMs);
       long tookMs = context.nowMs() - beganMs;
--- a/src/main/java/org/fieldtrestle/shard/ShardLog.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLog.java
@@ -58,7 +58,7 @@
   private WorkerTotals workerTotals() {
     WorkerTotals totals = new WorkerTotals();
     for (Worker worker : workers.all()) {
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       if (type == null) {
         continue;
       }
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -206,7 +206,7 @@
     if (attempt.range() == null || attempt.range().spec() == null || !attempt.live()) {
       return;
     }
-    MachineType type = context.type(attempt.worker().machineType());
+    MachineType type = context.machineType(attempt.worker().machineType());
     JobSpec spec = attempt.range().spec();
     if (type != null) {
       attempt.worker().usesImage(spec.image(), spec.imageGb(), type.cacheGb());
--- a/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
@@ -167,7 +167,7 @@
   public double capacity() {
     double cpus = 0;
     for (Worker worker : workers.values()) {
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       if (type != null && !worker.isDraining() && !worker.isLeaseExpired()) {
         cpus += type.cpus();
       }
@@ -180,7 +180,7 @@
     List<FreeResources> all = new ArrayList<>();
     for (Worker worker : workers.values()) {
       if (isUsable(worker, nowMs)) {
-        MachineType type = context.type(worker.machineType());
+        MachineType type = context.machineType(worker.machineType());
         if (type != null) {
           all.add(worker.freeResources(type));
         }
