--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -69,7 +69,7 @@
   private static void putCounts(ObjectNode parent, ControllerMetrics metrics) {
     parent.put("placed", metrics.placed());
     parent.put("fetches", metrics.imageFetches());
-    parent.put("evicted", metrics.evicted());
+    parent.put("evicted", metrics.preempted());
     parent.put("lost", metrics.lost());
     parent.put("rented", metrics.rented());
     parent.put("returned", metrics.returned());
--- a/src/main/java/org/fieldtrestle/metrics/ControllerMetrics.java
+++ b/src/main/java/org/fieldtrestle/metrics/ControllerMetrics.java
@@ -31,7 +31,7 @@
   private final Map<StartRefusal, Long> startsRefused = new EnumMap<>(StartRefusal.class);
   private long placed;
   private long imageFetches;
-  private long evicted;
+  private long preempted;
   private long lost;
   private long rented;
   private long returned;
@@ -62,8 +62,8 @@
   }
 
   /** A running task was preempted. */
-  public void countEvicted() {
-    evicted++;
+  public void countPreempted() {
+    preempted++;
   }
 
   /** Tasks were lost with their worker. */
@@ -102,8 +102,8 @@
   }
 
   /** Preempted tasks. */
-  public long evicted() {
-    return evicted;
+  public long preempted() {
+    return preempted;
   }
 
   /** Tasks lost with their worker. */
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -182,7 +182,7 @@
 
   private void stop(TaskAttempt victim, JobSpec preemptedBy) {
     LOG.debug("task {} preempted by {} ({})", victim, preemptedBy.id(), preemptedBy.priority());
-    context.metrics().countEvicted();
+    context.metrics().countPreempted();
     JobSpec spec = victim.range().spec();
     decisions.stop(victim, spec.hasCheckpoints() ? spec.saveS() : 0);
   }
