--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -105,7 +105,7 @@
 
   private void receiveFrame(ByteBuffer received) {
     ByteBuffer copy = ByteBuffer.allocate(received.remaining()).put(received).flip();
-    controller.frame(copy);
+    controller.peerFrameReceived(copy);
   }
 
   /** Waits for as long as the controller runs. */
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -189,7 +189,7 @@
   }
 
   /** Receives a frame from another controller, without its length; on the reactor's thread. */
-  public void frame(ByteBuffer frame) {
+  public void peerFrameReceived(ByteBuffer frame) {
     meter.run(Activity.PEER_FRAME, () -> peerReceiver.receive(frame));
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
@@ -196,7 +196,7 @@
       time.after(
           time.chance(LATE_FRAMES) ? time.between(500, 60_000) : time.between(1, 5),
           this::isAlive,
-          () -> turn(() -> controller.frame(ByteBuffer.wrap(bytes))));
+          () -> turn(() -> controller.peerFrameReceived(ByteBuffer.wrap(bytes))));
     }
   }
 }
