--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -20,15 +20,18 @@
 
 /** Splits a job into task ranges and prepares the transaction that accepts it. */
 final class AcceptancePlanner {
-  /** Operations of the transaction that do not depend on the number of task ranges. */
+  /** Number of operations in the transaction besides those for each task range. */
   private static final int FIXED_OPERATIONS = 4;
 
   private static final int BYTES_PER_KB = 1024;
 
-  /** Part of a value that the bitmap of done tasks may take; the rest is for other fields. */
+  /**
+   * The bitmap of done tasks may take up the largest value divided by this number; the rest is left
+   * for the other fields.
+   */
   private static final int BITMAP_VALUE_DIVISOR = 2;
 
-  /** Base64 holds six bits in a byte. */
+  /** Base64 encodes six bits in each byte. */
   private static final int BITMAP_BITS_PER_BYTE = 6;
 
   private final ControllerContext context;
@@ -38,29 +41,30 @@
   }
 
   /**
-   * How a job would be accepted.
+   * The plan for accepting a job.
    *
-   * @param parts its task ranges
-   * @param transaction the compare-and-swap that accepts it
-   * @param recordBytes size of the job's record
+   * @param parts the task ranges that the job is split into
+   * @param transaction the compare-and-swap that accepts the job
+   * @param recordBytes size of the job's record in bytes
    */
   record Plan(List<JobSplitter.Part> parts, Transaction transaction, int recordBytes) {}
 
-  /** Returns the largest record of a job that the store takes, in bytes. */
+  /** Returns the size of the largest job record that the key-value store accepts, in bytes. */
   double maxRecordBytes() {
     return context.settings().state().valueKb() * BYTES_PER_KB;
   }
 
-  /** Plans the acceptance of a job by the present loads and epochs of the shards. */
+  /** Plans the acceptance of a job according to the current loads and epochs of the shards. */
   Plan plan(JobSpec spec) {
     String zone = spec.oneZone() ? context.loads().roomiestZone(allowedZones(spec)) : null;
     List<JobSplitter.Part> parts = split(spec, zone);
     Map<String, Long> epochs = epochsOfShards(parts);
-    // One record holds the job and all its ranges; a range gets its own once it differs.
+    // One record holds the job and all its ranges; a range gets a record of its own once it
+    // changes.
     KeyValueProtocol.Put put =
         StateChanges.put(
             StateKeys.job(spec.id()),
-            new JobRecord(spec, context.reactor().wall(), zone, recordedParts(parts, epochs)));
+            new JobRecord(spec, context.reactor().wall(), zone, initialRanges(parts, epochs)));
     return new Plan(
         parts,
         new Transaction(conditions(spec, epochs), List.of(put)),
@@ -92,23 +96,23 @@
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(StateKeys.job(spec.id()), 0));
     conditions.add(new KeyValueProtocol.Condition(StateKeys.finished(spec.id()), 0));
-    // If a shard changed leaders before the write, its new leader could not know whether the old
-    // one has started tasks of these ranges.
+    // The epochs must not have changed: if a shard changed leaders before the write, the new leader
+    // could not know whether the old one had started tasks of these ranges.
     epochs.forEach(
         (shard, epoch) ->
             conditions.add(new KeyValueProtocol.Condition(StateKeys.shard(shard), epoch)));
     return conditions;
   }
 
-  private static List<InitialRange> recordedParts(
+  private static List<InitialRange> initialRanges(
       List<JobSplitter.Part> parts, Map<String, Long> epochs) {
-    List<InitialRange> recorded = new ArrayList<>();
+    List<InitialRange> initialRanges = new ArrayList<>();
     for (JobSplitter.Part part : parts) {
-      recorded.add(
+      initialRanges.add(
           new InitialRange(
               part.shard(), epochs.get(part.shard()), part.from(), part.to(), part.caps()));
     }
-    return recorded;
+    return initialRanges;
   }
 
   private List<String> allowedZones(JobSpec spec) {
--- a/src/main/java/org/fieldtrestle/api/AdmissionCheck.java
+++ b/src/main/java/org/fieldtrestle/api/AdmissionCheck.java
@@ -5,7 +5,7 @@
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.protocol.JobSpec;
 
-/** Finds jobs that could never run in this cluster, however long they waited. */
+/** Checks whether a job could ever run in this cluster. */
 final class AdmissionCheck {
   private final ControllerContext context;
 
@@ -13,7 +13,9 @@
     this.context = context;
   }
 
-  /** Returns why a job could never run, in words for the user; empty if it could. */
+  /**
+   * Returns the reason why a job could never run, as a text for the user; empty if it could run.
+   */
   Optional<String> rejectionReason(JobSpec spec) {
     Settings.Team team = context.settings().team(spec.team());
     if (team == null) {
--- a/src/main/java/org/fieldtrestle/api/CancellationHandler.java
+++ b/src/main/java/org/fieldtrestle/api/CancellationHandler.java
@@ -17,13 +17,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Cancels jobs. A job is cancelled once the key-value store has replaced its record by the record
- * of its end; its tasks stop afterwards.
+ * Cancels jobs. A job is cancelled once its record in the key-value store is replaced by a record
+ * of the finished job; its tasks are stopped afterwards.
  */
 final class CancellationHandler {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationHandler.class);
 
-  /** Retries after the job or one of its ranges changed. */
+  /** How often a cancellation is retried after the job or one of its ranges has changed. */
   private static final int MAX_CONFLICT_RETRIES = 3;
 
   /** How long a retry waits for the conflicting write to be applied, in watch intervals. */
@@ -48,7 +48,7 @@
     this.peers = peers;
   }
 
-  /** Cancels a job, or reports how it ended if it has ended before. */
+  /** Cancels a job; if the job has already ended, reports how it ended. */
   void cancel(String jobId, Consumer<RequestOutcome> reply) {
     cancel(jobId, reply, MAX_CONFLICT_RETRIES);
   }
@@ -56,7 +56,7 @@
   private void cancel(String jobId, Consumer<RequestOutcome> reply, int retriesLeft) {
     Optional<FinishedJobRecord> end = finishedJobs.cached(jobId);
     if (end.isPresent()) {
-      reply.accept(StatusHandler.finished(jobId, end.get()));
+      reply.accept(StatusHandler.finishedStatus(jobId, end.get()));
       return;
     }
     if (availability.isUnresponsive()) {
@@ -67,7 +67,7 @@
     if (job != null) {
       commitCancellation(jobId, job, reply, retriesLeft);
     } else if (context.stateCache().version(StateKeys.job(jobId)) != 0) {
-      // A job whose record this version cannot read must not be ended by it.
+      // This version cannot read the job's record and must not end the job.
       reply.accept(availability.unavailable());
     } else {
       statusHandler.query(jobId, reply);
@@ -78,7 +78,7 @@
       String jobId, ActiveJob job, Consumer<RequestOutcome> reply, int retriesLeft) {
     FinishedJobRecord end =
         new FinishedJobRecord(false, job.job().record().spec().tasks(), job.doneTasks());
-    Transaction transaction = transaction(jobId, job, end);
+    Transaction transaction = cancellationTransaction(jobId, job, end);
     context
         .store()
         .commit(
@@ -86,7 +86,7 @@
             result -> {
               if (result instanceof CommitResult.Committed committed) {
                 onCancelled(jobId, end, transaction.changes(), committed.revision());
-                reply.accept(StatusHandler.finished(jobId, end));
+                reply.accept(StatusHandler.finishedStatus(jobId, end));
               } else if (result instanceof CommitResult.Conflict conflict && retriesLeft > 0) {
                 retryAfterConflict(jobId, conflict, reply, retriesLeft);
               } else {
@@ -95,15 +95,16 @@
             });
   }
 
-  private static Transaction transaction(String jobId, ActiveJob job, FinishedJobRecord end) {
+  private static Transaction cancellationTransaction(
+      String jobId, ActiveJob job, FinishedJobRecord end) {
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(StateKeys.job(jobId), job.job().version()));
     conditions.add(new KeyValueProtocol.Condition(StateKeys.finished(jobId), 0));
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     changes.add(new KeyValueProtocol.Delete(StateKeys.job(jobId)));
     changes.add(StateChanges.put(StateKeys.finished(jobId), end));
-    // Ranges that only the job's record names get records of their own, as their tasks count
-    // against the team's quota until they have stopped.
+    // Ranges that exist only in the job's record get records of their own, because their tasks
+    // count against the team's quota until they have stopped.
     job.ranges()
         .forEach(
             (index, range) -> {
@@ -116,7 +117,11 @@
     return new Transaction(conditions, changes);
   }
 
-  /** The state cache is updated first, so that no part of this controller acts on the job. */
+  /**
+   * Called when the cancellation is committed. The state cache is updated before other controllers
+   * are notified and the user gets an answer, so that no component of this controller acts on the
+   * job any more.
+   */
   private void onCancelled(
       String jobId, FinishedJobRecord end, List<KeyValueProtocol.Change> changes, long revision) {
     finishedJobs.cache(jobId, end);
@@ -127,7 +132,7 @@
         .addKeyValue("revision", revision)
         .addKeyValue("appliedRevision", context.stateCache().appliedRevision())
         .log("cancellation confirmed");
-    peers.cancelled(jobId);
+    peers.broadcastCancellation(jobId);
   }
 
   private void retryAfterConflict(
--- a/src/main/java/org/fieldtrestle/api/FinishedJobs.java
+++ b/src/main/java/org/fieldtrestle/api/FinishedJobs.java
@@ -20,28 +20,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How jobs ended: cached for some of them, read from the key-value store for all others.
+ * Finds out how jobs ended: from a cache for some jobs, from the key-value store for all others.
  *
- * <p>After a restart users ask about more jobs than could be read one by one in time. One read
- * therefore lists a page of all finished jobs and answers every pending query whose key lies within
- * that page. The next page starts where the last one ended, so that every query is answered
- * whatever other jobs are asked about.
+ * <p>After a restart, users query more jobs than could be read one by one in time. One read
+ * therefore lists a page of all finished jobs and completes every pending query whose key lies
+ * within that page. The next page starts where the last one ended, so that every query is completed
+ * eventually, regardless of the other queries.
  *
- * <p>A query is never answered by a read that was sent before it: the job may have been accepted
- * and have ended in between.
+ * <p>A query is never completed by a read that was sent before the query came: the job may have
+ * been accepted and may have ended in between.
  */
 final class FinishedJobs {
   private static final Logger LOG = LoggerFactory.getLogger(FinishedJobs.class);
 
   private static final int MAX_CACHED_JOBS = 20_000;
 
-  /** Jobs with pending queries; queries about further jobs are refused. */
+  /** The most jobs that may have pending queries; queries for further jobs are refused. */
   private static final int MAX_PENDING_JOBS = 4096;
 
-  /** Entries that are read for each pending job, as other finished jobs lie between them. */
+  /**
+   * Entries that are read for each job with pending queries; more than one, because other finished
+   * jobs lie between these jobs.
+   */
   private static final int ENTRIES_PER_PENDING_JOB = 2;
 
-  /** Sorts after the digits with which keys end. */
+  /** Sorts after all digits; keys end with digits. */
   private static final String AFTER_DIGITS = "~";
 
   /** The result of reading how a job ended. */
@@ -50,10 +53,10 @@
   /** The job has ended. */
   record Finished(FinishedJobRecord end) implements Outcome {}
 
-  /** The job had not ended when the query came, or was never accepted. */
+  /** The job had not ended when the query came, or the job was never accepted. */
   record NotFinished() implements Outcome {}
 
-  /** The store could not be read, or the record could not. */
+  /** The key-value store could not be read, or the record of the finished job is unreadable. */
   record Unavailable() implements Outcome {}
 
   private final KeyValueClient store;
@@ -64,24 +67,24 @@
 
   private boolean readEnqueued;
 
-  /** Key from which the next page is read; empty: from the first pending one. */
+  /** Key from which the next page is read; empty to start at the first pending key. */
   private String nextPageStart = "";
 
   FinishedJobs(KeyValueClient store) {
     this.store = store;
   }
 
-  /** Returns how a job ended, if that is cached. */
+  /** Returns the cached record of how a job ended; empty if there is none in the cache. */
   Optional<FinishedJobRecord> cached(String jobId) {
     return Optional.ofNullable(cache.get(jobId));
   }
 
-  /** Caches the end of a job once it is committed. */
+  /** Caches how a job ended. Called only once that is committed. */
   void cache(String jobId, FinishedJobRecord end) {
     cache.put(jobId, end);
   }
 
-  /** Reads from the store whether and how a job has ended. */
+  /** Reads from the key-value store whether and how a job has ended. */
   void read(String jobId, Consumer<Outcome> callback) {
     String key = StateKeys.finished(jobId);
     if (!pendingQueries.containsKey(key) && pendingQueries.size() >= MAX_PENDING_JOBS) {
@@ -106,7 +109,7 @@
     if (readEnqueued || pendingQueries.isEmpty()) {
       return;
     }
-    readEnqueued = true; // set first, as the read may be sent at once
+    readEnqueued = true; // set first, because enqueueRead may call sendRead immediately
     if (!store.enqueueRead(this::sendRead)) {
       readEnqueued = false;
       completeAll(takePending(), new Unavailable());
@@ -130,7 +133,7 @@
     return next != null ? next : queries.firstKey();
   }
 
-  /** Returns a key that sorts before the given one and after all others that do. */
+  /** Returns a key that sorts before the given key, but after all other keys before it. */
   private static String keyBefore(String key) {
     int last = key.length() - 1;
     return key.substring(0, last) + (char) (key.charAt(last) - 1) + AFTER_DIGITS;
--- a/src/main/java/org/fieldtrestle/api/ReadBarrier.java
+++ b/src/main/java/org/fieldtrestle/api/ReadBarrier.java
@@ -13,17 +13,17 @@
 
 /**
  * Delays a read until the state cache contains everything that was written before the read was
- * requested, so that an answer is never older than one that another controller gave before.
+ * requested. An answer is then never older than an answer that another controller gave before.
  *
- * <p>Either of two facts proves that: the state cache has applied a revision that the key-value
- * store named after the read was requested, or a watch that was opened after it has been answered.
- * All pending reads share one request for the revision; the answer of a watch completes them even
- * if that request is late or lost.
+ * <p>Either of two facts proves that the cache contains all this: the cache has applied a revision
+ * that the key-value store reported after the read was requested, or a watch has been answered that
+ * was opened after the read was requested. All pending reads share one request for the revision.
+ * The answer to a watch completes the reads even if that request is delayed or lost.
  */
 final class ReadBarrier {
   private static final int SERVICE_UNAVAILABLE = 503;
 
-  /** Compares a key that never exists; the answer names the store's present revision. */
+  /** Compares a key that never exists; the answer contains the store's current revision. */
   private static final List<KeyValueProtocol.Condition> REVISION_REQUEST =
       List.of(new KeyValueProtocol.Condition(StateKeys.LIVE_PREFIX + "barrier", 0));
 
@@ -33,7 +33,7 @@
     private final long requestedAtMs;
     private final Consumer<Boolean> callback;
 
-    /** The revision that has to be applied first. */
+    /** The revision that the state cache has to apply before the read. */
     private long revision = UNKNOWN;
 
     private boolean completed;
@@ -43,12 +43,12 @@
       this.callback = callback;
     }
 
-    boolean revisionUnknown() {
+    boolean isRevisionUnknown() {
       return revision == UNKNOWN;
     }
 
-    boolean satisfiedBy(long appliedRevision, long freshAsOfMs) {
-      return requestedAtMs < freshAsOfMs || (!revisionUnknown() && revision <= appliedRevision);
+    boolean isSatisfiedBy(long appliedRevision, long freshAsOfMs) {
+      return requestedAtMs < freshAsOfMs || (!isRevisionUnknown() && revision <= appliedRevision);
     }
   }
 
@@ -57,7 +57,7 @@
   private final long minRequestIntervalMs;
   private final long timeoutMs;
 
-  /** In the order in which they were requested. */
+  /** Pending reads, in the order in which they were requested. */
   private final Deque<PendingRead> pendingReads = new ArrayDeque<>();
 
   private boolean requestPending;
@@ -67,7 +67,7 @@
   /**
    * Creates a barrier.
    *
-   * @param timeoutMs after which a pending read fails
+   * @param timeoutMs time after which a pending read fails
    */
   ReadBarrier(ControllerContext context, long timeoutMs) {
     this.context = context;
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Calls back with true once the state cache contains everything that was written before this
-   * call; with false if that failed or timed out.
+   * Calls back with {@code true} once the state cache contains everything that was written before
+   * this call, or with {@code false} if the barrier fails or times out.
    */
   void await(Consumer<Boolean> callback) {
     pendingReads.addLast(new PendingRead(reactor.now(), callback));
@@ -87,13 +87,14 @@
     scheduleExpiry();
   }
 
-  private boolean anyRevisionUnknown() {
-    // A revision is given to all pending reads at a time, so that the latest shows it.
-    return !pendingReads.isEmpty() && pendingReads.peekLast().revisionUnknown();
+  private boolean isAnyRevisionUnknown() {
+    // A revision is given to all pending reads that lack one at that time. If any read still lacks
+    // a revision, the newest one does.
+    return !pendingReads.isEmpty() && pendingReads.peekLast().isRevisionUnknown();
   }
 
   private void requestRevision() {
-    if (requestPending || !anyRevisionUnknown()) {
+    if (requestPending || !isAnyRevisionUnknown()) {
       return;
     }
     requestPending = true;
@@ -106,8 +107,8 @@
   }
 
   private void sendRevisionRequest() {
-    List<PendingRead> reads = pendingReads.stream().filter(PendingRead::revisionUnknown).toList();
-    if (reads.isEmpty()) { // a watch has completed them meanwhile
+    List<PendingRead> reads = pendingReads.stream().filter(PendingRead::isRevisionUnknown).toList();
+    if (reads.isEmpty()) { // a watch has completed all reads in the meantime
       requestPending = false;
       return;
     }
@@ -124,7 +125,7 @@
         && refused.status() == SERVICE_UNAVAILABLE) {
       complete(reads, false);
     }
-    // After any other result the next request covers these reads too.
+    // After any other result, the next request also covers these reads.
     requestRevision();
   }
 
@@ -133,7 +134,7 @@
     long freshAsOfMs = context.stateCache().freshAsOf();
     complete(
         pendingReads.stream()
-            .filter(read -> read.satisfiedBy(appliedRevision, freshAsOfMs))
+            .filter(read -> read.isSatisfiedBy(appliedRevision, freshAsOfMs))
             .toList(),
         true);
   }
--- a/src/main/java/org/fieldtrestle/api/RequestOutcome.java
+++ b/src/main/java/org/fieldtrestle/api/RequestOutcome.java
@@ -12,11 +12,11 @@
    * The job exists.
    *
    * @param done number of tasks that are done
-   * @param running number of tasks that run now
+   * @param running number of tasks that are running
    */
   record JobStatus(String jobId, JobStage stage, int done, int running) implements RequestOutcome {}
 
-  /** There is no job of this identifier. */
+  /** There is no job with this identifier. */
   record NotFound() implements RequestOutcome {}
 
   /** The request cannot be read, or its job is too large to be stored. */
--- a/src/main/java/org/fieldtrestle/api/StatusHandler.java
+++ b/src/main/java/org/fieldtrestle/api/StatusHandler.java
@@ -12,11 +12,15 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * Answers status queries. Unless the job is known to have ended, an answer is given only after the
- * read barrier, so that it is never older than one that any controller gave before the query.
+ * Answers status queries. Unless the job is known to have ended, a query is answered only after the
+ * read barrier. The answer is then never older than an answer that any controller gave before the
+ * query.
  */
 final class StatusHandler {
-  /** Share of the time that a user waits for an answer within which there is one in any case. */
+  /**
+   * Share of the user's own timeout after which a query is answered in any case, even if the status
+   * is still unknown.
+   */
   private static final double TIMEOUT_SHARE = 0.9;
 
   private static final long TIMEOUT_MS = Math.round(UserProtocol.POLL_TIMEOUT_MS * TIMEOUT_SHARE);
@@ -24,32 +28,32 @@
   private final ControllerContext context;
   private final StoreAvailability availability;
   private final FinishedJobs finishedJobs;
-  private final UserApi.Running runningTasks;
+  private final UserApi.RunningTaskCounter runningTaskCounter;
   private final ReadBarrier readBarrier;
 
   StatusHandler(
       ControllerContext context,
       StoreAvailability availability,
       FinishedJobs finishedJobs,
-      UserApi.Running runningTasks) {
+      UserApi.RunningTaskCounter runningTaskCounter) {
     this.context = context;
     this.availability = availability;
     this.finishedJobs = finishedJobs;
-    this.runningTasks = runningTasks;
+    this.runningTaskCounter = runningTaskCounter;
     this.readBarrier = new ReadBarrier(context, TIMEOUT_MS);
   }
 
-  /** Returns the status of a job that ended in a known way. */
-  static RequestOutcome.JobStatus finished(String jobId, FinishedJobRecord end) {
+  /** Returns the status of a job that has ended. */
+  static RequestOutcome.JobStatus finishedStatus(String jobId, FinishedJobRecord end) {
     JobStage stage = end.done() ? JobStage.DONE : JobStage.CANCELLED;
     return new RequestOutcome.JobStatus(jobId, stage, end.doneTasks(), 0);
   }
 
-  /** Finds out the status of a job; replies within {@link #TIMEOUT_MS} in any case. */
+  /** Queries the status of a job; replies within {@link #TIMEOUT_MS} in any case. */
   void query(String jobId, Consumer<RequestOutcome> reply) {
     Optional<FinishedJobRecord> end = finishedJobs.cached(jobId);
     if (end.isPresent()) {
-      reply.accept(finished(jobId, end.get()));
+      reply.accept(finishedStatus(jobId, end.get()));
     } else if (!UserProtocol.isValidJobId(jobId)) {
       reply.accept(new RequestOutcome.NotFound());
     } else if (availability.isUnresponsive()) {
@@ -73,52 +77,56 @@
   private void readState(String jobId, Consumer<RequestOutcome> reply) {
     ActiveJob job = context.stateCache().job(jobId);
     if (job != null) {
-      reply.accept(active(jobId, job));
+      reply.accept(activeStatus(jobId, job));
     } else if (context.stateCache().version(StateKeys.job(jobId)) != 0) {
-      reply.accept(unreadable(jobId));
+      reply.accept(unreadableStatus(jobId));
     } else {
-      finishedJobs.read(jobId, outcome -> reply.accept(ofEnd(jobId, outcome)));
+      finishedJobs.read(jobId, outcome -> reply.accept(statusAfterRead(jobId, outcome)));
     }
   }
 
-  private RequestOutcome ofEnd(String jobId, FinishedJobs.Outcome outcome) {
+  private RequestOutcome statusAfterRead(String jobId, FinishedJobs.Outcome outcome) {
     if (outcome instanceof FinishedJobs.Finished finished) {
-      return finished(jobId, finished.end());
+      return finishedStatus(jobId, finished.end());
     }
     if (outcome instanceof FinishedJobs.NotFinished) {
-      // The job may have been accepted since the read barrier.
+      // The job may have been accepted after the read barrier.
       ActiveJob job = context.stateCache().job(jobId);
-      return job != null ? active(jobId, job) : new RequestOutcome.NotFound();
+      return job != null ? activeStatus(jobId, job) : new RequestOutcome.NotFound();
     }
     return unanswered(Unanswered.END_NOT_READ);
   }
 
-  /** Returns the status of a job whose own record this version cannot read, from its ranges. */
-  private RequestOutcome unreadable(String jobId) {
+  /**
+   * Returns the status of a job whose own record this version cannot read. The status is derived
+   * from the records of the job's ranges.
+   */
+  private RequestOutcome unreadableStatus(String jobId) {
     ActiveJob job = context.stateCache().jobsById().get(jobId);
     return job == null || job.ranges().isEmpty()
         ? unanswered(Unanswered.RECORD_UNREADABLE)
-        : active(jobId, job);
+        : activeStatus(jobId, job);
   }
 
-  private RequestOutcome active(String jobId, ActiveJob job) {
-    int running = runningTasks.of(jobId);
+  private RequestOutcome activeStatus(String jobId, ActiveJob job) {
+    int running = runningTaskCounter.count(jobId);
     int done = job.doneTasks();
     JobStage stage = running > 0 || done > 0 ? JobStage.RUNNING : JobStage.QUEUED;
     return new RequestOutcome.JobStatus(jobId, stage, done, running);
   }
 
   /**
-   * Counts a query that cannot be answered now. Unless the store is silent for all controllers,
-   * only this controller may be behind, and the user should retry on another connection.
+   * Counts a query that cannot be answered now. Unless the key-value store is silent for all
+   * controllers, the cause may lie in this controller alone, and the user should retry on another
+   * connection.
    */
   private RequestOutcome unanswered(Unanswered reason) {
-    context.metrics().questions.unanswered(reason, context.nowMs());
+    context.metrics().jobQueries.queryUnanswered(reason, context.nowMs());
     return new RequestOutcome.Unavailable(
         reason != Unanswered.STATE_SERVICE_SILENT || availability.isCutOff());
   }
 
-  /** Replies once: with the first outcome, or at the timeout. Later outcomes are dropped. */
+  /** Replies exactly once: with the first outcome or at the timeout. Drops later outcomes. */
   private Consumer<RequestOutcome> withTimeout(Consumer<RequestOutcome> reply) {
     boolean[] replied = {false};
     Reactor.Timer timeout =
--- a/src/main/java/org/fieldtrestle/api/StoreAvailability.java
+++ b/src/main/java/org/fieldtrestle/api/StoreAvailability.java
@@ -2,9 +2,15 @@
 
 import org.fieldtrestle.context.ControllerContext;
 
-/** Judges whether the key-value store answers this controller, and whether it answers others. */
+/**
+ * Determines whether the key-value store answers this controller, and whether it answers other
+ * controllers.
+ */
 final class StoreAvailability {
-  /** Part of the state lease after which a store without an answer counts as unresponsive. */
+  /**
+   * The key-value store counts as unresponsive if it gives no answer for the state lease divided by
+   * this number.
+   */
   private static final int UNRESPONSIVE_LEASE_DIVISOR = 12;
 
   private final ControllerContext context;
@@ -15,32 +21,37 @@
     this.peers = peers;
   }
 
-  /** Returns whether another request to the store would most likely only delay the response. */
+  /**
+   * Returns whether another request to the key-value store would most likely only delay the
+   * response to the user: the state cache has not been read yet, or the store has been silent for
+   * some time.
+   */
   boolean isUnresponsive() {
-    return !context.stateCache().isReady() || unansweredForLong();
+    return !context.stateCache().isReady() || isUnansweredForLong();
   }
 
   /**
-   * Returns whether this controller alone is cut off from the store, so that users are better
-   * served by another controller.
+   * Returns whether only this controller is cut off from the key-value store, so that users are
+   * better served by another controller.
    *
-   * <p>While the store answers nobody, users stay here, as load balancers take time to return to a
-   * controller. Without any word from other controllers the two cases look the same; this
-   * controller then counts as cut off once its own lease must have expired.
+   * <p>While the store answers no controller, users should stay with this one, because load
+   * balancers take time to return to a controller. If no other controller can be heard, the two
+   * cases cannot be told apart; this controller then counts as cut off once its own lease must have
+   * expired.
    */
   boolean isCutOff() {
-    return unansweredForLong()
-        && (peers.anyServed()
-            || (!peers.anyHeard()
+    return isUnansweredForLong()
+        && (peers.isStoreAvailableToAny()
+            || (!peers.isAnyAlive()
                 && context.store().unavailableForMs() > context.settings().stateLeaseMs()));
   }
 
-  /** Returns the outcome of a request that cannot be served at present. */
+  /** Returns the outcome for a request that cannot be served at present. */
   RequestOutcome.Unavailable unavailable() {
     return new RequestOutcome.Unavailable(isCutOff());
   }
 
-  private boolean unansweredForLong() {
+  private boolean isUnansweredForLong() {
     return context.store().unavailableForMs()
         > context.settings().stateLeaseMs() / UNRESPONSIVE_LEASE_DIVISOR;
   }
--- a/src/main/java/org/fieldtrestle/api/SubmissionHandler.java
+++ b/src/main/java/org/fieldtrestle/api/SubmissionHandler.java
@@ -12,16 +12,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts jobs. A job is accepted once its record is committed to the key-value store; submitting
+ * Accepts jobs. A job is accepted once its record is committed to the key-value store. Submitting
  * an accepted job again returns its stage.
  */
 final class SubmissionHandler {
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
 
-  /** Submissions that may wait for the store at a time; others are throttled. */
+  /** The most submissions that may wait for the key-value store at a time; others are throttled. */
   private static final int MAX_CONCURRENT_SUBMISSIONS = 24;
 
-  /** Retries after a shard of the plan changed leaders. */
+  /** How often a submission is retried after a shard of its plan has changed leaders. */
   private static final int MAX_CONFLICT_RETRIES = 3;
 
   /** How long a retry waits for the conflicting write to be applied, in watch intervals. */
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Rejects a job unless it was accepted before: settings and machine types may have changed since,
-   * but an accepted job stays accepted.
+   * Rejects a job unless it was accepted before. The settings or the machine types may have changed
+   * since then, but an accepted job stays accepted.
    */
   private void rejectUnlessAccepted(
       String jobId, RequestOutcome rejection, Consumer<RequestOutcome> reply) {
@@ -112,7 +112,8 @@
   private void accept(JobSpec spec, Consumer<RequestOutcome> reply, int retriesLeft) {
     AcceptancePlanner.Plan plan = planner.plan(spec);
     if (plan.recordBytes() > planner.maxRecordBytes()) {
-      // The split depends on the present loads of the shards: an earlier one may have fitted.
+      // The split depends on the current loads of the shards, so the job may have fitted and been
+      // accepted earlier.
       rejectUnlessAccepted(
           spec.id(), new RequestOutcome.Invalid("larger than what can be kept of a job"), reply);
       return;
@@ -148,13 +149,16 @@
     context.loads().addAssigned(spec, plan.parts());
     context.stateCache().applyCommit(plan.transaction().changes(), revision);
     LOG.debug(
-        "job {} of class {} accepted in {} ranges",
+        "job {} of class {} accepted, split into {} task ranges",
         spec.id(),
         spec.jobClass(),
         plan.parts().size());
   }
 
-  /** Reports the acceptance; if the commit was answered late, the job may have ended already. */
+  /**
+   * Reports that the job is accepted. If the answer to the commit was late, the job may already
+   * have ended; its status is queried then.
+   */
   private void replyAccepted(String jobId, Consumer<RequestOutcome> reply) {
     if (context.stateCache().job(jobId) == null) {
       statusHandler.query(jobId, reply);
--- a/src/main/java/org/fieldtrestle/api/UserApi.java
+++ b/src/main/java/org/fieldtrestle/api/UserApi.java
@@ -26,44 +26,44 @@
   public record Submit(byte[] body, Consumer<Http.Response> reply) implements Message {}
 
   /** Queries the status of a job. */
-  public record Poll(String id, Consumer<Http.Response> reply) implements Message {}
+  public record Query(String id, Consumer<Http.Response> reply) implements Message {}
 
   /** Cancels a job. */
   public record Cancel(String id, Consumer<Http.Response> reply) implements Message {}
 
-  /** Counts the tasks that run under this controller. */
-  public interface Running {
+  /** Counts the running tasks in the shards that this controller leads. */
+  public interface RunningTaskCounter {
     /** Returns the number of running tasks of a job. */
-    int of(String job);
+    int count(String job);
   }
 
-  /** The other controllers. */
+  /** Access to the other controllers. */
   public interface Peers {
-    /** Returns whether the key-value store answers any controller heard of recently. */
-    boolean anyServed();
+    /** Returns whether the key-value store answers any other controller that is alive. */
+    boolean isStoreAvailableToAny();
 
-    /** Returns whether any other controller was heard of recently. */
-    boolean anyHeard();
+    /** Returns whether any other controller is alive, that is, has sent a message recently. */
+    boolean isAnyAlive();
 
     /** Notifies the other controllers that the cancellation of a job is committed. */
-    void cancelled(String job);
+    void broadcastCancellation(String job);
   }
 
-  /** Creates the interface of one controller. */
-  public UserApi(ControllerContext context, Running running, Peers peers) {
+  /** Creates the user API of one controller. */
+  public UserApi(ControllerContext context, RunningTaskCounter runningTaskCounter, Peers peers) {
     super(context.reactor());
     this.context = context;
     this.availability = new StoreAvailability(context, peers);
     FinishedJobs finishedJobs = new FinishedJobs(context.store());
-    this.statusHandler = new StatusHandler(context, availability, finishedJobs, running);
+    this.statusHandler = new StatusHandler(context, availability, finishedJobs, runningTaskCounter);
     this.submissionHandler =
         new SubmissionHandler(context, availability, statusHandler, finishedJobs);
     this.cancellationHandler =
         new CancellationHandler(context, availability, statusHandler, finishedJobs, peers);
   }
 
-  /** Returns whether this controller can take users' requests. */
-  public boolean ready() {
+  /** Returns whether this controller is ready to serve users' requests. */
+  public boolean isReady() {
     return context.stateCache().isReady()
         && !context.machineTypes().isEmpty()
         && !availability.isCutOff();
@@ -71,21 +71,21 @@
 
   @Override
   protected void receive(Message message) {
-    context.metrics().work.run(activityOf(message), () -> route(message));
+    context.metrics().eventLoopMeter.run(activityOf(message), () -> route(message));
   }
 
   private static Activity activityOf(Message message) {
     if (message instanceof Submit) {
       return Activity.USER_SUBMISSION;
     }
-    return message instanceof Poll ? Activity.USER_QUERY : Activity.USER_CANCELLATION;
+    return message instanceof Query ? Activity.USER_QUERY : Activity.USER_CANCELLATION;
   }
 
   private void route(Message message) {
     if (message instanceof Submit submit) {
       submit(submit);
-    } else if (message instanceof Poll poll) {
-      query(poll);
+    } else if (message instanceof Query query) {
+      query(query);
     } else if (message instanceof Cancel cancel) {
       cancellationHandler.cancel(
           cancel.id(),
@@ -98,21 +98,21 @@
     submissionHandler.submit(
         submit.body(),
         outcome -> {
-          ControllerMetrics.record(context.metrics().submitMs, context.nowMs() - startedAtMs);
+          ControllerMetrics.record(context.metrics().submissionMs, context.nowMs() - startedAtMs);
           submit.reply().accept(HttpResponses.of(outcome, HttpResponses.Detail.STAGE));
         });
   }
 
-  private void query(Poll poll) {
+  private void query(Query query) {
     long startedAtMs = context.nowMs();
     statusHandler.query(
-        poll.id(),
+        query.id(),
         outcome -> {
-          ControllerMetrics.record(context.metrics().pollMs, context.nowMs() - startedAtMs);
+          ControllerMetrics.record(context.metrics().jobQueryMs, context.nowMs() - startedAtMs);
           if (!(outcome instanceof RequestOutcome.Unavailable)) {
-            context.metrics().questions.answered(context.nowMs());
+            context.metrics().jobQueries.queryAnswered(context.nowMs());
           }
-          poll.reply().accept(HttpResponses.of(outcome, HttpResponses.Detail.PROGRESS));
+          query.reply().accept(HttpResponses.of(outcome, HttpResponses.Detail.PROGRESS));
         });
   }
 }
--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -17,22 +17,22 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * What the parts of one controller share. There is one context for each controller; its parts are
- * used on the reactor's thread only.
+ * The services and data that the components of one controller share. There is one context for each
+ * controller; everything in it is used on the reactor's thread only.
  *
  * @param settings the platform's settings
- * @param operatorSettings the operators' own settings
- * @param reactor the controller's thread and clocks
- * @param random the source of all random draws, so that a simulated run can be repeated
+ * @param operatorSettings the operators' settings
+ * @param reactor the controller's event loop and clocks
+ * @param random the source of all random numbers, so that a simulated run can be repeated
  * @param caller makes HTTP calls to workers
  * @param store the client of the key-value store
- * @param stateCache what the key-value store holds, as far as it is known here
+ * @param stateCache this controller's copy of the contents of the key-value store
  * @param cloud the client of the cloud that machines are rented from
  * @param membership this controller's lease and the shards that it leads
  * @param loads the loads of all shards, as far as their leaders have reported them
- * @param cancellations cancellations that the state cache may not show yet
+ * @param cancellations notices of cancellations that the state cache may not contain yet
  * @param metrics counters and latencies for operators
- * @param objectives what service-level objectives require of a job
+ * @param objectives the requirements that service-level objectives and deadlines put on jobs
  */
 public record ControllerContext(
     Settings settings,
@@ -49,7 +49,10 @@
     ControllerMetrics metrics,
     JobObjectives objectives) {
 
-  /** The machine type of this name; null if the cloud does not offer it, or is not known yet. */
+  /**
+   * Returns the machine type with this name; {@code null} if the cloud does not offer it or the
+   * cloud's machine types are not known yet.
+   */
   public MachineType machineType(String name) {
     for (MachineType type : cloud.types()) {
       if (type.name().equals(name)) {
@@ -59,12 +62,12 @@
     return null;
   }
 
-  /** The machine types that the cloud offers; empty until they are known. */
+  /** Returns the machine types that the cloud offers; empty until they are known. */
   public List<MachineType> machineTypes() {
     return cloud.types();
   }
 
-  /** The reactor's steady clock, in ms. */
+  /** Returns the time of the reactor's monotonic clock, in milliseconds. */
   public long nowMs() {
     return reactor.now();
   }
@@ -94,7 +97,7 @@
     return objectives.preemptionDelayS(spec, guaranteed);
   }
 
-  /** A number of heartbeat intervals in ms. */
+  /** Returns the duration of a number of heartbeat intervals, in milliseconds. */
   public long heartbeatIntervalsMs(double count) {
     return settings.heartbeatIntervalsMs(count);
   }
--- a/src/main/java/org/fieldtrestle/context/JobObjectives.java
+++ b/src/main/java/org/fieldtrestle/context/JobObjectives.java
@@ -7,9 +7,11 @@
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.MachineType;
 
-/** What the service-level objectives and a job's deadline require of its tasks' starts. */
+/** How soon a job's tasks should start, according to service-level objectives and its deadline. */
 public final class JobObjectives {
-  /** A task may preempt others after this part of the time within which it should start. */
+  /**
+   * A task may preempt others after the time within which it should start, divided by this number.
+   */
   private static final double PREEMPTION_DELAY_DIVISOR = 6;
 
   private static final String WAIT_OBJECTIVE = "wait";
@@ -19,7 +21,7 @@
   private final OperatorSettings operatorSettings;
   private final CloudClient cloud;
 
-  /** Uses the cloud's machine types as they are known at the time of each call. */
+  /** Creates objectives that use the machine types known to {@code cloud} at each call. */
   public JobObjectives(Settings settings, OperatorSettings operatorSettings, CloudClient cloud) {
     this.settings = settings;
     this.operatorSettings = operatorSettings;
@@ -27,15 +29,19 @@
   }
 
   /**
-   * Whether the job's tasks should start within some time: its class has such an objective, or its
-   * deadline leaves less time than a machine takes to boot, so that free capacity has to exist.
+   * Whether the job's tasks should start within a certain time, so that free capacity has to be
+   * kept available for them. This holds if the job's class has an objective for the start, or if
+   * the job's deadline leaves less time than a machine takes to boot.
    */
   public boolean isLatencySensitive(JobSpec spec) {
     return (spec.deadlineS() >= 0 && spec.deadlineS() - spec.estimateS() < shortestBootS())
         || waitObjectiveS(spec) < Double.MAX_VALUE;
   }
 
-  /** The boot time of the machine type that boots fastest; 0 while no type is known. */
+  /**
+   * Returns the boot time of the machine type that boots fastest, in seconds; 0 while no machine
+   * type is known.
+   */
   public double shortestBootS() {
     List<MachineType> types = cloud.types();
     if (types.isEmpty()) {
@@ -48,7 +54,10 @@
     return shortestS;
   }
 
-  /** How long fetching the job's image takes on the machine type with the slowest line. */
+  /**
+   * Returns how long it takes to fetch the job's image on the machine type with the slowest image
+   * download, in seconds.
+   */
   public double imageFetchS(JobSpec spec) {
     double longestS = 0;
     for (MachineType type : cloud.types()) {
@@ -57,7 +66,10 @@
     return longestS;
   }
 
-  /** The time within which the objective of the job's class wants tasks started, in seconds. */
+  /**
+   * Returns the time within which the objective of the job's class requires tasks to start, in
+   * seconds; {@link Double#MAX_VALUE} if the class has no such objective.
+   */
   private double waitObjectiveS(JobSpec spec) {
     double withinS = Double.MAX_VALUE;
     for (Settings.Objective objective : settings.objectives()) {
@@ -69,8 +81,9 @@
   }
 
   /**
-   * How long a task waits for free capacity before it may preempt others, in seconds: the
-   * operators' setting, or less if that is too much of the time within which it should start.
+   * Returns how long a task waits for free capacity before it may preempt others, in seconds. This
+   * is the operators' setting, or less if that setting takes up too much of the time within which
+   * the task should start.
    *
    * @param guaranteed whether the task is within its team's guaranteed share
    */
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -26,18 +26,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: creates its parts, starts them in order and runs their periodic checks. */
+/** One controller: creates its components, starts them in order and runs their periodic checks. */
 public final class Controller implements Http.Handler {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
-  /** Heartbeat intervals between two rounds of periodic checks, and between two broadcasts. */
+  /**
+   * Time between two rounds of periodic checks and between two broadcasts, in heartbeat intervals.
+   */
   private static final double CHECK_INTERVALS = 0.2;
 
-  /** Heartbeat intervals for which another controller's status counts. */
-  private static final double PEER_STATUS_INTERVALS = 0.8;
+  /** Time after which the last status of another controller expires, in heartbeat intervals. */
+  private static final double PEER_STATUS_EXPIRY_INTERVALS = 0.8;
 
-  /** Part of a worker's lease after which requests are accepted though no shard is led yet. */
-  private static final long LISTEN_AFTER_DIVISOR = 4;
+  /**
+   * Requests are accepted after a worker's lease divided by this number, even if this controller
+   * leads no shard by then.
+   */
+  private static final long LISTEN_DELAY_DIVISOR = 4;
 
   private final ControllerContext context;
   private final Reactor reactor;
@@ -50,13 +55,13 @@
   private final JobFinisher jobFinisher;
   private final OrphanAdopter orphanAdopter;
   private final RequestRouter router;
-  private Runnable listen;
+  private Runnable startListening;
   private boolean listening;
 
   /**
    * Creates a controller; {@link #start} starts it.
    *
-   * @param caller makes the calls to the key-value store, the cloud and workers
+   * @param caller makes the HTTP calls to the key-value store, the cloud and workers
    * @param peers sends frames to other controllers
    */
   public Controller(
@@ -71,9 +76,9 @@
     this.meter = meter;
     this.context = createContext(settings, operatorSettings, reactor, random, caller, meter);
     this.stateCache = context.stateCache();
-    this.shards = new LocalShards(context, this::listenOnce);
+    this.shards = new LocalShards(context, this::startListeningOnce);
     LeadershipTransfer leadershipTransfer = new LeadershipTransfer(reactor, settings);
-    long peerExpiryMs = context.heartbeatIntervalsMs(PEER_STATUS_INTERVALS);
+    long peerExpiryMs = context.heartbeatIntervalsMs(PEER_STATUS_EXPIRY_INTERVALS);
     PeerLiveness liveness = new PeerLiveness(reactor, peerExpiryMs);
     this.broadcaster = new PeerBroadcaster(context, peers, leadershipTransfer, shards);
     this.peerReceiver =
@@ -85,7 +90,7 @@
         new RequestRouter(
             context,
             meter,
-            new UserApi(context, shards::runningTasksOf, new UserApiPeers(liveness, broadcaster)),
+            new UserApi(context, shards::runningTaskCount, new UserApiPeers(liveness, broadcaster)),
             new HeartbeatRouter(context, shards, leadershipTransfer, orphanAdopter),
             shards);
   }
@@ -95,9 +100,9 @@
       OperatorSettings operatorSettings,
       Reactor reactor,
       RandomGenerator random,
-      Http.Caller unmetered,
+      Http.Caller unmeteredCaller,
       EventLoopMeter meter) {
-    Http.Caller caller = new MeteredCaller(unmetered, settings, meter);
+    Http.Caller caller = new MeteredCaller(unmeteredCaller, settings, meter);
     KeyValueClient store = new KeyValueClient(reactor, caller, settings);
     StateCache stateCache = new StateCache(reactor, store, settings);
     String boot = Long.toHexString(random.nextLong());
@@ -113,41 +118,43 @@
         cloud,
         new Membership(reactor, store, stateCache, settings, boot),
         new ShardLoads(
-            reactor, settings.label(), settings.heartbeatIntervalsMs(PEER_STATUS_INTERVALS)),
+            reactor, settings.label(), settings.heartbeatIntervalsMs(PEER_STATUS_EXPIRY_INTERVALS)),
         new CancellationNotices(),
         new ControllerMetrics(meter),
         new JobObjectives(settings, operatorSettings, cloud));
   }
 
   /**
-   * Begins to follow the state and to act.
+   * Starts to follow the key-value store, and then to acquire and lead shards.
    *
-   * @param listen accepts requests of users and workers; called once, when the first shard is led
-   *     or after a part of a worker's lease. Before that a controller could only answer 503, and
-   *     the requests of all workers at once would keep a small share of a core from acting in time
-   *     for their leases, while a refused connection sends them to another controller at no cost.
-   *     If acting takes long, as in an outage of the key-value store, users should get an answer
-   *     that says when to retry.
+   * @param startListening opens the server for requests of users and workers. It is called once:
+   *     when the first shard leader becomes active, or after part of a worker's lease if that is
+   *     earlier (see {@link #LISTEN_DELAY_DIVISOR}). Until then the controller could only answer
+   *     503. On a small share of a core, the requests of all workers at once would delay the start
+   *     past the end of the workers' leases, whereas a refused connection sends a worker to another
+   *     controller at no cost. If the start takes long, as in an outage of the key-value store, the
+   *     server is opened anyway, so that users get an answer that says when to retry.
    */
-  public void start(Runnable listen) {
+  public void start(Runnable startListening) {
     LOG.atInfo()
         .addKeyValue("controller", context.settings().label())
         .addKeyValue("zone", context.settings().zone())
         .log("controller starts");
-    this.listen = listen;
-    stateCache.addKeyListener(this::keyChanged);
+    this.startListening = startListening;
+    stateCache.addKeyListener(this::onKeyChanged);
     stateCache.addProgressListener(
         () -> context.cancellations().appliedRevision(stateCache.appliedRevision()));
     stateCache.start();
     context.cloud().start();
     startWhenStateIsKnown();
-    reactor.schedule(context.settings().workerLeaseMs() / LISTEN_AFTER_DIVISOR, this::listenOnce);
+    reactor.schedule(
+        context.settings().workerLeaseMs() / LISTEN_DELAY_DIVISOR, this::startListeningOnce);
   }
 
-  private void listenOnce() {
+  private void startListeningOnce() {
     if (!listening) {
       listening = true;
-      listen.run();
+      startListening.run();
     }
   }
 
@@ -181,14 +188,18 @@
     reactor.schedule(checkIntervalMs(), this::broadcastPeriodically);
   }
 
-  private void keyChanged(StateKey key) {
+  private void onKeyChanged(StateKey key) {
     if (key instanceof StateKey.MachineKey machineKey) {
       orphanAdopter.machineChanged(machineKey);
     }
     shards.tellAll(new ShardLeader.KeyChanged(key));
   }
 
-  /** Receives a frame from another controller, without its length; on the reactor's thread. */
+  /**
+   * Called on the reactor's thread with each frame that another controller sent.
+   *
+   * @param frame the frame without its length prefix
+   */
   public void peerFrameReceived(ByteBuffer frame) {
     meter.run(Activity.PEER_FRAME, () -> peerReceiver.receive(frame));
   }
--- a/src/main/java/org/fieldtrestle/controller/HeartbeatRouter.java
+++ b/src/main/java/org/fieldtrestle/controller/HeartbeatRouter.java
@@ -13,7 +13,10 @@
 import org.fieldtrestle.state.Versioned;
 import org.fieldtrestle.transport.Http;
 
-/** Passes a heartbeat to the leader of the machine's shard, or redirects the worker to it. */
+/**
+ * Passes a heartbeat to the leader of the machine's shard, or redirects the worker to the
+ * controller that leads this shard.
+ */
 final class HeartbeatRouter {
   private static final int STATUS_BAD_REQUEST = 400;
   private static final int STATUS_MISDIRECTED = 421;
@@ -62,7 +65,10 @@
     reply.accept(redirect(heartbeat.machine(), machine.shard()));
   }
 
-  /** Names the shard's leader to a worker, or none while this controller is about to lead it. */
+  /**
+   * Returns a redirect to the controller that leads the shard. It names no controller if the shard
+   * has no leader, or if this controller is recorded as the leader but has not begun its term yet.
+   */
   private Http.Response redirect(String machine, String shard) {
     Versioned<ShardRecord> current = context.stateCache().shard(shard);
     String leader = current == null ? null : current.record().leader();
--- a/src/main/java/org/fieldtrestle/controller/JobFinisher.java
+++ b/src/main/java/org/fieldtrestle/controller/JobFinisher.java
@@ -11,25 +11,29 @@
 import org.fieldtrestle.worker.JobCompletion;
 
 /**
- * Finishes jobs whose ranges are all complete but which are not finished: two shards that complete
- * a job's last ranges at the same time may each see the other's as incomplete.
+ * Finishes jobs whose ranges are all complete but which have not been finished. This happens when
+ * two shards complete the last two ranges of a job at the same time: each may still see the other's
+ * range as incomplete.
  */
 final class JobFinisher {
   private final ControllerContext context;
   private final LocalShards shards;
-  private final long pauseMs;
+  private final long retryDelayMs;
   private final Set<String> finishing = new HashSet<>();
 
   /**
-   * @param pauseMs how long a job whose transaction was answered is not tried again
+   * @param retryDelayMs time from the answer to a job's transaction until the job may be tried
+   *     again
    */
-  JobFinisher(ControllerContext context, LocalShards shards, long pauseMs) {
+  JobFinisher(ControllerContext context, LocalShards shards, long retryDelayMs) {
     this.context = context;
     this.shards = shards;
-    this.pauseMs = pauseMs;
+    this.retryDelayMs = retryDelayMs;
   }
 
-  /** Finishes one such job at most, if this controller leads the shard of its first range. */
+  /**
+   * Finishes at most one of these jobs whose first range belongs to a shard led by this controller.
+   */
   void check() {
     if (!context.mayAct() || context.store().isCongested()) {
       return;
@@ -46,20 +50,20 @@
   }
 
   private void finish(String job) {
-    Optional<Transaction> ending = JobCompletion.ofCompleteJob(context, job);
-    if (ending.isEmpty()) {
+    Optional<Transaction> completion = JobCompletion.ofCompleteJob(context, job);
+    if (completion.isEmpty()) {
       return;
     }
     finishing.add(job);
     context
         .store()
         .commit(
-            ending.get(),
+            completion.get(),
             result -> {
               if (result instanceof CommitResult.Committed committed) {
-                context.stateCache().applyCommit(ending.get().changes(), committed.revision());
+                context.stateCache().applyCommit(completion.get().changes(), committed.revision());
               }
-              context.reactor().schedule(pauseMs, () -> finishing.remove(job));
+              context.reactor().schedule(retryDelayMs, () -> finishing.remove(job));
             });
   }
 }
--- a/src/main/java/org/fieldtrestle/controller/LeadershipMonitor.java
+++ b/src/main/java/org/fieldtrestle/controller/LeadershipMonitor.java
@@ -5,7 +5,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Moves the leadership of shards away from a controller that is cut off from their workers. */
+/**
+ * Moves the leadership of shards away from a controller that is cut off from their workers: by a
+ * leadership transfer if that is this controller, by seizing the shards if it is another one.
+ */
 final class LeadershipMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipMonitor.class);
 
@@ -30,7 +33,7 @@
     seizeFromUnreachable();
   }
 
-  /** Transfers all shards of this controller if their workers reach another one instead. */
+  /** Transfers all shards of this controller if their workers reach another controller instead. */
   private void transferIfCutOff() {
     if (!context.mayAct()) {
       return;
@@ -50,7 +53,7 @@
     }
   }
 
-  /** Seizes shards whose leader neither their workers nor this controller can reach. */
+  /** Seizes shards whose leader can be reached neither by their workers nor by this controller. */
   private void seizeFromUnreachable() {
     if (!context.mayAct()) {
       return;
--- a/src/main/java/org/fieldtrestle/controller/LocalShards.java
+++ b/src/main/java/org/fieldtrestle/controller/LocalShards.java
@@ -9,23 +9,23 @@
 import org.fieldtrestle.leadership.Membership;
 import org.fieldtrestle.shard.ShardLeader;
 
-/** The leaders of the shards that this controller leads, in the order of the shards' names. */
+/** The shard leaders of this controller, ordered by the names of their shards. */
 final class LocalShards implements Membership.Listener {
   private final ControllerContext context;
-  private final Runnable activated;
+  private final Runnable onActivated;
   private final Map<String, ShardLeader> leaders = new TreeMap<>();
 
   /**
-   * @param activated run each time that a shard leader knows its shard's state and begins to act
+   * @param onActivated runs each time that a shard leader becomes active
    */
-  LocalShards(ControllerContext context, Runnable activated) {
+  LocalShards(ControllerContext context, Runnable onActivated) {
     this.context = context;
-    this.activated = activated;
+    this.onActivated = onActivated;
   }
 
   @Override
   public void began(String shard, long epoch, boolean formerLeaderMayAct) {
-    ShardLeader leader = new ShardLeader(context, shard, epoch, formerLeaderMayAct, activated);
+    ShardLeader leader = new ShardLeader(context, shard, epoch, formerLeaderMayAct, onActivated);
     ShardLeader former = leaders.put(shard, leader);
     if (former != null) {
       former.tell(new ShardLeader.TermEnded());
@@ -41,7 +41,7 @@
     }
   }
 
-  /** The leader of a shard; null if this controller does not lead it. */
+  /** Returns the leader of a shard, or {@code null} if this controller does not lead it. */
   ShardLeader get(String shard) {
     return leaders.get(shard);
   }
@@ -50,7 +50,7 @@
     return leaders.containsKey(shard);
   }
 
-  /** The names at this time; leadership may change while they are looked through. */
+  /** Returns a copy of the shards' names: leadership may change while a caller iterates over it. */
   List<String> names() {
     return List.copyOf(leaders.keySet());
   }
@@ -65,16 +65,19 @@
     }
   }
 
-  /** How many tasks of a job run on the workers of these shards. */
-  int runningTasksOf(String job) {
+  /** Returns how many tasks of a job are running on the workers of these shards. */
+  int runningTaskCount(String job) {
     int running = 0;
     for (ShardLeader leader : leaders.values()) {
-      running += leader.runningOf(job);
+      running += leader.runningTaskCount(job);
     }
     return running;
   }
 
-  /** The workers of all these shards, and how many of them were silent for longer than that. */
+  /**
+   * Returns how many workers of these shards are up and not draining, and how many of these have
+   * been silent for longer than the threshold.
+   */
   WorkerReachability reachability(long silenceThresholdMs) {
     int up = 0;
     int silent = 0;
--- a/src/main/java/org/fieldtrestle/controller/MeteredCaller.java
+++ b/src/main/java/org/fieldtrestle/controller/MeteredCaller.java
@@ -7,7 +7,7 @@
 import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.transport.Http;
 
-/** Makes calls and meters the handling of their answers by the service that has answered. */
+/** Makes HTTP calls and meters the time spent on handling the answers of each called service. */
 final class MeteredCaller implements Http.Caller {
   private final Http.Caller caller;
   private final Settings settings;
--- a/src/main/java/org/fieldtrestle/controller/OrphanAdopter.java
+++ b/src/main/java/org/fieldtrestle/controller/OrphanAdopter.java
@@ -14,13 +14,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Adopts orphan machines into this controller's own shard: workers that send heartbeats although no
- * shard's inventory lists their machine.
+ * Adopts orphan machines into this controller's home shard. An orphan is a machine whose worker
+ * sends heartbeats although no shard's machine inventory lists the machine.
  */
 final class OrphanAdopter {
   private static final Logger LOG = LoggerFactory.getLogger(OrphanAdopter.class);
 
-  /** Machines whose record was removed that are remembered. */
+  /** How many machines whose record was removed are remembered. */
   private static final int MAX_REMOVED_MACHINES = 10_000;
 
   private static final int STATUS_OK = 200;
@@ -28,12 +28,16 @@
   private final ControllerContext context;
   private final LocalShards shards;
 
-  /** Machines that are being inspected or entered into the inventory, or that failed lately. */
-  private final Set<String> adopting = new HashSet<>();
+  /**
+   * Machines that are being inspected or added to the inventory, and machines whose inspection
+   * failed less than a heartbeat interval ago.
+   */
+  private final Set<String> pendingAdoptions = new HashSet<>();
 
+  /** Machines that have a record in the state cache. */
   private final Set<String> recordedMachines = new HashSet<>();
 
-  /** Machines whose record was removed; a late heartbeat must not bring them back. */
+  /** Machines whose record was removed; a delayed heartbeat must not cause their adoption. */
   private final BoundedCache<String, Boolean> removedMachines =
       new BoundedCache<>(MAX_REMOVED_MACHINES);
 
@@ -42,7 +46,7 @@
     this.shards = shards;
   }
 
-  /** Follows a change of a machine's record. */
+  /** Called when the record of a machine has changed in the state cache. */
   void machineChanged(StateKey.MachineKey key) {
     if (context.stateCache().machines().containsKey(key.machine())) {
       recordedMachines.add(key.machine());
@@ -52,8 +56,9 @@
   }
 
   /**
-   * Adopts the machine of a heartbeat once it answers an inspection: the heartbeat may be a late
-   * copy, sent before the machine was returned.
+   * Adopts the machine that sent a heartbeat, once it has answered an inspection. The heartbeat
+   * alone is no proof that the machine exists: it may have been delayed and sent before the machine
+   * was returned to the cloud.
    */
   void adopt(Heartbeat heartbeat) {
     ShardLeader shard = shards.get(context.settings().label());
@@ -61,7 +66,7 @@
     if (shard == null
         || !shard.isLeading()
         || removedMachines.get(machine) != null
-        || !adopting.add(machine)) {
+        || !pendingAdoptions.add(machine)) {
       return;
     }
     context
@@ -72,13 +77,15 @@
             WorkerProtocol.INSPECT_PATH,
             Http.Response.EMPTY,
             WorkerProtocol.HEARTBEAT_TIMEOUT_MS,
-            outcome -> inspected(shard, heartbeat, outcome));
+            outcome -> onInspected(shard, heartbeat, outcome));
   }
 
-  private void inspected(ShardLeader shard, Heartbeat heartbeat, Http.Outcome outcome) {
+  private void onInspected(ShardLeader shard, Heartbeat heartbeat, Http.Outcome outcome) {
     String machine = heartbeat.machine();
     if (!shard.isLeading() || !isAnswerOf(machine, outcome)) {
-      context.reactor().schedule(context.heartbeatIntervalsMs(1), () -> adopting.remove(machine));
+      context
+          .reactor()
+          .schedule(context.heartbeatIntervalsMs(1), () -> pendingAdoptions.remove(machine));
       return;
     }
     LOG.atInfo()
@@ -92,7 +99,7 @@
             heartbeat.type(),
             heartbeat.zone(),
             heartbeat.spot(),
-            () -> adopting.remove(machine));
+            () -> pendingAdoptions.remove(machine));
   }
 
   private static boolean isAnswerOf(String machine, Http.Outcome outcome) {
--- a/src/main/java/org/fieldtrestle/controller/PeerBroadcaster.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerBroadcaster.java
@@ -9,7 +9,7 @@
 import org.fieldtrestle.shard.ShardLeader;
 import org.fieldtrestle.transport.PeerSender;
 
-/** Sends this controller's messages to all other controllers. Any of them may be lost. */
+/** Sends this controller's messages to all other controllers. Messages may be lost on the way. */
 final class PeerBroadcaster {
   private final ControllerContext context;
   private final PeerSender sender;
@@ -27,7 +27,7 @@
     this.shards = shards;
   }
 
-  /** Sends what is sent regularly: liveness, redirect counts and the loads of led shards. */
+  /** Sends the regular status messages: liveness, redirect counts and the loads of led shards. */
   void broadcastStatus() {
     ByteBuffer liveness = encode(liveness());
     for (Settings.Peer peer : context.settings().peers()) {
@@ -39,7 +39,7 @@
     }
     for (ShardLeader shard : shards.all()) {
       if (shard.isActive()) {
-        PeerMessage.ShardLoad load = shard.load();
+        PeerMessage.ShardLoad load = shard.currentLoad();
         context.loads().update(load);
         broadcast(load);
       }
@@ -47,13 +47,15 @@
   }
 
   private PeerMessage.Liveness liveness() {
-    boolean served = context.stateCache().isReady() && context.store().unavailableForMs() == 0;
-    return new PeerMessage.Liveness(context.settings().label(), served);
+    boolean storeAvailable =
+        context.stateCache().isReady() && context.store().unavailableForMs() == 0;
+    return new PeerMessage.Liveness(context.settings().label(), storeAvailable);
   }
 
   /**
-   * Notifies the others of a confirmed cancellation, so that tasks stop sooner where the key-value
-   * store does not answer their shard's leader. The leadership fence bounds their time without it.
+   * Notifies the other controllers of a confirmed cancellation, so that tasks stop sooner if their
+   * shard leader gets no answers from the key-value store. Without this message, the leadership
+   * fence bounds the time until they stop.
    */
   void broadcastCancellation(String job) {
     broadcast(new PeerMessage.JobCancelled(context.settings().label(), job));
--- a/src/main/java/org/fieldtrestle/controller/PeerLiveness.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerLiveness.java
@@ -6,27 +6,31 @@
 import org.fieldtrestle.protocol.PeerMessage;
 import org.fieldtrestle.transport.Reactor;
 
-/** When each other controller was heard last, and whether the key-value store answers it. */
+/**
+ * Records when the last liveness message of each other controller was received, and whether the
+ * key-value store answered that controller.
+ */
 final class PeerLiveness {
-  private record LastMessage(long receivedAtMs, boolean served) {}
+  private record LastMessage(long receivedAtMs, boolean storeAvailable) {}
 
   private final Reactor reactor;
   private final long expiryMs;
   private final Map<String, LastMessage> lastMessages = new HashMap<>();
 
   /**
-   * @param expiryMs a controller that was not heard for longer does not count as alive
+   * @param expiryMs time without a liveness message after which a controller no longer counts as
+   *     alive
    */
   PeerLiveness(Reactor reactor, long expiryMs) {
     this.reactor = reactor;
     this.expiryMs = expiryMs;
   }
 
-  void received(PeerMessage.Liveness message) {
+  void messageReceived(PeerMessage.Liveness message) {
     lastMessages.put(message.sender(), new LastMessage(reactor.now(), message.storeAvailable()));
   }
 
-  /** The labels of all controllers that were ever heard. */
+  /** Returns the labels of all controllers from which a liveness message was ever received. */
   Set<String> peers() {
     return lastMessages.keySet();
   }
@@ -35,12 +39,15 @@
     return silentMs(peer) <= expiryMs;
   }
 
-  /** For how long a controller that was heard before has been silent. */
+  /**
+   * Returns the time since the last liveness message of a controller, in milliseconds. The
+   * controller has to be one of {@link #peers}.
+   */
   long silentMs(String peer) {
     return reactor.now() - lastMessages.get(peer).receivedAtMs();
   }
 
-  boolean anyAlive() {
+  boolean isAnyAlive() {
     for (String peer : lastMessages.keySet()) {
       if (isAlive(peer)) {
         return true;
@@ -49,10 +56,10 @@
     return false;
   }
 
-  /** Whether the key-value store answers any other controller that is alive. */
-  boolean anyServed() {
+  /** Whether the key-value store answers at least one other controller that is alive. */
+  boolean isStoreAvailableToAny() {
     for (Map.Entry<String, LastMessage> entry : lastMessages.entrySet()) {
-      if (entry.getValue().served() && isAlive(entry.getKey())) {
+      if (entry.getValue().storeAvailable() && isAlive(entry.getKey())) {
         return true;
       }
     }
--- a/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decodes the messages of other controllers and passes them to the part that they concern. */
+/** Decodes the messages of other controllers and passes them to the components they concern. */
 final class PeerMessageReceiver {
   private static final Logger LOG = LoggerFactory.getLogger(PeerMessageReceiver.class);
 
@@ -22,22 +22,22 @@
   private final double maxAgeMs;
 
   /**
-   * @param expiryMs a message of the sender's status counts for so long
+   * @param statusExpiryMs time after which a status message no longer counts
    */
   PeerMessageReceiver(
       ControllerContext context,
       PeerLiveness liveness,
       LeadershipTransfer leadershipTransfer,
       LocalShards shards,
-      long expiryMs) {
+      long statusExpiryMs) {
     this.context = context;
     this.liveness = liveness;
     this.leadershipTransfer = leadershipTransfer;
     this.shards = shards;
-    this.maxAgeMs = expiryMs + 2 * context.settings().maxClockErrorMs();
+    this.maxAgeMs = statusExpiryMs + 2 * context.settings().maxClockErrorMs();
   }
 
-  /** Receives a frame without its length. */
+  /** Decodes and handles a frame, given without its length prefix. */
   void receive(ByteBuffer frame) {
     try {
       receive(PeerProtocol.decode(frame));
@@ -48,20 +48,21 @@
 
   private void receive(PeerFrame frame) {
     PeerMessage message = frame.message();
-    if (message instanceof PeerMessage.JobCancelled cancelled) { // final, so true at any age
+    if (message instanceof PeerMessage.JobCancelled cancelled) {
+      // A cancellation is final, so the message is valid at any age.
       context.cancellations().heard(cancelled.job());
       shards.tellAll(new ShardLeader.JobCancelled(cancelled.job()));
       return;
     }
     if (Math.abs(context.reactor().wall() - frame.sentWallMs()) > maxAgeMs) {
-      return; // delayed in the network: its sender's status may be another one now
+      return; // delayed in the network: the sender's status may have changed since
     }
-    if (message instanceof PeerMessage.ShardLoad load && !shards.contains(load.shard())) {
-      context.loads().update(load);
-    } else if (message instanceof PeerMessage.Liveness alive) {
-      liveness.received(alive);
-    } else if (message instanceof PeerMessage.RedirectCount report) {
-      leadershipTransfer.reportReceived(report);
+    if (message instanceof PeerMessage.ShardLoad shardLoad && !shards.contains(shardLoad.shard())) {
+      context.loads().update(shardLoad);
+    } else if (message instanceof PeerMessage.Liveness livenessMessage) {
+      liveness.messageReceived(livenessMessage);
+    } else if (message instanceof PeerMessage.RedirectCount redirectCount) {
+      leadershipTransfer.reportReceived(redirectCount);
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/controller/RequestRouter.java
+++ b/src/main/java/org/fieldtrestle/controller/RequestRouter.java
@@ -9,15 +9,15 @@
 import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.fieldtrestle.transport.Http;
 
-/** Passes HTTP requests of users, workers and operators on by path and method. */
+/** Routes the HTTP requests of users, workers and operators by path and method. */
 final class RequestRouter implements Http.Handler {
   private static final int STATUS_OK = 200;
-  private static final int READY_RETRY_AFTER_S = 1;
+  private static final int NOT_READY_RETRY_AFTER_S = 1;
   private static final String JOB_PREFIX = UserProtocol.JOBS_PATH + "/";
 
   private static final Http.Response READY = new Http.Response(STATUS_OK, Http.Response.EMPTY);
   private static final Http.Response NOT_READY =
-      new Http.Response(503, Http.Response.EMPTY, READY_RETRY_AFTER_S);
+      new Http.Response(503, Http.Response.EMPTY, NOT_READY_RETRY_AFTER_S);
   private static final Http.Response NOT_FOUND = new Http.Response(404, Http.Response.EMPTY);
   private static final Http.Response METHOD_NOT_ALLOWED =
       new Http.Response(405, Http.Response.EMPTY);
@@ -61,7 +61,7 @@
   private void route(Http.Request request, Consumer<Http.Response> reply) {
     String path = request.path();
     if (path.equals(UserProtocol.READY_PATH)) {
-      reply.accept(userApi.ready() ? READY : NOT_READY);
+      reply.accept(userApi.isReady() ? READY : NOT_READY);
     } else if (path.equals(UserProtocol.STATS_PATH) && isGet(request)) {
       reply.accept(new Http.Response(STATUS_OK, StatsPage.render(context, shards.all())));
     } else if (path.equals(UserProtocol.JOBS_PATH)) {
@@ -84,20 +84,20 @@
   /**
    * Routes a request about one job.
    *
-   * @param rest the path after {@link #JOB_PREFIX}: a job's id, maybe followed by an action
+   * @param jobPath the path after {@link #JOB_PREFIX}: a job's id, optionally followed by an action
    */
-  private void routeJob(Http.Request request, String rest, Consumer<Http.Response> reply) {
-    int slash = rest.indexOf('/');
+  private void routeJob(Http.Request request, String jobPath, Consumer<Http.Response> reply) {
+    int slash = jobPath.indexOf('/');
     if (slash < 0) {
       if (isGet(request)) {
-        userApi.tell(new UserApi.Poll(rest, reply));
+        userApi.tell(new UserApi.Query(jobPath, reply));
       } else {
         reply.accept(METHOD_NOT_ALLOWED);
       }
-    } else if (!rest.substring(slash + 1).equals(UserProtocol.CANCEL_SEGMENT)) {
+    } else if (!jobPath.substring(slash + 1).equals(UserProtocol.CANCEL_SEGMENT)) {
       reply.accept(NOT_FOUND);
     } else if (isPost(request)) {
-      userApi.tell(new UserApi.Cancel(rest.substring(0, slash), reply));
+      userApi.tell(new UserApi.Cancel(jobPath.substring(0, slash), reply));
     } else {
       reply.accept(METHOD_NOT_ALLOWED);
     }
--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -16,23 +16,23 @@
 import org.fieldtrestle.worker.TaskRange;
 
 /**
- * The read-only statistics page for operators. Its keys are read by scripts and stay as they are,
- * also where the code names things differently now.
+ * The read-only statistics page for operators. Operators' scripts read its keys, so the keys do not
+ * change, even where the code now uses other names.
  */
 public final class StatsPage {
   private StatsPage() {}
 
-  /** The page as JSON. */
+  /** Returns the page as JSON. */
   public static byte[] render(ControllerContext context, Collection<ShardLeader> shards) {
     ControllerMetrics metrics = context.metrics();
     ObjectNode page = Json.object();
     putLeadership(page, context);
-    putShards(page.putObject("masters"), shards);
+    putShardLeaders(page.putObject("masters"), shards);
     putCounts(page.putObject("counts"), metrics);
     putCancellations(page.putObject("cancellations"), context.cancellations());
     putStartsRefused(page.putObject("startsRefused"), metrics);
-    putJobQueries(page.putObject("questions"), metrics.questions);
-    putEventLoopWork(page.putObject("work"), metrics.work);
+    putJobQueries(page.putObject("questions"), metrics.jobQueries);
+    putEventLoopWork(page.putObject("work"), metrics.eventLoopMeter);
     putLatencies(page.putObject("latencyMs"), context);
     return Json.bytes(page);
   }
@@ -48,21 +48,21 @@
     page.put("liveJobs", context.stateCache().jobs().size());
   }
 
-  private static void putShards(ObjectNode parent, Collection<ShardLeader> shards) {
+  private static void putShardLeaders(ObjectNode parent, Collection<ShardLeader> shards) {
     for (ShardLeader shard : shards) {
-      int waiting = 0;
-      int placed = 0;
+      int waitingTasks = 0;
+      int placedTasks = 0;
       for (TaskRange range : shard.ranges().all()) {
-        waiting += range.waiting();
-        placed += range.placed().size();
+        waitingTasks += range.waiting();
+        placedTasks += range.placed().size();
       }
       parent
           .putObject(shard.name())
           .put("epoch", shard.epoch())
           .put("machines", shard.workers().count())
           .put("ranges", shard.ranges().count())
-          .put("tasksWaiting", waiting)
-          .put("tasksOnMachines", placed);
+          .put("tasksWaiting", waitingTasks)
+          .put("tasksOnMachines", placedTasks);
     }
   }
 
@@ -89,11 +89,11 @@
   }
 
   private static void putJobQueries(ObjectNode parent, JobQueryMetrics queries) {
-    parent.put("answered", queries.answered());
-    parent.put("longestSpellMs", queries.longestSpellMs());
+    parent.put("answered", queries.answeredCount());
+    parent.put("longestSpellMs", queries.longestOutageMs());
     ObjectNode unanswered = parent.putObject("unanswered");
     for (JobQueryMetrics.Unanswered reason : JobQueryMetrics.Unanswered.values()) {
-      unanswered.put(reason.name().toLowerCase(Locale.ROOT), queries.unanswered(reason));
+      unanswered.put(reason.name().toLowerCase(Locale.ROOT), queries.unansweredCount(reason));
     }
   }
 
@@ -108,10 +108,10 @@
 
   private static void putLatencies(ObjectNode parent, ControllerContext context) {
     ControllerMetrics metrics = context.metrics();
-    putHistogram(parent, "submit", metrics.submitMs);
-    putHistogram(parent, "poll", metrics.pollMs);
+    putHistogram(parent, "submit", metrics.submissionMs);
+    putHistogram(parent, "poll", metrics.jobQueryMs);
     putHistogram(parent, "startWait", metrics.startWaitMs);
-    putHistogram(parent, "placementPass", metrics.passMs);
+    putHistogram(parent, "placementPass", metrics.placementPassMs);
     putHistogram(parent, "stateService", context.store().latency());
   }
 
--- a/src/main/java/org/fieldtrestle/controller/UserApiPeers.java
+++ b/src/main/java/org/fieldtrestle/controller/UserApiPeers.java
@@ -2,7 +2,7 @@
 
 import org.fieldtrestle.api.UserApi;
 
-/** Connects the user API with the liveness of other controllers and the broadcast to them. */
+/** Gives the user API access to the liveness of other controllers and to broadcasts. */
 final class UserApiPeers implements UserApi.Peers {
   private final PeerLiveness liveness;
   private final PeerBroadcaster broadcaster;
@@ -13,17 +13,17 @@
   }
 
   @Override
-  public boolean anyServed() {
-    return liveness.anyServed();
+  public boolean isStoreAvailableToAny() {
+    return liveness.isStoreAvailableToAny();
   }
 
   @Override
-  public boolean anyHeard() {
-    return liveness.anyAlive();
+  public boolean isAnyAlive() {
+    return liveness.isAnyAlive();
   }
 
   @Override
-  public void cancelled(String job) {
+  public void broadcastCancellation(String job) {
     broadcaster.broadcastCancellation(job);
   }
 }
--- a/src/main/java/org/fieldtrestle/metrics/ControllerMetrics.java
+++ b/src/main/java/org/fieldtrestle/metrics/ControllerMetrics.java
@@ -5,28 +5,31 @@
 import org.HdrHistogram.Histogram;
 import org.fieldtrestle.transport.EventLoopMeter;
 
-/** Counters since the start and latencies of one controller. Used on the reactor's thread only. */
+/**
+ * Latencies of one controller, and its counters since it started. Used on the reactor's thread
+ * only.
+ */
 public final class ControllerMetrics {
   private static final long MAX_LATENCY_MS = 600_000;
   private static final int SIGNIFICANT_DIGITS = 2;
 
-  /** From the arrival of a submission to its answer. */
-  public final Histogram submitMs = latencies();
+  /** Time from the arrival of a submission to its answer. */
+  public final Histogram submissionMs = latencies();
 
-  /** From the arrival of a job query to its answer. */
-  public final Histogram pollMs = latencies();
+  /** Time from the arrival of a job query to its answer. */
+  public final Histogram jobQueryMs = latencies();
 
-  /** From when a task began to wait to its placement. */
+  /** Time that tasks waited until they were placed. */
   public final Histogram startWaitMs = latencies();
 
   /** Duration of placement passes. */
-  public final Histogram passMs = latencies();
+  public final Histogram placementPassMs = latencies();
 
   /** Time that the event loop spends on each kind of work. */
-  public final EventLoopMeter work;
+  public final EventLoopMeter eventLoopMeter;
 
   /** Outcomes of job queries. */
-  public final JobQueryMetrics questions = new JobQueryMetrics();
+  public final JobQueryMetrics jobQueries = new JobQueryMetrics();
 
   private final Map<StartRefusal, Long> startsRefused = new EnumMap<>(StartRefusal.class);
   private long placed;
@@ -37,96 +40,101 @@
   private long returned;
   private long refusedSubmissions;
 
-  /** Metrics that include those of the event loop. */
-  public ControllerMetrics(EventLoopMeter work) {
-    this.work = work;
+  /** Creates metrics that include those of the event loop. */
+  public ControllerMetrics(EventLoopMeter eventLoopMeter) {
+    this.eventLoopMeter = eventLoopMeter;
   }
 
   private static Histogram latencies() {
     return new Histogram(MAX_LATENCY_MS, SIGNIFICANT_DIGITS);
   }
 
-  /** Records a latency in ms; one beyond the histogram's range counts as its bound. */
+  /**
+   * Records a latency in milliseconds. A latency outside the histogram's range is recorded as the
+   * nearest bound of the range.
+   */
   public static void record(Histogram histogram, long ms) {
     histogram.recordValue(Math.max(0, Math.min(MAX_LATENCY_MS, ms)));
   }
 
-  /** A task was placed on a worker. */
+  /** Called when a task was placed on a worker. */
   public void countPlaced() {
     placed++;
   }
 
-  /** A task was placed on a worker that has to fetch the task's image first. */
+  /** Called when a task was placed on a worker that has to fetch the task's image first. */
   public void countImageFetch() {
     imageFetches++;
   }
 
-  /** A running task was preempted. */
+  /** Called when a running task was preempted. */
   public void countPreempted() {
     preempted++;
   }
 
-  /** Tasks were lost with their worker. */
+  /** Called when tasks were lost with their worker. */
   public void countLost(int tasks) {
     lost += tasks;
   }
 
-  /** Machines were rented. */
+  /** Called when machines were rented. */
   public void countRented(int machines) {
     rented += machines;
   }
 
-  /** A machine was returned. */
+  /** Called when a machine was returned to the cloud. */
   public void countReturned() {
     returned++;
   }
 
-  /** A submission was refused. */
+  /** Called when a submission was refused. */
   public void countRefusedSubmission() {
     refusedSubmissions++;
   }
 
-  /** A placement decision found a task that may not be started. */
+  /** Called when a placement decision found a task that may not be started. */
   public void countStartRefused(StartRefusal reason) {
     startsRefused.merge(reason, 1L, Long::sum);
   }
 
-  /** Placed tasks. */
+  /** Returns the number of placed tasks. */
   public long placed() {
     return placed;
   }
 
-  /** Placed tasks whose worker had to fetch an image first. */
+  /** Returns the number of placed tasks whose worker had to fetch the image first. */
   public long imageFetches() {
     return imageFetches;
   }
 
-  /** Preempted tasks. */
+  /** Returns the number of preempted tasks. */
   public long preempted() {
     return preempted;
   }
 
-  /** Tasks lost with their worker. */
+  /** Returns the number of tasks that were lost with their worker. */
   public long lost() {
     return lost;
   }
 
-  /** Rented machines. */
+  /** Returns the number of rented machines. */
   public long rented() {
     return rented;
   }
 
-  /** Returned machines. */
+  /** Returns the number of machines that were returned to the cloud. */
   public long returned() {
     return returned;
   }
 
-  /** Refused submissions. */
+  /** Returns the number of refused submissions. */
   public long refusedSubmissions() {
     return refusedSubmissions;
   }
 
-  /** Placement decisions that found a task not allowed to start for this reason. */
+  /**
+   * Returns how often a placement decision found a task that may not be started for this reason.
+   */
   public long startsRefused(StartRefusal reason) {
     return startsRefused.getOrDefault(reason, 0L);
   }
--- a/src/main/java/org/fieldtrestle/metrics/StartRefusal.java
+++ b/src/main/java/org/fieldtrestle/metrics/StartRefusal.java
@@ -1,6 +1,9 @@
 package org.fieldtrestle.metrics;
 
-/** Why a task may not be started now. The names are keys of the statistics page. */
+/**
+ * The reason why a task may not be started now. The names of the constants are keys of the
+ * statistics page.
+ */
 public enum StartRefusal {
   /** The controller's lease or its state cache is too old. */
   FENCE_CLOSED,
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out what a placement pass decides: attempts begin on workers, or are stopped there. */
+/** Carries out the decisions of a placement pass: starts attempts on workers and stops them. */
 final class AttemptPlacer implements TaskPlacer.Decisions {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptPlacer.class);
 
@@ -24,8 +24,8 @@
   private final LeadershipTerm term;
   private final WorkerCommands commands;
 
-  /** How often the fence had opened when the last first start was logged. */
-  private long loggedOpenings;
+  /** The value of {@link LeadershipFence#openings} when a first start was last logged. */
+  private long openingsAtLastLog;
 
   AttemptPlacer(ControllerContext context, LeadershipTerm term, WorkerCommands commands) {
     this.context = context;
@@ -45,44 +45,48 @@
 
   @Override
   public void place(TaskRange range, int offset, Worker worker, long attemptNumber) {
-    long now = context.nowMs();
+    long nowMs = context.nowMs();
     Retry retry = range.retries().get(offset);
-    long waitingSince = retry == null ? range.waitingSince() : retry.waitingSince();
-    long waitedMs = now - waitingSince;
+    long waitingSinceMs = retry == null ? range.waitingSince() : retry.waitingSince();
+    long waitedMs = nowMs - waitingSinceMs;
     TaskId task = new TaskId(range.key().job(), range.record().from() + offset);
     TaskAttempt attempt =
-        new TaskAttempt(task, attemptNumber, worker, range, now, waitedMs / 1000.0);
+        new TaskAttempt(task, attemptNumber, worker, range, nowMs, waitedMs / 1000.0);
     JobSpec spec = range.spec();
     MachineType type = context.machineType(worker.machineType());
-    boolean fetches = !worker.hasImage(spec.image());
-    if (fetches && worker.fetching()) {
+    boolean mustFetchImage = !worker.hasImage(spec.image());
+    if (mustFetchImage && worker.fetching()) {
       attempt.expectConcurrentFetch(type.imageFetchS(spec));
     }
     worker.put(attempt);
     range.place(offset, attempt);
-    worker.markBusy(now);
+    worker.markBusy(nowMs);
     commands.addPending(worker);
     worker.usesImage(spec.image(), spec.imageGb(), type.cacheGb());
-    countPlacement(fetches, waitedMs);
+    countPlacement(mustFetchImage, waitedMs);
     logFirstStart(attempt);
-    LOG.debug("task {} placed after {} ms, fetches its image: {}", attempt, waitedMs, fetches);
+    LOG.debug(
+        "task {} placed after waiting {} ms, image has to be fetched: {}",
+        attempt,
+        waitedMs,
+        mustFetchImage);
   }
 
-  private void countPlacement(boolean fetches, long waitedMs) {
-    if (fetches) {
+  private void countPlacement(boolean mustFetchImage, long waitedMs) {
+    if (mustFetchImage) {
       context.metrics().countImageFetch();
     }
     context.metrics().countPlaced();
     ControllerMetrics.record(context.metrics().startWaitMs, waitedMs);
   }
 
-  /** Logs the first start after each time that the fence was closed, and what allowed it. */
+  /** Logs the first start after each opening of the fence, with the state that allowed it. */
   private void logFirstStart(TaskAttempt attempt) {
     LeadershipFence fence = context.membership().fence();
-    if (loggedOpenings == fence.openings()) {
+    if (openingsAtLastLog == fence.openings()) {
       return;
     }
-    loggedOpenings = fence.openings();
+    openingsAtLastLog = fence.openings();
     LOG.atInfo()
         .addKeyValue("shard", term.shard())
         .addKeyValue("epoch", term.epoch())
--- a/src/main/java/org/fieldtrestle/shard/HeartbeatReplies.java
+++ b/src/main/java/org/fieldtrestle/shard/HeartbeatReplies.java
@@ -11,17 +11,17 @@
 import org.fieldtrestle.worker.Worker;
 import org.fieldtrestle.worker.WorkerRegistry;
 
-/** Answers heartbeats, some of them after the placement pass that is due. */
+/** Answers heartbeats, either at once or after the next placement pass. */
 final class HeartbeatReplies {
   private static final int OK = 200;
   private static final int SERVICE_UNAVAILABLE = 503;
 
-  private record Delayed(Worker worker, Consumer<Http.Response> reply) {}
+  private record DelayedReply(Worker worker, Consumer<Http.Response> reply) {}
 
   private final LeadershipTerm term;
   private final WorkerRegistry workers;
   private final HeartbeatProcessor heartbeats;
-  private final List<Delayed> delayed = new ArrayList<>();
+  private final List<DelayedReply> delayedReplies = new ArrayList<>();
 
   HeartbeatReplies(LeadershipTerm term, WorkerRegistry workers, HeartbeatProcessor heartbeats) {
     this.term = term;
@@ -29,12 +29,14 @@
     this.heartbeats = heartbeats;
   }
 
-  /** Answers that the heartbeat does not count; the worker asks another controller then. */
+  /** Refuses a heartbeat; the worker then sends it to another controller. */
   static void refuse(Consumer<Http.Response> reply) {
     reply.accept(new Http.Response(SERVICE_UNAVAILABLE, Http.Response.EMPTY));
   }
 
-  /** Answers a heartbeat with the worker's commands, if that is allowed at this moment. */
+  /**
+   * Answers a heartbeat with the worker's commands, or refuses it if this controller may not act.
+   */
   void answer(Worker worker, Consumer<Http.Response> reply) {
     if (!term.isLeading() || worker.isTerminating() || workers.get(worker.id()) != worker) {
       refuse(reply);
@@ -46,14 +48,15 @@
             OK, WorkerProtocol.writeHeartbeatAnswer(worker.fencingToken(), commands)));
   }
 
-  /** The heartbeat is to be answered by the next {@link #answerDelayed}. */
+  /** Leaves the answer to a heartbeat to the next call of {@link #answerDelayed}. */
   void delay(Worker worker, Consumer<Http.Response> reply) {
-    delayed.add(new Delayed(worker, reply));
+    delayedReplies.add(new DelayedReply(worker, reply));
   }
 
+  /** Answers all heartbeats that were delayed. */
   void answerDelayed() {
-    List<Delayed> now = List.copyOf(delayed);
-    delayed.clear();
-    now.forEach(one -> answer(one.worker(), one.reply()));
+    List<DelayedReply> repliesToSend = List.copyOf(delayedReplies);
+    delayedReplies.clear();
+    repliesToSend.forEach(delayedReply -> answer(delayedReply.worker(), delayedReply.reply()));
   }
 }
--- a/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
+++ b/src/main/java/org/fieldtrestle/shard/PlacementScheduler.java
@@ -7,28 +7,29 @@
 import org.fieldtrestle.worker.LeadershipTerm;
 
 /**
- * Decides when the next placement pass runs. A pass runs soon after it is requested, and all that
- * changes until then shares it. The longer passes take, the further apart they are, so that they
- * never use up the processor.
+ * Decides when the next placement pass runs. A pass runs shortly after it is requested, so that one
+ * pass covers all changes of that time. The pause after a pass grows with its duration, so that
+ * passes never take up the whole processor.
  */
 final class PlacementScheduler {
-  /** Multiple of a pass's duration for which the next one waits. */
-  private static final int REST_PER_PASS = 8;
+  /** The least pause after a pass, as a multiple of the duration of that pass. */
+  private static final int PAUSE_PER_PASS = 8;
 
-  /** Part of a watch interval after which a requested pass runs. */
-  private static final int DELAY_DIVISOR = 5;
+  /** A requested pass runs after the watch interval divided by this number, or later. */
+  private static final int WATCH_INTERVAL_DIVISOR = 5;
 
   private final ControllerContext context;
   private final LeadershipTerm term;
   private final TaskPlacer placer;
   private final Runnable afterPass;
-  private boolean due;
-  private long notBeforeMs;
+  private boolean pending;
+  private long earliestPassMs;
 
   /**
-   * Schedules passes of this placer.
+   * Creates a scheduler for the passes of a task placer.
    *
-   * @param afterPass runs after each pass, also where this controller may not lead the shard now
+   * @param afterPass runs after each requested pass, even if the pass was skipped because this
+   *     controller may not lead the shard at that time
    */
   PlacementScheduler(
       ControllerContext context, LeadershipTerm term, TaskPlacer placer, Runnable afterPass) {
@@ -39,32 +40,32 @@
   }
 
   /** Whether a pass was requested and has not run yet. */
-  boolean isDue() {
-    return due;
+  boolean isPending() {
+    return pending;
   }
 
-  /** Something has changed that may let waiting tasks start. */
+  /** Requests a placement pass, because a change may allow waiting tasks to start. */
   void request() {
-    if (due) {
+    if (pending) {
       return;
     }
-    due = true;
-    long soonMs = context.stateCache().watchIntervalMs() / DELAY_DIVISOR;
+    pending = true;
+    long delayMs = context.stateCache().watchIntervalMs() / WATCH_INTERVAL_DIVISOR;
     context
         .reactor()
         .schedule(
-            Math.max(soonMs, notBeforeMs - context.nowMs()),
-            () -> context.metrics().work.run(Activity.PLACEMENT, this::run));
+            Math.max(delayMs, earliestPassMs - context.nowMs()),
+            () -> context.metrics().eventLoopMeter.run(Activity.PLACEMENT, this::run));
   }
 
   private void run() {
-    due = false;
+    pending = false;
     if (term.isLeading() && !context.machineTypes().isEmpty()) {
-      long beganMs = context.nowMs();
-      placer.pass(beganMs);
-      long tookMs = context.nowMs() - beganMs;
-      notBeforeMs = context.nowMs() + tookMs * REST_PER_PASS;
-      ControllerMetrics.record(context.metrics().passMs, tookMs);
+      long startedAtMs = context.nowMs();
+      placer.pass(startedAtMs);
+      long durationMs = context.nowMs() - startedAtMs;
+      earliestPassMs = context.nowMs() + durationMs * PAUSE_PER_PASS;
+      ControllerMetrics.record(context.metrics().placementPassMs, durationMs);
     }
     afterPass.run();
   }
--- a/src/main/java/org/fieldtrestle/shard/ShardComponents.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardComponents.java
@@ -22,22 +22,25 @@
 import org.fieldtrestle.worker.WorkerCommands;
 import org.fieldtrestle.worker.WorkerRegistry;
 
-/** The parts of one shard in one leadership term, connected with each other. */
+/** The components of one shard for one leadership term, wired together. */
 final class ShardComponents {
   final WorkerRegistry workers;
   final WorkerCommands commands;
   final DirectCommands directCommands;
   final TaskRanges ranges;
   final InventoryFollower inventoryFollower;
-  final LeaseMonitor leases;
-  final HeartbeatProcessor heartbeats;
+  final LeaseMonitor leaseMonitor;
+  final HeartbeatProcessor heartbeatProcessor;
   final MachineInventory inventory;
   final QuotaShares quotaShares;
-  final RangeReassignment reassignment;
+  final RangeReassignment rangeReassignment;
   final TaskPlacer placer;
   final Autoscaler autoscaler;
 
-  /** Parts that report to {@code events}, on the shard's thread and not before this returns. */
+  /**
+   * Creates the components. They call {@code events} on the reactor's thread, and only after this
+   * constructor has returned.
+   */
   ShardComponents(ControllerContext context, LeadershipTerm term, ShardEvents events) {
     workers = new WorkerRegistry(context, term);
     FailureTracker failures = new FailureTracker(context, workers);
@@ -46,17 +49,17 @@
     commands = new WorkerCommands(context, term, workers, outcomes);
     ranges = new TaskRanges(context, term, workers, commands, progress, outcomes, events);
     inventoryFollower = new InventoryFollower(context, term, workers, outcomes, commands, events);
-    leases = new LeaseMonitor(term, workers, outcomes);
+    leaseMonitor = new LeaseMonitor(term, workers, outcomes);
     ImageDownloads downloads =
         new ImageDownloads(context.settings().workers().heartbeatIntervalS());
     Reconciler reconciler =
         new Reconciler(context, term, workers, ranges, outcomes, commands, downloads);
-    heartbeats =
+    heartbeatProcessor =
         new HeartbeatProcessor(context, term, workers, reconciler, outcomes, commands, events);
-    directCommands = new DirectCommands(context, term, workers, commands, heartbeats);
+    directCommands = new DirectCommands(context, term, workers, commands, heartbeatProcessor);
     inventory = new MachineInventory(context, term);
     quotaShares = new QuotaShares(context, term, workers, ranges);
-    reassignment = new RangeReassignment(context, term, workers, ranges);
+    rangeReassignment = new RangeReassignment(context, term, workers, ranges);
     placer =
         new TaskPlacer(
             context,
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -26,81 +26,86 @@
 import org.fieldtrestle.worker.WorkerRegistry;
 
 /**
- * The actor that leads a shard for one term: places the tasks of its ranges on its workers. Where
- * tasks are is known from heartbeats alone; the leader of the next term learns it from them again.
+ * The actor that leads a shard for one leadership term. It places the tasks of the shard's task
+ * ranges on the shard's workers. The placement of tasks is not stored; the leader of each term
+ * learns it from the workers' heartbeats.
  */
 public final class ShardLeader extends Actor<ShardLeader.Message> {
-  /** What a shard's leader is told. */
+  /** A message to a shard leader. */
   public sealed interface Message {}
 
-  /** A worker of the shard has sent a heartbeat, which {@code reply} answers. */
+  /** A worker of the shard has sent a heartbeat; {@code reply} sends the answer. */
   public record HeartbeatReceived(Heartbeat heartbeat, Consumer<Http.Response> reply)
       implements Message {}
 
-  /** A key in the state cache has changed, which may concern the shard. */
+  /** A key in the state cache has changed; it may belong to another shard. */
   public record KeyChanged(StateKey key) implements Message {}
 
-  /** Another controller says that a job is cancelled. */
+  /** Another controller has reported that a job is cancelled. */
   public record JobCancelled(String job) implements Message {}
 
   /** Periodic checks are due. */
   public record Tick() implements Message {}
 
-  /** The term is over: another controller leads the shard, or none does. */
+  /** The leadership term has ended: another controller leads the shard, or none does. */
   public record TermEnded() implements Message {}
 
   private final ControllerContext context;
   private final LeadershipTerm term;
-  private final ShardComponents parts;
-  private final PlacementScheduler placement;
-  private final HeartbeatReplies replies;
-  private final ShardLog log;
-  private final Runnable activated;
-  private long tickedAtMs;
+  private final ShardComponents components;
+  private final PlacementScheduler placementScheduler;
+  private final HeartbeatReplies heartbeatReplies;
+  private final ShardLog shardLog;
+  private final Runnable onActivated;
+  private long lastTickAtMs;
 
   /**
-   * The leader of a shard, which acts once everything written before the epoch began is known.
+   * Creates the leader of a shard. It becomes active once the state cache contains everything that
+   * was written before the epoch began.
    *
-   * @param formerLeaderMayAct whether the leader before may not know yet that its term has ended
-   * @param activated runs once the shard is led
+   * @param formerLeaderMayAct whether the former leader may still act, because it may not know yet
+   *     that its term has ended
+   * @param onActivated runs once, when this leader becomes active
    */
   public ShardLeader(
       ControllerContext context,
       String name,
       long epoch,
       boolean formerLeaderMayAct,
-      Runnable activated) {
+      Runnable onActivated) {
     super(context.reactor());
     this.context = context;
-    this.activated = activated;
+    this.onActivated = onActivated;
     this.term = new LeadershipTerm(context, name, epoch, formerLeaderMayAct);
-    this.parts = new ShardComponents(context, term, new Events());
-    this.replies = new HeartbeatReplies(term, parts.workers, parts.heartbeats);
-    this.placement = new PlacementScheduler(context, term, parts.placer, this::afterPass);
-    this.log = new ShardLog(context, term, parts.workers, parts.ranges);
+    this.components = new ShardComponents(context, term, new ComponentEvents());
+    this.heartbeatReplies =
+        new HeartbeatReplies(term, components.workers, components.heartbeatProcessor);
+    this.placementScheduler =
+        new PlacementScheduler(context, term, components.placer, this::onPassFinished);
+    this.shardLog = new ShardLog(context, term, components.workers, components.ranges);
   }
 
-  /** What the parts of the shard ask for. */
-  private final class Events implements ShardEvents {
+  /** Carries out the requests of the shard's components. */
+  private final class ComponentEvents implements ShardEvents {
     @Override
     public void requestPlacementPass() {
-      placement.request();
+      placementScheduler.request();
     }
 
     @Override
     public void rangeAdded(TaskRange range) {
-      parts.placer.arrived(range);
-      parts.autoscaler.arrived(range);
+      components.placer.arrived(range);
+      components.autoscaler.arrived(range);
     }
 
     @Override
     public void workerUp(String worker) {
-      parts.inventory.up(worker);
+      components.inventory.up(worker);
     }
 
     @Override
     public void sendCommands() {
-      parts.directCommands.sendPending();
+      components.directCommands.sendPending();
     }
   }
 
@@ -118,65 +123,66 @@
       activate();
     }
     if (message instanceof HeartbeatReceived received) {
-      context.metrics().work.run(Activity.WORKER_REPORT, () -> heartbeatReceived(received));
+      context.metrics().eventLoopMeter.run(Activity.WORKER_REPORT, () -> onHeartbeat(received));
     } else if (message instanceof KeyChanged changed) {
-      keyChanged(changed.key());
+      onKeyChanged(changed.key());
     } else if (message instanceof JobCancelled cancelled) {
-      parts.ranges.jobCancelled(cancelled.job());
+      components.ranges.jobCancelled(cancelled.job());
     } else if (message instanceof Tick) {
-      context.metrics().work.run(Activity.PERIODIC_CHECKS, this::tick);
+      context.metrics().eventLoopMeter.run(Activity.PERIODIC_CHECKS, this::tick);
     } else if (message instanceof TermEnded) {
       term.end();
-      log.logLeadership("leadership ends");
-      replies.answerDelayed();
+      shardLog.logLeadership("leadership ends");
+      heartbeatReplies.answerDelayed();
     }
   }
 
-  /** Everything written before this epoch began is known now. */
+  /** Called once the state cache contains everything that was written before this epoch began. */
   private void activate() {
     term.activate();
-    parts.inventoryFollower.inherit();
-    parts.ranges.inherit();
-    log.logLeadership("leadership begins");
-    parts.autoscaler.activated();
-    placement.request();
-    activated.run();
+    components.inventoryFollower.inherit();
+    components.ranges.inherit();
+    shardLog.logLeadership("leadership begins");
+    components.autoscaler.activated();
+    placementScheduler.request();
+    onActivated.run();
   }
 
-  private void heartbeatReceived(HeartbeatReceived received) {
-    Worker worker = parts.workers.get(received.heartbeat().machine());
+  private void onHeartbeat(HeartbeatReceived received) {
+    Worker worker = components.workers.get(received.heartbeat().machine());
     if (worker == null || worker.isTerminating() || !term.isLeading()) {
       HeartbeatReplies.refuse(received.reply());
       return;
     }
-    switch (parts.heartbeats.process(worker, received.heartbeat())) {
+    switch (components.heartbeatProcessor.process(worker, received.heartbeat())) {
       case REFUSED -> HeartbeatReplies.refuse(received.reply());
-      case UNCHANGED -> replies.answer(worker, received.reply());
+      case UNCHANGED -> heartbeatReplies.answer(worker, received.reply());
       case CHANGED -> {
-        if (placement.isDue()) {
-          // Its room may be taken by the pass that is due, and the starts then go with the answer.
-          replies.delay(worker, received.reply());
+        if (placementScheduler.isPending()) {
+          // The pending pass may place tasks on this worker; the answer then carries their start
+          // commands.
+          heartbeatReplies.delay(worker, received.reply());
         } else {
-          replies.answer(worker, received.reply());
+          heartbeatReplies.answer(worker, received.reply());
         }
       }
     }
   }
 
-  private void keyChanged(StateKey key) {
+  private void onKeyChanged(StateKey key) {
     if (!term.isActive()) {
       return;
     }
     boolean mayLetTasksStart = false;
     if (key instanceof StateKey.RangeKey rangeKey) {
-      mayLetTasksStart = parts.ranges.sync(rangeKey);
+      mayLetTasksStart = components.ranges.sync(rangeKey);
     } else if (key instanceof StateKey.MachineKey machineKey) {
-      parts.inventoryFollower.sync(machineKey.machine());
+      components.inventoryFollower.sync(machineKey.machine());
     } else if (key instanceof StateKey.JobKey jobKey) {
-      mayLetTasksStart = parts.ranges.syncJob(jobKey.job());
+      mayLetTasksStart = components.ranges.syncJob(jobKey.job());
     }
     if (mayLetTasksStart) {
-      placement.request();
+      placementScheduler.request();
     }
   }
 
@@ -184,112 +190,124 @@
     if (!term.isActive()) {
       return;
     }
-    long now = context.nowMs();
-    if (!term.isLeading() || now - tickedAtMs > context.heartbeatIntervalsMs(1)) {
-      parts.workers.restartListening(now);
+    long nowMs = context.nowMs();
+    if (!term.isLeading() || nowMs - lastTickAtMs > context.heartbeatIntervalsMs(1)) {
+      components.workers.restartListening(nowMs);
     }
-    tickedAtMs = now;
-    parts.leases.expireLeases();
-    parts.ranges.refreshAll();
-    parts.ranges.logPendingStops(now);
+    lastTickAtMs = nowMs;
+    components.leaseMonitor.expireLeases();
+    components.ranges.refreshAll();
+    components.ranges.logPendingStops(nowMs);
     if (term.isLeading()) {
-      parts.quotaShares.tick();
-      context.metrics().work.run(Activity.FLEET_SIZING, () -> parts.autoscaler.tick(now));
-      parts.ranges.progress().writeDue(parts.ranges.all(), now);
-      parts.reassignment.tick(now);
-      log.logSummary(now);
-      placement.request();
+      components.quotaShares.tick();
+      context
+          .metrics()
+          .eventLoopMeter
+          .run(Activity.FLEET_SIZING, () -> components.autoscaler.tick(nowMs));
+      components.ranges.progress().writeDue(components.ranges.all(), nowMs);
+      components.rangeReassignment.tick(nowMs);
+      shardLog.logSummary(nowMs);
+      placementScheduler.request();
     }
   }
 
-  private void afterPass() {
-    replies.answerDelayed();
-    parts.directCommands.sendPending();
+  private void onPassFinished() {
+    heartbeatReplies.answerDelayed();
+    components.directCommands.sendPending();
   }
 
-  // ---- queries, on the reactor's thread
+  // ---- queries, to be called on the reactor's thread
 
-  /** The shard's name. */
+  /** Returns the shard's name. */
   public String name() {
     return term.shard();
   }
 
-  /** The epoch of this term. */
+  /** Returns the epoch of this leadership term. */
   public long epoch() {
     return term.epoch();
   }
 
-  /** The term in which this controller leads the shard. */
+  /** Returns the leadership term of this leader. */
   public LeadershipTerm term() {
     return term;
   }
 
-  /** The shard's workers. */
+  /** Returns the shard's workers. */
   public WorkerRegistry workers() {
-    return parts.workers;
+    return components.workers;
   }
 
-  /** The shard's ranges of tasks. */
+  /** Returns the shard's task ranges. */
   public TaskRanges ranges() {
-    return parts.ranges;
+    return components.ranges;
   }
 
-  /** The shard's durable list of workers. */
+  /** Returns the shard's machine inventory, which is stored in the key-value store. */
   public MachineInventory inventory() {
-    return parts.inventory;
+    return components.inventory;
   }
 
   WorkerCommands commands() {
-    return parts.commands;
+    return components.commands;
   }
 
-  /** Whether this controller may lead the shard now. */
+  /** Whether this controller may answer the shard's workers and give them commands now. */
   public boolean isLeading() {
     return term.isLeading();
   }
 
-  /** Whether the shard's state is known, so that it is led. */
+  /** Whether this leader is active: it knows everything that was written before its epoch began. */
   public boolean isActive() {
     return term.isActive();
   }
 
-  /** How many of the shard's workers are in use, and how many were silent for longer than so. */
-  public LeadershipTransfer.WorkerReachability reachability(long silentAfterMs) {
+  /**
+   * Returns how many of the shard's workers are up and not draining, and how many of these have
+   * been silent for longer than the threshold.
+   */
+  public LeadershipTransfer.WorkerReachability reachability(long silenceThresholdMs) {
     int up = 0;
     int silent = 0;
-    for (Worker worker : parts.workers.all()) {
+    for (Worker worker : components.workers.all()) {
       if (worker.isUp() && !worker.isDraining()) {
         up++;
-        silent += parts.workers.silentFor(worker, context.nowMs()) > silentAfterMs ? 1 : 0;
+        silent +=
+            components.workers.silentFor(worker, context.nowMs()) > silenceThresholdMs ? 1 : 0;
       }
     }
     return new LeadershipTransfer.WorkerReachability(up, silent);
   }
 
-  /** Free room by zone and the CPUs that wait, by which controllers split jobs over the shards. */
-  public PeerMessage.ShardLoad load() {
+  /**
+   * Returns the shard's free capacity by zone and the CPUs that its waiting tasks need. Controllers
+   * use this load to split jobs over the shards.
+   */
+  public PeerMessage.ShardLoad currentLoad() {
     Map<String, double[]> freeByZone = new TreeMap<>();
-    for (FreeResources free : parts.workers.freeResources(context.nowMs())) {
-      double[] sums = freeByZone.computeIfAbsent(free.worker().zone(), z -> new double[3]);
-      sums[0] += free.cpus();
-      sums[1] += free.gpus();
-      sums[2] += free.memoryGb();
+    for (FreeResources free : components.workers.freeResources(context.nowMs())) {
+      double[] freeSums = freeByZone.computeIfAbsent(free.worker().zone(), z -> new double[3]);
+      freeSums[0] += free.cpus();
+      freeSums[1] += free.gpus();
+      freeSums[2] += free.memoryGb();
     }
-    List<FreeCapacity> all = new ArrayList<>();
-    freeByZone.forEach((zone, sums) -> all.add(new FreeCapacity(zone, sums[0], sums[1], sums[2])));
+    List<FreeCapacity> freeCapacity = new ArrayList<>();
+    freeByZone.forEach(
+        (zone, freeSums) ->
+            freeCapacity.add(new FreeCapacity(zone, freeSums[0], freeSums[1], freeSums[2])));
     return new PeerMessage.ShardLoad(
         context.membership().self(),
         name(),
         epoch(),
-        parts.ranges.waitingCpus(),
-        parts.workers.capacity(),
-        all);
+        components.ranges.waitingCpus(),
+        components.workers.capacity(),
+        freeCapacity);
   }
 
-  /** How many tasks of a job run on this shard's workers. */
-  public int runningOf(String job) {
+  /** Returns how many tasks of a job are running on this shard's workers. */
+  public int runningTaskCount(String job) {
     int count = 0;
-    for (TaskRange range : parts.ranges.ofJob(job)) {
+    for (TaskRange range : components.ranges.ofJob(job)) {
       for (TaskAttempt attempt : range.placed().values()) {
         if (attempt.state() == TaskAttempt.State.RUNNING
             || attempt.state() == TaskAttempt.State.SAVING) {
--- a/src/main/java/org/fieldtrestle/shard/ShardLog.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLog.java
@@ -11,12 +11,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs where a shard stands: at the beginning and end of its term, and from time to time. */
+/** Logs the beginning and the end of a leadership term, and regular summaries of the shard. */
 final class ShardLog {
   private static final Logger LOG = LoggerFactory.getLogger(ShardLog.class);
 
-  /** Heartbeat intervals between two summaries. */
-  private static final double SUMMARY_INTERVALS = 10;
+  /** Time between two summaries, in heartbeat intervals. */
+  private static final double SUMMARY_HEARTBEAT_INTERVALS = 10;
 
   private static final double LOGGED_PERCENTILE = 95;
 
@@ -24,7 +24,7 @@
   private final LeadershipTerm term;
   private final WorkerRegistry workers;
   private final TaskRanges ranges;
-  private long summaryAtMs;
+  private long lastSummaryAtMs;
 
   ShardLog(
       ControllerContext context, LeadershipTerm term, WorkerRegistry workers, TaskRanges ranges) {
@@ -46,11 +46,11 @@
         .log(event);
   }
 
-  /** What the workers of the shard have and use. */
+  /** The total capacity of the shard's workers and how much of it is used. */
   private static final class WorkerTotals {
-    int ordinary;
-    int booting;
-    double cpus;
+    int nonSpotWorkers;
+    int bootingWorkers;
+    double totalCpus;
     double usedCpus;
     double notRunningCpus;
   }
@@ -62,18 +62,19 @@
       if (type == null) {
         continue;
       }
-      totals.ordinary += worker.isSpot() ? 0 : 1;
+      totals.nonSpotWorkers += worker.isSpot() ? 0 : 1;
       if (!worker.isUp()) {
-        totals.booting++;
+        totals.bootingWorkers++;
         continue;
       }
-      totals.cpus += type.cpus();
+      totals.totalCpus += type.cpus();
       totals.usedCpus += worker.usedCpus();
       totals.notRunningCpus += notRunningCpus(worker);
     }
     return totals;
   }
 
+  /** Returns the CPUs of a worker's live attempts that have not been running yet. */
   private static double notRunningCpus(Worker worker) {
     double cpus = 0;
     for (TaskAttempt attempt : worker.attempts()) {
@@ -84,33 +85,34 @@
     return cpus;
   }
 
-  /** Logs a summary where the last one is long enough ago. */
+  /** Logs a summary if {@link #SUMMARY_HEARTBEAT_INTERVALS} have passed since the last one. */
   void logSummary(long nowMs) {
-    if (nowMs - summaryAtMs < context.heartbeatIntervalsMs(SUMMARY_INTERVALS)) {
+    if (nowMs - lastSummaryAtMs < context.heartbeatIntervalsMs(SUMMARY_HEARTBEAT_INTERVALS)) {
       return;
     }
-    summaryAtMs = nowMs;
+    lastSummaryAtMs = nowMs;
     WorkerTotals totals = workerTotals();
-    int waiting = 0;
+    int waitingTasks = 0;
     for (TaskRange range : ranges.all()) {
-      waiting += range.waiting();
+      waitingTasks += range.waiting();
     }
     LOG.atInfo()
         .addKeyValue("shard", term.shard())
         .addKeyValue("machines", workers.count())
-        .addKeyValue("ordinary", totals.ordinary)
-        .addKeyValue("booting", totals.booting)
-        .addKeyValue("cpus", totals.cpus)
+        .addKeyValue("ordinary", totals.nonSpotWorkers)
+        .addKeyValue("booting", totals.bootingWorkers)
+        .addKeyValue("cpus", totals.totalCpus)
         .addKeyValue("usedCpus", totals.usedCpus)
         .addKeyValue("notRunningCpus", totals.notRunningCpus)
-        .addKeyValue("waitingTasks", waiting)
+        .addKeyValue("waitingTasks", waitingTasks)
         .addKeyValue("ranges", ranges.count())
         .addKeyValue("placed", context.metrics().placed())
         .addKeyValue("fetches", context.metrics().imageFetches())
-        .addKeyValue("passP95Ms", context.metrics().passMs.getValueAtPercentile(LOGGED_PERCENTILE))
+        .addKeyValue(
+            "passP95Ms", context.metrics().placementPassMs.getValueAtPercentile(LOGGED_PERCENTILE))
         .log("shard summary");
     LOG.atInfo()
-        .addKeyValue("work", context.metrics().work.summary())
+        .addKeyValue("work", context.metrics().eventLoopMeter.summary())
         .log("event loop work so far");
   }
 }
--- a/src/test/java/org/fieldtrestle/controller/StatsPageTest.java
+++ b/src/test/java/org/fieldtrestle/controller/StatsPageTest.java
@@ -9,7 +9,9 @@
 import org.fieldtrestle.shard.ShardLeaderFixture;
 import org.junit.jupiter.api.Test;
 
-/** The statistics page of a shard leader that has refused to start a cancelled task. */
+/**
+ * Checks the statistics page after a shard leader has refused to start the task of a cancelled job.
+ */
 class StatsPageTest {
   @Test
   void pageShowsAgesRefusalsAndCancellations() {
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -8,8 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which commands a shard's workers get between a change of the state and the message about it. The
- * shard gets no message here: it has to look at the state when it acts.
+ * Checks which commands a shard leader gives to its workers after the state cache has changed, but
+ * before the message about the change has been handled. The shard leader gets no such message here,
+ * so it has to look at the state cache whenever it acts.
  */
 class ShardLeaderDecisionTest {
   private final ShardLeaderFixture fixture = new ShardLeaderFixture();
@@ -22,7 +23,7 @@
   }
 
   @Test
-  void nothingIsPlacedOfAJobWhoseCancellationWasCommittedHere() {
+  void noTaskIsPlacedOnceThisControllerHasCommittedTheCancellation() {
     fixture.reconcile();
     fixture.commitCancellation();
     assertEquals(0, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
@@ -30,7 +31,7 @@
   }
 
   @Test
-  void nothingIsPlacedOfAJobThatAnotherControllerSaysIsCancelled() {
+  void noTaskIsPlacedOnceAnotherControllerHasReportedTheCancellation() {
     fixture.reconcile();
     fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
     assertEquals(0, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
@@ -44,7 +45,7 @@
     assertEquals(
         ShardLeaderFixture.TASKS,
         ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"),
-        "repeated");
+        "the start commands are repeated");
     fixture.commitCancellation();
     assertEquals(0, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
     assertEquals(ShardLeaderFixture.TASKS, fixture.range().placed().size());
@@ -52,9 +53,9 @@
         ShardLeaderFixture.TASKS, ShardLeaderFixture.countCommands(fixture.heartbeat(), "stop"));
   }
 
-  /** A task that is in its grace period is stopped at once when its job is cancelled. */
+  /** A task in its grace period is stopped immediately when its job is cancelled. */
   @Test
-  void aStopWithAGracePeriodBecomesOneWithout() {
+  void cancellationReplacesAStopWithGracePeriodByAnImmediateStop() {
     fixture.reconcile();
     fixture.heartbeat();
     fixture.heartbeatWithRunningTasks();
@@ -83,7 +84,7 @@
     assertEquals(
         0,
         ShardLeaderFixture.countCommands(fixture.heartbeat(), "stop"),
-        "it may still be read again");
+        "the record may become readable again");
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -43,18 +43,18 @@
 import org.fieldtrestle.worker.TaskRange;
 
 /**
- * A shard with one worker and one job, on simulated time.
+ * A shard leader with one worker and one job, run on simulated time.
  *
- * <p>The shard gets no messages about changes of the state: as in the moment between a change and
- * the message about it, it can only look at the state cache.
+ * <p>The shard leader gets no messages about changes of the state cache. As between a change and
+ * the handling of the message about it, the leader can only look at the state cache itself.
  */
 public final class ShardLeaderFixture {
-  /** The job, which has {@link #TASKS} tasks. */
+  /** The id of the job, which has {@link #TASKS} tasks. */
   public static final String JOB = "job-000001";
 
   static final int TASKS = 2;
 
-  /** The job's only range. */
+  /** The key of the job's only task range. */
   public static final StateKey.RangeKey RANGE = new StateKey.RangeKey(JOB, 0);
 
   private static final String LABEL = "trestle-0";
@@ -62,7 +62,7 @@
   private static final String WORKER_ADDRESS = "10.1.0.1:9000";
   private static final long STEP_MS = 500;
 
-  /** Far above the revisions that the key-value store has counted up to here. */
+  /** Far above all revisions that the key-value store reaches in this fixture. */
   public static final long LATER_REVISION = 1000;
 
   private static final String MACHINE_TYPES =
@@ -78,10 +78,10 @@
   private long heartbeats;
   private long shownToken;
 
-  /** The shard is led, knows its worker, and has placed nothing. */
+  /** Creates the shard leader, which is active, knows its worker, and has placed no task yet. */
   public ShardLeaderFixture() {
     network.serveState();
-    network.serve(SimulatedNetwork.CLOUD_ADDRESS, ShardLeaderFixture::cloud);
+    network.serve(SimulatedNetwork.CLOUD_ADDRESS, ShardLeaderFixture::answerCloudRequest);
     Settings settings = network.settings(LABEL);
     Reactor reactor = network.reactor();
     Http.Caller caller = network.caller();
@@ -106,7 +106,7 @@
     stateCache.start();
     context.cloud().start();
     network.runFor(STEP_MS);
-    context.membership().start(new Begun());
+    context.membership().start(new LeadershipListener());
     network.runFor(STEP_MS);
     write(StateKeys.job(JOB), RecordCodec.encode(job()));
     write(
@@ -117,21 +117,21 @@
     network.runFor(STEP_MS);
   }
 
-  private final class Begun implements Membership.Listener {
+  private final class LeadershipListener implements Membership.Listener {
     @Override
-    public void began(String name, long begunEpoch, boolean formerLeaderMayAct) {
-      epoch = begunEpoch;
-      shard = new ShardLeader(context, name, epoch, formerLeaderMayAct, () -> {});
+    public void began(String shardName, long newEpoch, boolean formerLeaderMayAct) {
+      epoch = newEpoch;
+      shard = new ShardLeader(context, shardName, epoch, formerLeaderMayAct, () -> {});
     }
 
     @Override
-    public void ended(String name) {}
+    public void ended(String shardName) {}
   }
 
-  private static void cloud(Http.Request request, Consumer<Http.Response> to) {
-    boolean types = request.path().equals("/flavors");
-    to.accept(
-        types
+  private static void answerCloudRequest(Http.Request request, Consumer<Http.Response> reply) {
+    boolean isMachineTypesRequest = request.path().equals("/flavors");
+    reply.accept(
+        isMachineTypesRequest
             ? new Http.Response(200, MACHINE_TYPES.getBytes(StandardCharsets.UTF_8))
             : new Http.Response(503, Http.Response.EMPTY));
   }
@@ -166,23 +166,23 @@
         List.of(new InitialRange(LABEL, epoch, 0, TASKS, Map.of())));
   }
 
-  /** Writes a key in the key-value store and waits until the state cache has it. */
+  /** Writes a key in the key-value store and waits until the state cache contains the value. */
   void write(String key, JsonNode value) {
     network.writeState(key, value);
     network.runFor(STEP_MS);
   }
 
-  /** Decides which commands the shard may give. */
+  /** Returns the policy that decides which commands the shard leader may give. */
   public CommandPolicy policy() {
     return shard.term().policy();
   }
 
-  /** The job's only range. */
+  /** Returns the job's only task range. */
   public TaskRange range() {
     return shard.ranges().ofJob(JOB).get(0);
   }
 
-  /** As the answer to a transaction of this controller's own that cancels the job. */
+  /** Updates the state cache as if this controller had committed the cancellation of the job. */
   public void commitCancellation() {
     RangeRecord range = context.stateCache().range(RANGE).record();
     context
@@ -194,29 +194,35 @@
             LATER_REVISION);
   }
 
-  /** As the answer to a transaction by which a later epoch of the shard begins. */
+  /** Updates the state cache as if a transaction had begun a later epoch of the shard. */
   public void commitLaterEpoch() {
     commit(StateKeys.shard(LABEL), RecordCodec.encode(new ShardRecord("trestle-1")));
   }
 
-  /** As the answer to a transaction of this controller's own that writes the key. */
+  /** Updates the state cache as if this controller had committed a write of the key. */
   public void commit(String key, JsonNode value) {
     context
         .stateCache()
         .applyCommit(List.of(new KeyValueProtocol.Put(key, value, 0)), LATER_REVISION);
   }
 
-  /** The worker has shown the term's fencing token, and nothing is placed on it yet. */
+  /**
+   * Sends the first heartbeat, whose answer carries the fencing token of the term. The worker shows
+   * this token from the next heartbeat on; no task is placed on it yet.
+   */
   public void reconcile() {
     heartbeat();
   }
 
-  /** The worker sends a heartbeat without any task; returns the answer. */
+  /** Sends a heartbeat of the worker that lists no tasks, and returns the answer. */
   public Http.Response heartbeat() {
     return heartbeat(List.of());
   }
 
-  /** The worker reports all that was placed on it as running; returns the answer. */
+  /**
+   * Sends a heartbeat of the worker that reports all tasks placed on it as running, and returns the
+   * answer.
+   */
   Http.Response heartbeatWithRunningTasks() {
     return heartbeat(
         range().placed().values().stream()
@@ -237,15 +243,15 @@
     return answers.get(0);
   }
 
-  /** How many commands of this kind an answer has for the job's tasks. */
+  /** Counts the commands of a kind that an answer contains for the job's tasks. */
   static int countCommands(Http.Response answer, String kind) {
     String body = new String(answer.body(), StandardCharsets.UTF_8);
     int count = 0;
     for (int i = 0; i < TASKS; i++) {
-      String ofKind = "\"order\":\"" + kind + "\"";
-      String task = "\"board\":\"" + new TaskId(JOB, i) + "\"";
-      for (String one : body.split("\\{", -1)) {
-        count += one.contains(ofKind) && one.contains(task) ? 1 : 0;
+      String kindField = "\"order\":\"" + kind + "\"";
+      String taskField = "\"board\":\"" + new TaskId(JOB, i) + "\"";
+      for (String command : body.split("\\{", -1)) {
+        count += command.contains(kindField) && command.contains(taskField) ? 1 : 0;
       }
     }
     return count;
