--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -62,7 +62,7 @@
 
   /** Starts the schedule: the first list is requested one lag from now. */
   void begin() {
-    listRequestedAtMs = context.now();
+    listRequestedAtMs = context.nowMs();
   }
 
   /** Requests the list if the last request is longer ago than the list's lag. */
@@ -78,7 +78,7 @@
             machines -> {
               listInFlight = false;
               if (machines.isPresent() && term.isLeading()) {
-                reconcile(machines.get(), context.now());
+                reconcile(machines.get(), context.nowMs());
               }
             });
   }
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -70,7 +70,7 @@
   /** Rents machines if any are missing and no rental request is in flight. */
   void tick(long nowMs) {
     workloadRate.update(nowMs);
-    if (rentalInFlight || context.types().isEmpty() || context.store().isCongested()) {
+    if (rentalInFlight || context.machineTypes().isEmpty() || context.store().isCongested()) {
       return;
     }
     List<MachineDemand> demands = estimator.demands(nowMs);
@@ -230,6 +230,6 @@
   }
 
   private void offerRefused(Offer offer) {
-    refusedUntilMs.put(offer, context.now() + REFUSED_FOR_LAGS * context.cloud().listLagMs());
+    refusedUntilMs.put(offer, context.nowMs() + REFUSED_FOR_LAGS * context.cloud().listLagMs());
   }
 }
--- a/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
+++ b/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
@@ -32,7 +32,7 @@
 
   /** Starts to measure arriving work. */
   void begin() {
-    updatedAtMs = context.now();
+    updatedAtMs = context.nowMs();
   }
 
   /**
@@ -45,7 +45,7 @@
       return;
     }
     if (range.isInherited()) {
-      double ageS = (context.now() - range.waitingSince()) / 1000.0;
+      double ageS = (context.nowMs() - range.waitingSince()) / 1000.0;
       busyMachines +=
           machineTypes.machineSeconds(range.spec(), range.record().size())
               * Math.exp(-ageS / TIME_CONSTANT_S)
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -75,7 +75,7 @@
   /** Returns the share of its slack for which a task has waited. */
   private double usedSlackShare(WaitingTasks tasks, long nowMs) {
     JobSpec spec = tasks.range().spec();
-    double fetchS = context.fetchS(spec);
+    double fetchS = context.imageFetchS(spec);
     double slackS =
         spec.deadlineS() < 0
             ? SLACK_WITHOUT_DEADLINE_FETCHES * fetchS
@@ -109,7 +109,7 @@
       if (!worker.hasImage(spec.image()) || !workers.acceptsStarts(worker) || worker.isDraining()) {
         continue;
       }
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       if (type != null) {
         slots += slotsFor(worker, type, spec);
         fetchS = Math.max(fetchS, type.imageFetchS(spec));
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -74,7 +74,7 @@
     subtractStoppingTasks(demand, nowMs);
     Map<String, List<QueuedGroup<WaitingTasks>>> eligibleByWorkerKind = new HashMap<>();
     for (Worker worker : workers.all()) {
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       if (type == null
           || !workers.isUsable(worker, nowMs)
           || hasStoppingTask(worker)
@@ -201,7 +201,7 @@
         victim,
         preemptedBy.id(),
         preemptedBy.priority());
-    context.metrics().countEvicted();
+    context.metrics().countPreempted();
     JobSpec spec = victim.range().spec();
     executor.stop(victim, spec.hasCheckpoints() ? spec.saveS() : 0);
   }
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -134,7 +134,7 @@
     double cpus = usage.cpus(team);
     double gpus = usage.gpus(team);
     for (Worker worker : workers.unreconciled()) {
-      MachineType type = context.type(worker.machineType());
+      MachineType type = context.machineType(worker.machineType());
       cpus += type == null ? UNKNOWN_MACHINE_RESOURCES : type.cpus();
       gpus += type == null ? UNKNOWN_MACHINE_RESOURCES : type.gpus();
     }
@@ -185,7 +185,7 @@
    */
   private boolean isDue(String team, boolean writeNow, boolean shrinks) {
     if (!writeNow && shrinks) {
-      long nowMs = context.now();
+      long nowMs = context.nowMs();
       long sinceMs = shrinkableSinceMs.computeIfAbsent(team, t -> nowMs);
       if (nowMs - sinceMs < context.heartbeatIntervalsMs(SHRINK_AFTER_HEARTBEATS)) {
         return false;
