--- a/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
+++ b/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
@@ -6,13 +6,13 @@
 import org.fieldtrestle.state.StateCache;
 
 /**
- * Cancellations that the state cache may not show yet: those that other controllers have reported,
- * and counts for operators.
+ * Keeps the cancellations that other controllers have reported and that the state cache may not
+ * show yet, and counts cancellations for the statistics page.
  *
- * <p>A cancellation that this controller has committed itself needs no entry: its commit has
- * removed the job's record from the {@link StateCache}. Notices of other controllers only make
- * tasks stop sooner. The oldest may be forgotten, as the leadership fence bounds the time until a
- * cancellation takes effect without them.
+ * <p>A cancellation that this controller has committed itself needs no notice, because the commit
+ * has already removed the job's record from the {@link StateCache}. Notices of other controllers
+ * only make tasks stop sooner. Old notices may be evicted, because the leadership fence bounds the
+ * time until a cancellation takes effect without a notice.
  */
 public final class CancellationNotices {
   private static final int MAX_NOTICES = 10_000;
@@ -20,14 +20,14 @@
 
   private final BoundedCache<String, Boolean> reportedJobs = new BoundedCache<>(MAX_NOTICES);
 
-  /** Revisions of cancellations that were committed here and that the watch has not reached. */
+  /** Revisions of this controller's own cancellations that the watch has not delivered yet. */
   private final Deque<Long> unappliedRevisions = new ArrayDeque<>();
 
   private long appliedRevision = -1;
   private long confirmedCount;
   private long heardCount;
 
-  /** This controller's own commit has cancelled a job. */
+  /** Called when a commit of this controller has cancelled a job. */
   public void confirmed(long revision) {
     confirmedCount++;
     if (revision > appliedRevision && unappliedRevisions.size() < MAX_UNAPPLIED) {
@@ -35,34 +35,37 @@
     }
   }
 
-  /** Another controller has reported that a job is cancelled. */
+  /** Called when another controller has reported that a job is cancelled. */
   public void heard(String job) {
     heardCount++;
     reportedJobs.put(job, true);
   }
 
-  /** The watch has delivered everything up to a revision. */
+  /** Called when the watch has delivered all changes up to a revision. */
   public void appliedRevision(long revision) {
     appliedRevision = revision;
     unappliedRevisions.removeIf(committed -> committed <= revision);
   }
 
-  /** Whether another controller has reported that the job is cancelled. */
+  /**
+   * Returns whether another controller has reported that the job is cancelled; {@code false} also
+   * if the notice has been evicted.
+   */
   public boolean wasHeard(String job) {
     return reportedJobs.get(job) != null;
   }
 
-  /** How many confirmed cancellations the watch has not delivered yet, up to a bound. */
+  /** Returns how many confirmed cancellations the watch has not delivered yet, up to a bound. */
   public int unappliedCount() {
     return unappliedRevisions.size();
   }
 
-  /** How many cancellations were confirmed here since the start. */
+  /** Returns how many cancellations this controller has confirmed since it started. */
   public long confirmedCount() {
     return confirmedCount;
   }
 
-  /** How many notices other controllers have sent since the start, repeats included. */
+  /** Returns how many notices this controller has received since it started, including repeats. */
   public long heardCount() {
     return heardCount;
   }
--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -18,22 +18,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's lease at the key-value store and its member key under it. Registering also
- * makes this controller the leader of its own shard, unless it is that already.
+ * Holds this controller's lease at the key-value store, and the member key that the controller
+ * writes under the lease. Registering also makes this controller the leader of its home shard,
+ * unless it leads that shard already.
  */
 final class ControllerLease {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerLease.class);
 
-  /** A registration that the store did not take is retried after this part of a lease. */
+  /** A registration that failed is retried after the lease's duration divided by this number. */
   private static final int RETRY_DIVISOR = 50;
 
-  /** After a conflict the retry waits at most this part of a lease for the newer state. */
+  /**
+   * After a conflict, the retry waits for the newer state at most for the lease's duration divided
+   * by this number.
+   */
   private static final int CONFLICT_WAIT_DIVISOR = 12;
 
   private enum State {
-    /** A grant or a registration is under way or about to be retried. */
+    /** A grant or a registration is in progress or is about to be retried. */
     REGISTERING,
-    /** The member key exists under the lease, as far as is known. */
+    /** The member key exists under the lease, as far as this controller knows. */
     REGISTERED
   }
 
@@ -47,10 +51,10 @@
   private final String boot;
   private final long leaseMs;
   private State state = State.REGISTERING;
-  private long lease;
+  private long leaseId;
 
   /**
-   * @param boot identifies this process among those that had the same label
+   * @param boot distinguishes this process from earlier ones that had the same label
    */
   ControllerLease(
       Reactor reactor,
@@ -76,7 +80,7 @@
     return state == State.REGISTERED;
   }
 
-  /** Asks for a lease and registers under it, again and again until that succeeds. */
+  /** Requests a lease and registers under it; retries until the registration succeeds. */
   void register() {
     state = State.REGISTERING;
     long sentAtMs = reactor.now();
@@ -91,79 +95,81 @@
         });
   }
 
-  /** Renews the lease; registers anew if it has expired. */
+  /** Renews the lease, or registers again if it has expired. */
   void renew() {
     if (state == State.REGISTERING) {
       return;
     }
     long sentAtMs = reactor.now();
-    long renewed = lease;
+    long renewedLeaseId = leaseId;
     store.renew(
-        renewed,
+        renewedLeaseId,
         renewal -> {
-          if (renewed == lease && state == State.REGISTERED) {
-            renewed(renewal, sentAtMs);
+          if (renewedLeaseId == leaseId && state == State.REGISTERED) {
+            renewalAnswered(renewal, sentAtMs);
           }
         });
   }
 
-  private void renewed(LeaseRenewal renewal, long sentAtMs) {
+  private void renewalAnswered(LeaseRenewal renewal, long sentAtMs) {
     if (renewal == LeaseRenewal.KEPT) {
       fence.leaseRenewed(sentAtMs);
     } else if (renewal == LeaseRenewal.ENDED) {
-      LOG.atWarn().addKeyValue("lease", lease).log("lease expired");
+      LOG.atWarn().addKeyValue("lease", leaseId).log("lease expired");
       fence.leaseExpired();
       register();
     }
   }
 
-  private void registerUnder(long granted, long sentAtMs) {
+  private void registerUnder(long newLeaseId, long sentAtMs) {
     String member = StateKeys.member(self);
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(member, stateCache.version(member)));
-    changes.add(StateChanges.put(member, new MemberRecord(boot), granted));
-    // A controller that acquired one of these shards since the lease expired waits for the workers'
-    // leases that it counts from then on, and acting again under the old epoch would renew them.
-    // So either all epochs are still current or nothing is registered.
+    changes.add(StateChanges.put(member, new MemberRecord(boot), newLeaseId));
+    // Another controller may have acquired one of these shards since the lease expired. It waits
+    // until the workers' leases have run out, counted from its acquisition, and this controller
+    // would renew these leases if it acted again under the old epoch. Therefore the registration
+    // succeeds only if all epochs are still current.
     ledShards.addEpochConditions(conditions);
-    boolean acquireOwn = !ledShards.contains(self);
-    boolean formerLeaderMayAct = acquireOwn && leadershipChanges.formerLeaderMayAct(self);
-    if (acquireOwn) {
-      String own = StateKeys.shard(self);
-      conditions.add(new KeyValueProtocol.Condition(own, stateCache.version(own)));
+    boolean acquireHomeShard = !ledShards.contains(self);
+    boolean formerLeaderMayAct = acquireHomeShard && leadershipChanges.formerLeaderMayAct(self);
+    if (acquireHomeShard) {
+      String homeShardKey = StateKeys.shard(self);
+      conditions.add(
+          new KeyValueProtocol.Condition(homeShardKey, stateCache.version(homeShardKey)));
       changes.add(LeadershipChanges.putLeader(self, self));
     }
     store.commitWithPriority(
         new Transaction(conditions, changes),
         result -> {
           if (result instanceof CommitResult.Committed committed) {
-            registered(granted, sentAtMs);
-            if (acquireOwn && leadershipChanges.isCurrent(self, committed.revision())) {
+            registered(newLeaseId, sentAtMs);
+            if (acquireHomeShard && leadershipChanges.isCurrent(self, committed.revision())) {
               ledShards.begin(self, committed.revision(), formerLeaderMayAct);
             }
             stateCache.applyCommit(changes, committed.revision());
           } else if (result instanceof CommitResult.Conflict conflict) {
-            retryAt(conflict.revision());
+            retryOnceApplied(conflict.revision());
           } else {
             retryLater();
           }
         });
   }
 
-  private void registered(long granted, long sentAtMs) {
+  private void registered(long newLeaseId, long sentAtMs) {
     state = State.REGISTERED;
-    lease = granted;
+    leaseId = newLeaseId;
     fence.leaseRenewed(sentAtMs);
-    LOG.atInfo().addKeyValue("member", self).addKeyValue("lease", granted).log("registered");
+    LOG.atInfo().addKeyValue("member", self).addKeyValue("lease", newLeaseId).log("registered");
   }
 
   private void retryLater() {
     reactor.schedule(leaseMs / RETRY_DIVISOR, this::register);
   }
 
-  /** Retries as soon as the state cache shows the revision that a condition did not hold at. */
-  private void retryAt(long revision) {
+  /** Retries as soon as the state cache has applied the revision at which a condition failed. */
+  private void retryOnceApplied(long revision) {
     if (revision < 0) {
       retryLater();
       return;
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
@@ -25,7 +25,7 @@
 final class LeadershipChanges {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipChanges.class);
 
-  /** Leases for which this controller leaves its own shard to the one it was transferred to. */
+  /** How many lease durations this controller leaves its home shard to the new leader. */
   private static final int TRANSFER_HOLD_LEASES = 2;
 
   private final Reactor reactor;
@@ -36,13 +36,13 @@
   private final String self;
   private final long leaseMs;
 
-  /** Shards with an acquisition that the store has not answered yet. */
-  private final Set<String> acquiring = new HashSet<>();
+  /** Shards whose acquisition the store has not answered yet. */
+  private final Set<String> pendingAcquisitions = new HashSet<>();
 
-  /** The reactor's time of the last change of each shard's leadership, in ms. */
-  private final Map<String, Long> changedAtMs = new HashMap<>();
+  /** When each shard's leadership last changed, in milliseconds of the reactor's clock. */
+  private final Map<String, Long> leaderChangedAtMs = new HashMap<>();
 
-  /** Until this time this controller does not take its own shard back. */
+  /** Until this time, this controller does not take its home shard back. */
   private long transferHoldUntilMs;
 
   LeadershipChanges(
@@ -61,12 +61,12 @@
     this.leaseMs = settings.stateLeaseMs();
   }
 
-  /** Whether this controller may take its own shard back from another leader. */
-  boolean mayReclaimOwnShard() {
+  /** Returns whether this controller may take its home shard back from another leader. */
+  boolean mayReclaimHomeShard() {
     return reactor.now() >= transferHoldUntilMs;
   }
 
-  /** Whether the shard's recorded leader is another controller whose lease still exists. */
+  /** Returns whether the shard's recorded leader is another controller whose lease still exists. */
   boolean formerLeaderMayAct(String shard) {
     Versioned<ShardRecord> current = stateCache.shard(shard);
     return current != null
@@ -74,11 +74,14 @@
         && stateCache.members().containsKey(current.record().leader());
   }
 
-  /** Follows a change of a key: ends terms that another controller has superseded. */
+  /**
+   * Called when a key has changed: ends a term that another controller has superseded, and acquires
+   * a shard that another controller has transferred to this one.
+   */
   void keyChanged(StateKey key) {
     if (key instanceof StateKey.ShardKey shardKey) {
       String shard = shardKey.shard();
-      changedAtMs.put(shard, reactor.now());
+      leaderChangedAtMs.put(shard, reactor.now());
       endIfSuperseded(shard);
       acquireIfTransferredHere(shard);
     }
@@ -95,8 +98,8 @@
         .log("leadership superseded");
     ledShards.remove(shard);
     if (shard.equals(self) && fence.isOpen()) {
-      // Seized although this controller's lease is valid: its workers do not reach it.
-      holdAfterTransfer();
+      // Seized although this controller's lease is valid: the workers cannot reach this controller.
+      startTransferHold();
     }
     ledShards.notifyEnded(shard);
   }
@@ -112,23 +115,27 @@
     }
   }
 
-  private void holdAfterTransfer() {
+  private void startTransferHold() {
     transferHoldUntilMs = reactor.now() + leaseMs * TRANSFER_HOLD_LEASES;
   }
 
-  /** Acquires a shard whose leader may still act, unless it has changed hands within a lease. */
+  /**
+   * Acquires a shard whose leader may still act, unless the shard's leadership has changed within
+   * one lease duration.
+   */
   void seize(String shard) {
     Versioned<ShardRecord> current = stateCache.shard(shard);
     if (current != null
         && !ledShards.contains(shard)
-        && reactor.now() - changedAtMs.getOrDefault(shard, 0L) > leaseMs) {
+        && reactor.now() - leaderChangedAtMs.getOrDefault(shard, 0L) > leaseMs) {
       acquire(shard, current.record().leader(), current.version());
     }
   }
 
   /**
-   * Transfers a shard to another controller. The term ends here before the transfer is written, so
-   * that the new leader need not wait for this one. If the write fails, the shard is taken again.
+   * Transfers a shard to another controller. This controller ends its term before it writes the
+   * transfer, so that the new leader need not wait for it. If the write fails, this controller
+   * acquires the shard again.
    */
   void transfer(String shard, String to) {
     Long epoch = ledShards.epochOf(shard);
@@ -137,7 +144,7 @@
       return;
     }
     ledShards.remove(shard);
-    holdAfterTransfer();
+    startTransferHold();
     ledShards.notifyEnded(shard);
     store.commitWithPriority(
         new Transaction(
@@ -155,12 +162,12 @@
   }
 
   /**
-   * Acquires a shard, if it is still at the given version.
+   * Acquires a shard if its key still has the given version.
    *
-   * @param leader the leader that the shard's key names now
+   * @param leader the leader that the shard's key names at that version
    */
   void acquire(String shard, String leader, long version) {
-    if (!acquiring.add(shard)) {
+    if (!pendingAcquisitions.add(shard)) {
       return;
     }
     boolean formerLeaderMayAct = formerLeaderMayAct(shard);
@@ -180,7 +187,7 @@
     store.commitWithPriority(
         new Transaction(conditions, changes),
         result -> {
-          acquiring.remove(shard);
+          pendingAcquisitions.remove(shard);
           if (result instanceof CommitResult.Committed committed
               && isCurrent(shard, committed.revision())) {
             ledShards.begin(shard, committed.revision(), formerLeaderMayAct);
@@ -190,14 +197,15 @@
   }
 
   /**
-   * Whether no later change of the shard's leadership than this revision is known: when the store
-   * answers late, the state cache may already show that another controller has taken the shard.
+   * Returns whether this controller knows of no change of the shard's leadership after the given
+   * revision. When the store answers late, the state cache may already show that another controller
+   * has acquired the shard.
    */
   boolean isCurrent(String shard, long revision) {
     return stateCache.version(StateKeys.shard(shard)) <= revision;
   }
 
-  /** The change that makes a controller the leader of a shard. */
+  /** Returns the change that makes a controller the leader of a shard. */
   static KeyValueProtocol.Change putLeader(String shard, String leader) {
     return StateChanges.put(StateKeys.shard(shard), new ShardRecord(leader));
   }
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
@@ -7,18 +7,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Bounds how long this controller may act without an answer of the key-value store.
+ * Bounds how long this controller may act without an answer from the key-value store.
  *
- * <p>The fence is open while both the controller's lease and the state cache are young enough, each
- * counted from the <em>sending</em> of the request that proved it. A watch that no longer delivers
- * cancellations must not keep tasks alive, so the age of the state cache counts as much as the
- * lease. The bound is chosen so that the effect of the last answer to a worker ends within the time
- * that a cancellation may take, see {@link Settings#stateLeaseMs}.
+ * <p>The fence is open while both the controller's lease and the state cache are recent enough. The
+ * age of each is counted from the time at which the request that confirmed it was <em>sent</em>.
+ * The age of the state cache counts as much as that of the lease, because a controller whose watch
+ * no longer delivers cancellations must not keep tasks alive. The bound is chosen so that the
+ * effect of the last answer to a worker ends within the time that a cancellation may take, see
+ * {@link Settings#stateLeaseMs}.
  */
 public final class LeadershipFence {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipFence.class);
 
-  /** The longest time on the event loop between a decision and the sending of its message. */
+  /**
+   * The longest time on the event loop between a decision and the sending of its message, in ms.
+   */
   private static final long EVENT_LOOP_TURN_MS = 50;
 
   private static final long NEVER = Long.MIN_VALUE;
@@ -27,14 +30,14 @@
   private final StateCache stateCache;
   private final long usableMs;
 
-  /** When the request was sent that granted or renewed the lease last. */
+  /** When the request that last granted or renewed the lease was sent. */
   private long leaseSentAtMs = NEVER;
 
   private boolean wasOpen;
   private long openings;
 
   /**
-   * @param leaseMs the time to live of the lease at the key-value store
+   * @param leaseMs the time to live of the lease at the key-value store, in milliseconds
    */
   LeadershipFence(Reactor reactor, StateCache stateCache, long leaseMs) {
     this.reactor = reactor;
@@ -42,22 +45,25 @@
     this.usableMs = Math.round(leaseMs * (1 - Settings.CLOCK_DRIFT)) - EVENT_LOOP_TURN_MS;
   }
 
-  /** The lease less the clocks' possible drift and a turn of the event loop, in ms. */
+  /**
+   * Returns for how long the controller may act on one confirmation: the lease minus the possible
+   * clock drift and one turn of the event loop, in milliseconds.
+   */
   public long usableMs() {
     return usableMs;
   }
 
-  /** The lease was granted or renewed by a request that was sent at this time. */
+  /** Called when a request that was sent at the given time has granted or renewed the lease. */
   void leaseRenewed(long sentAtMs) {
     leaseSentAtMs = Math.max(leaseSentAtMs, sentAtMs);
   }
 
-  /** The key-value store has answered that the lease has expired. */
+  /** Called when the key-value store has answered that the lease has expired. */
   void leaseExpired() {
     leaseSentAtMs = NEVER;
   }
 
-  /** Whether commands may be sent and heartbeats acknowledged now; logs each change. */
+  /** Returns whether commands may be sent and heartbeats acknowledged now; logs each change. */
   boolean isOpen() {
     long oldestMs = reactor.now() - usableMs;
     boolean open = leaseSentAtMs > oldestMs && stateCache.freshAsOf() > oldestMs;
@@ -69,17 +75,23 @@
     return open;
   }
 
-  /** How often the fence has opened since the start. */
+  /** Returns how often the fence has opened since this process started. */
   public long openings() {
     return openings;
   }
 
-  /** Milliseconds since the last successful renewal was sent; -1 without a lease. */
+  /**
+   * Returns the milliseconds since the last successful grant or renewal of the lease was requested;
+   * -1 without a lease.
+   */
   public long leaseAgeMs() {
     return ageMs(leaseSentAtMs);
   }
 
-  /** Milliseconds since the last answered read of the state cache was sent; -1 before the first. */
+  /**
+   * Returns the age of the state cache: the milliseconds since its last answered read was sent; -1
+   * before the first.
+   */
   public long stateAgeMs() {
     return ageMs(stateCache.freshAsOf());
   }
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
@@ -9,71 +9,86 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * Detects that a controller is cut off from its workers, so that another should lead its shards.
+ * Detects that a controller is cut off from its workers, so that another one should lead its
+ * shards.
  *
- * <p>A controller that is cut off from its workers alone keeps its lease, so that no failover takes
- * place, while all tasks would end with the workers' leases. But workers that get no answer ask
- * other controllers, which redirect them to their leader and report to it how many they have
- * redirected. From these reports a controller concludes that another one reaches its workers; and
- * from workers that come back after a redirect, that their leader is unreachable.
+ * <p>A controller that is cut off from its workers but not from the key-value store keeps its
+ * lease. No failover takes place then, although all tasks would end when the workers' leases run
+ * out. Workers that get no answer ask other controllers. These redirect the workers to the shard
+ * leader and report to it how many they have redirected. A shard leader concludes from these
+ * reports that another controller can reach its workers. A controller concludes that a shard leader
+ * is unreachable when workers come back after it has redirected them to that leader.
  */
 public final class LeadershipTransfer {
-  /** Heartbeat intervals without a heartbeat after which a worker counts as silent. */
+  /** A worker counts as silent after this many heartbeat intervals without a heartbeat. */
   private static final double SILENCE_THRESHOLD_INTERVALS = 1.5;
 
-  /** Heartbeat intervals after which a redirect no longer counts. */
+  /** A redirect no longer counts after this many heartbeat intervals. */
   private static final double REDIRECT_EXPIRY_INTERVALS = 4;
 
-  /** Heartbeat intervals after which the report of another controller no longer counts. */
+  /** The report of another controller no longer counts after this many heartbeat intervals. */
   private static final double REPORT_EXPIRY_INTERVALS = 1;
 
   /**
-   * Heartbeat intervals without a message after which a controller may count as unreachable: one
-   * that only restarts is back sooner, and should keep its shards.
+   * A controller may count as unreachable after this many heartbeat intervals without a message. A
+   * controller that merely restarts is back sooner and should keep its shards.
    */
   private static final double UNREACHABLE_INTERVALS = 3;
 
-  /** Share of this controller's workers that have to be silent before it transfers its shards. */
+  /** Share of this controller's workers that must be silent before it transfers its shards. */
   private static final double SILENT_SHARE = 0.9;
 
-  /** Share of this controller's workers that others have to have redirected before a transfer. */
+  /** Share of this controller's workers that others must have redirected before a transfer. */
   private static final double REDIRECTED_SHARE = 0.3;
 
-  /** Share of a shard's workers that have to come back after a redirect before it is seized. */
+  /** Share of a shard's workers that must come back after a redirect before the shard is seized. */
   private static final double RETURNED_SHARE = REDIRECTED_SHARE / 2;
 
-  private static final int MIN_WORKERS = 2;
+  private static final int MIN_WORKERS_FOR_TRANSFER = 2;
 
-  /** How many of this controller's workers are in use, and how many of these are silent. */
+  /**
+   * Counts of the workers of this controller's shards.
+   *
+   * @param up how many workers are up and not being drained
+   * @param silent how many of these are silent
+   */
   public record WorkerReachability(int up, int silent) {}
 
-  /** Another controller's report of how many machines it has redirected to this one. */
+  /** Another controller's report of how many machines it has redirected to this controller. */
   private record RedirectReport(long receivedAtMs, int machines) {}
 
-  /** A machine's last redirect, and how many it got with no longer pause between two of them. */
+  /**
+   * The redirects of one machine to the same controller.
+   *
+   * @param lastAtMs when the machine was last redirected
+   * @param consecutive how many redirects followed each other, each within the time for which the
+   *     previous one counted
+   */
   private record Redirects(long lastAtMs, int consecutive) {}
 
   private final Reactor reactor;
   private final Settings settings;
 
-  /** Redirects of this controller, by the controller redirected to and by machine. */
+  /** The redirects that this controller has sent, by target controller and machine. */
   private final Map<String, Map<String, Redirects>> redirects = new HashMap<>();
 
-  /** The last report of each other controller. */
+  /** The last report of each other controller, by its label. */
   private final Map<String, RedirectReport> reports = new HashMap<>();
 
-  /** Runs on the reactor's thread. */
+  /** All methods must be called on the reactor's thread. */
   public LeadershipTransfer(Reactor reactor, Settings settings) {
     this.reactor = reactor;
     this.settings = settings;
   }
 
-  /** After this time without a heartbeat a worker counts as silent, in ms. */
+  /**
+   * Returns the time without a heartbeat after which a worker counts as silent, in milliseconds.
+   */
   public long silenceThresholdMs() {
     return settings.heartbeatIntervalsMs(SILENCE_THRESHOLD_INTERVALS);
   }
 
-  /** Records that this controller has redirected a machine to another controller. */
+  /** Called when this controller has redirected a machine to another controller. */
   public void redirected(String machine, String to) {
     redirects
         .computeIfAbsent(to, controller -> new HashMap<>())
@@ -84,24 +99,24 @@
                 new Redirects(now.lastAtMs(), isRecent(before) ? before.consecutive() + 1 : 1));
   }
 
-  private boolean isRecent(Redirects machine) {
-    return reactor.now() - machine.lastAtMs()
+  private boolean isRecent(Redirects machineRedirects) {
+    return reactor.now() - machineRedirects.lastAtMs()
         <= settings.heartbeatIntervalsMs(REDIRECT_EXPIRY_INTERVALS);
   }
 
   private Collection<Redirects> recentRedirects(String to) {
     Collection<Redirects> machines = redirects.getOrDefault(to, new HashMap<>()).values();
-    machines.removeIf(machine -> !isRecent(machine));
+    machines.removeIf(machineRedirects -> !isRecent(machineRedirects));
     return machines;
   }
 
-  /** The report to a controller of how many machines were recently redirected to it. */
+  /** Returns the report to a controller about how many machines were recently redirected to it. */
   public PeerMessage.RedirectCount reportFor(String controller) {
     return new PeerMessage.RedirectCount(
         settings.label(), controller, recentRedirects(controller).size());
   }
 
-  /** Takes in another controller's report; one that is meant for a third controller is ignored. */
+  /** Called with another controller's report; ignores a report that is meant for a third one. */
   public void reportReceived(PeerMessage.RedirectCount report) {
     if (report.to().equals(settings.label())) {
       reports.put(report.sender(), new RedirectReport(reactor.now(), report.machines()));
@@ -109,12 +124,14 @@
   }
 
   /**
-   * Whether a controller is out of reach of a shard's workers, and of this controller: they come
-   * back after a redirect. A first redirect proves nothing, as every machine gets one whose shard
-   * has changed its leader; and controllers that merely do not hear each other would seize each
-   * other's shards for as long as that lasts.
+   * Returns whether neither this controller nor a shard's workers can reach a controller. Workers
+   * that come back after a redirect show that they could not reach it. A first redirect proves
+   * nothing, because every machine is redirected once when its shard changes its leader. Silence
+   * between the two controllers alone is not enough either: controllers that merely cannot hear
+   * each other would seize each other's shards for as long as this lasts.
    *
-   * @param silentMs how long this controller has received nothing from the other one
+   * @param silentMs how long this controller has received nothing from the other one, in
+   *     milliseconds
    * @param machines how many machines the shard has
    */
   public boolean isUnreachable(String controller, long silentMs, int machines) {
@@ -122,34 +139,35 @@
       return false;
     }
     int returned = 0;
-    for (Redirects machine : recentRedirects(controller)) {
-      returned += machine.consecutive() > 1 ? 1 : 0;
+    for (Redirects machineRedirects : recentRedirects(controller)) {
+      returned += machineRedirects.consecutive() > 1 ? 1 : 0;
     }
     return returned >= Math.max(1, machines * RETURNED_SHARE);
   }
 
   /**
-   * The controller that should lead this controller's shards instead, as most of its workers reach
-   * that one; empty while this controller should keep them.
+   * Returns the controller that should lead this controller's shards instead, namely the one that
+   * most of its workers reach according to the reports; empty if this controller should keep its
+   * shards.
    */
   public Optional<String> preferredLeader(WorkerReachability workers) {
-    if (workers.up() < MIN_WORKERS || workers.silent() < workers.up() * SILENT_SHARE) {
+    if (workers.up() < MIN_WORKERS_FOR_TRANSFER || workers.silent() < workers.up() * SILENT_SHARE) {
       return Optional.empty();
     }
     String preferred = null;
-    int most = 0;
-    int total = 0;
+    int mostMachines = 0;
+    int totalMachines = 0;
     for (Map.Entry<String, RedirectReport> entry : reports.entrySet()) {
       RedirectReport report = entry.getValue();
       if (isCurrent(report)) {
-        total += report.machines();
-        if (report.machines() > most) {
-          most = report.machines();
+        totalMachines += report.machines();
+        if (report.machines() > mostMachines) {
+          mostMachines = report.machines();
           preferred = entry.getKey();
         }
       }
     }
-    return total >= workers.up() * REDIRECTED_SHARE
+    return totalMachines >= workers.up() * REDIRECTED_SHARE
         ? Optional.ofNullable(preferred)
         : Optional.empty();
   }
--- a/src/main/java/org/fieldtrestle/leadership/LedShards.java
+++ b/src/main/java/org/fieldtrestle/leadership/LedShards.java
@@ -23,12 +23,15 @@
     return epochs.containsKey(shard);
   }
 
-  /** The epoch in which this controller leads the shard; null if it does not lead it. */
+  /**
+   * Returns the epoch in which this controller leads the shard; {@code null} if it does not lead
+   * it.
+   */
   Long epochOf(String shard) {
     return epochs.get(shard);
   }
 
-  /** Begins a leadership term. */
+  /** Begins a leadership term and notifies the listener. */
   void begin(String shard, long epoch, boolean formerLeaderMayAct) {
     epochs.put(shard, epoch);
     LOG.atInfo()
@@ -39,7 +42,7 @@
     listener.began(shard, epoch, formerLeaderMayAct);
   }
 
-  /** Forgets a term; the listener is told separately, by {@link #notifyEnded}. */
+  /** Removes a term; {@link #notifyEnded} notifies the listener separately. */
   void remove(String shard) {
     epochs.remove(shard);
   }
@@ -48,7 +51,7 @@
     listener.ended(shard);
   }
 
-  /** Adds the conditions under which all terms of this controller are still current. */
+  /** Adds conditions that hold only while all terms of this controller are still current. */
   void addEpochConditions(List<KeyValueProtocol.Condition> conditions) {
     epochs.forEach(
         (shard, epoch) ->
--- a/src/main/java/org/fieldtrestle/leadership/Membership.java
+++ b/src/main/java/org/fieldtrestle/leadership/Membership.java
@@ -7,23 +7,23 @@
 
 /**
  * This controller as a member of the cluster: its lease, and the shards that it leads. A shard's
- * epoch is the version of its key in the key-value store: every change of leadership raises it, and
- * every write of a shard's leader depends on it.
+ * epoch is the version of its key in the key-value store. Every change of leadership raises the
+ * epoch, and every write of a shard leader succeeds only if the epoch is unchanged.
  */
 public final class Membership {
-  /** The lease is renewed, and shards are looked through, this often in a lease. */
+  /** How often per lease duration the lease is renewed and all shards are checked. */
   private static final int CHECKS_PER_LEASE = 12;
 
-  /** Notified when this controller's leadership of a shard begins or ends. */
+  /** Listens for the beginning and the end of this controller's leadership of shards. */
   public interface Listener {
     /**
-     * A leadership term begins.
+     * Called when this controller's leadership term of a shard has begun.
      *
-     * @param formerLeaderMayAct the former leader may not know yet that its term has ended
+     * @param formerLeaderMayAct whether the former leader may not know yet that its term has ended
      */
     void began(String shard, long epoch, boolean formerLeaderMayAct);
 
-    /** The leadership term of a shard has ended. */
+    /** Called when this controller's leadership term of a shard has ended. */
     void ended(String shard);
   }
 
@@ -38,7 +38,7 @@
   private final ShardFailover failover;
 
   /**
-   * @param boot identifies this process among those that had the same label
+   * @param boot distinguishes this process from earlier ones that had the same label
    */
   public Membership(
       Reactor reactor,
@@ -61,7 +61,7 @@
         new ShardFailover(reactor, stateCache, settings, fence, ledShards, leadershipChanges);
   }
 
-  /** Begins to register and to acquire shards; called once, when the state cache is ready. */
+  /** Starts to register and to acquire shards; called once, when the state cache is ready. */
   public void start(Listener listener) {
     ledShards.setListener(listener);
     stateCache.addKeyListener(leadershipChanges::keyChanged);
@@ -79,32 +79,38 @@
     scheduleCheck();
   }
 
-  /** Whether this controller may act as the leader of its shards now. */
+  /** Returns whether this controller may act as the leader of its shards now. */
   public boolean mayAct() {
     return fence.isOpen();
   }
 
-  /** The bound on acting without an answer of the key-value store. */
+  /** Returns the fence that bounds acting without an answer from the key-value store. */
   public LeadershipFence fence() {
     return fence;
   }
 
-  /** This controller's label. */
+  /** Returns this controller's label, which is also the name of its home shard. */
   public String self() {
     return self;
   }
 
-  /** Whether this is the registered member with the lowest label, which does cluster-wide work. */
+  /**
+   * Returns whether this controller is registered and has the lowest label of all members. That
+   * member does the cluster-wide work.
+   */
   public boolean isFirst() {
     return controllerLease.isRegistered() && failover.rank() == 0;
   }
 
-  /** Acquires a shard whose leader may still act, unless it has changed hands within a lease. */
+  /**
+   * Acquires a shard whose leader may still act, unless the shard's leadership has changed within
+   * one lease duration.
+   */
   public void seizeLeadership(String shard) {
     leadershipChanges.seize(shard);
   }
 
-  /** Ends the term of a shard that this controller leads, and makes another member its leader. */
+  /** Ends this controller's leadership term of a shard and makes another member its leader. */
   public void transferLeadership(String shard, String to) {
     leadershipChanges.transfer(shard, to);
   }
--- a/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
+++ b/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
@@ -9,9 +9,15 @@
 import org.fieldtrestle.state.Versioned;
 import org.fieldtrestle.transport.Reactor;
 
-/** Acquires shards whose leader's lease has expired, and this controller's own from any other. */
+/**
+ * Acquires shards whose leader's lease has expired, and takes this controller's home shard back
+ * from any other leader.
+ */
 final class ShardFailover {
-  /** Members try one after the other, each this part of a lease later than the one before. */
+  /**
+   * Members try one after the other, each one later than the one before it by the lease's duration
+   * divided by this number.
+   */
   private static final int DELAY_PER_RANK_DIVISOR = 6;
 
   private final Reactor reactor;
@@ -22,7 +28,10 @@
   private final String self;
   private final long leaseMs;
 
-  /** Since when each shard was seen without a leader, in ms of the reactor's time. */
+  /**
+   * Since when this controller has seen each shard without a live leader, in ms of the reactor's
+   * clock.
+   */
   private final Map<String, Long> leaderlessSinceMs = new HashMap<>();
 
   ShardFailover(
@@ -41,7 +50,7 @@
     this.leaseMs = settings.stateLeaseMs();
   }
 
-  /** How many members have a lower label than this controller. */
+  /** Returns how many members have a lower label than this controller. */
   int rank() {
     int lower = 0;
     for (String label : stateCache.members().keySet()) {
@@ -50,7 +59,7 @@
     return lower;
   }
 
-  /** Looks through all shards once. */
+  /** Checks all shards once. */
   void check() {
     if (!fence.isOpen()) {
       leaderlessSinceMs.clear();
@@ -70,11 +79,12 @@
     }
     String leader = current.record().leader();
     if (leader.equals(self)) {
-      // By an unanswered request of this controller or a transfer: no other one would acquire it.
+      // An unanswered request of this controller or a transfer has named it the leader. No other
+      // controller would acquire the shard.
       leadershipChanges.acquire(shard, leader, current.version());
       return;
     }
-    boolean reclaim = shard.equals(self) && leadershipChanges.mayReclaimOwnShard();
+    boolean reclaim = shard.equals(self) && leadershipChanges.mayReclaimHomeShard();
     if (stateCache.members().containsKey(leader) && !reclaim) {
       leaderlessSinceMs.remove(shard);
       return;
