--- a/src/main/java/org/fieldtrestle/controller/LocalShards.java
+++ b/src/main/java/org/fieldtrestle/controller/LocalShards.java
@@ -24,7 +24,7 @@
   }
 
   @Override
-  public void began(String shard, long epoch, boolean formerLeaderMayAct) {
+  public void leadershipBegan(String shard, long epoch, boolean formerLeaderMayAct) {
     ShardLeader leader = new ShardLeader(context, shard, epoch, formerLeaderMayAct, activated);
     ShardLeader former = leaders.put(shard, leader);
     if (former != null) {
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public void ended(String shard) {
+  public void leadershipEnded(String shard) {
     ShardLeader former = leaders.remove(shard);
     if (former != null) {
       former.tell(new ShardLeader.TermEnded());
--- a/src/main/java/org/fieldtrestle/leadership/LedShards.java
+++ b/src/main/java/org/fieldtrestle/leadership/LedShards.java
@@ -39,7 +39,7 @@
         .addKeyValue("epoch", epoch)
         .addKeyValue("formerLeaderMayAct", formerLeaderMayAct)
         .log("leadership acquired");
-    listener.began(shard, epoch, formerLeaderMayAct);
+    listener.leadershipBegan(shard, epoch, formerLeaderMayAct);
   }
 
   /** Removes a term; {@link #notifyEnded} notifies the listener separately. */
@@ -48,7 +48,7 @@
   }
 
   void notifyEnded(String shard) {
-    listener.ended(shard);
+    listener.leadershipEnded(shard);
   }
 
   /** Adds conditions that hold only while all terms of this controller are still current. */
--- a/src/main/java/org/fieldtrestle/leadership/Membership.java
+++ b/src/main/java/org/fieldtrestle/leadership/Membership.java
@@ -21,10 +21,10 @@
      *
      * @param formerLeaderMayAct whether the former leader may not know yet that its term has ended
      */
-    void began(String shard, long epoch, boolean formerLeaderMayAct);
+    void leadershipBegan(String shard, long epoch, boolean formerLeaderMayAct);
 
     /** Called when this controller's leadership term of a shard has ended. */
-    void ended(String shard);
+    void leadershipEnded(String shard);
   }
 
   private final Reactor reactor;
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -44,12 +44,12 @@
 
   private final class RecordEpochs implements Membership.Listener {
     @Override
-    public void began(String shard, long epoch, boolean formerLeaderMayAct) {
+    public void leadershipBegan(String shard, long epoch, boolean formerLeaderMayAct) {
       begun.add(epoch);
     }
 
     @Override
-    public void ended(String shard) {}
+    public void leadershipEnded(String shard) {}
   }
 
   /**
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -119,13 +119,13 @@
 
   private final class Begun implements Membership.Listener {
     @Override
-    public void began(String name, long begunEpoch, boolean formerLeaderMayAct) {
+    public void leadershipBegan(String name, long begunEpoch, boolean formerLeaderMayAct) {
       epoch = begunEpoch;
       shard = new ShardLeader(context, name, epoch, formerLeaderMayAct, () -> {});
     }
 
     @Override
-    public void ended(String name) {}
+    public void leadershipEnded(String name) {}
   }
 
   private static void cloud(Http.Request request, Consumer<Http.Response> to) {
