--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -47,7 +47,7 @@
   private final LeadershipFence fence;
   private final LedShards ledShards;
   private final LeadershipChanges leadershipChanges;
-  private final String self;
+  private final String ownLabel;
   private final String boot;
   private final long leaseMs;
   private State state = State.REGISTERING;
@@ -71,7 +71,7 @@
     this.fence = fence;
     this.ledShards = ledShards;
     this.leadershipChanges = leadershipChanges;
-    this.self = settings.label();
+    this.ownLabel = settings.label();
     this.boot = boot;
     this.leaseMs = settings.stateLeaseMs();
   }
@@ -122,7 +122,7 @@
   }
 
   private void registerUnder(long newLeaseId, long sentAtMs) {
-    String member = StateKeys.member(self);
+    String member = StateKeys.member(ownLabel);
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(member, stateCache.version(member)));
@@ -132,21 +132,21 @@
     // would renew these leases if it acted again under the old epoch. Therefore the registration
     // succeeds only if all epochs are still current.
     ledShards.addEpochConditions(conditions);
-    boolean acquireHomeShard = !ledShards.contains(self);
-    boolean formerLeaderMayAct = acquireHomeShard && leadershipChanges.formerLeaderMayAct(self);
+    boolean acquireHomeShard = !ledShards.contains(ownLabel);
+    boolean formerLeaderMayAct = acquireHomeShard && leadershipChanges.formerLeaderMayAct(ownLabel);
     if (acquireHomeShard) {
-      String homeShardKey = StateKeys.shard(self);
+      String homeShardKey = StateKeys.shard(ownLabel);
       conditions.add(
           new KeyValueProtocol.Condition(homeShardKey, stateCache.version(homeShardKey)));
-      changes.add(LeadershipChanges.putLeader(self, self));
+      changes.add(LeadershipChanges.putLeader(ownLabel, ownLabel));
     }
     store.commitWithPriority(
         new Transaction(conditions, changes),
         result -> {
           if (result instanceof CommitResult.Committed committed) {
             registered(newLeaseId, sentAtMs);
-            if (acquireHomeShard && leadershipChanges.isCurrent(self, committed.revision())) {
-              ledShards.begin(self, committed.revision(), formerLeaderMayAct);
+            if (acquireHomeShard && leadershipChanges.isCurrent(ownLabel, committed.revision())) {
+              ledShards.begin(ownLabel, committed.revision(), formerLeaderMayAct);
             }
             stateCache.applyCommit(changes, committed.revision());
           } else if (result instanceof CommitResult.Conflict conflict) {
@@ -161,7 +161,7 @@
     state = State.REGISTERED;
     leaseId = newLeaseId;
     fence.leaseRenewed(sentAtMs);
-    LOG.atInfo().addKeyValue("member", self).addKeyValue("lease", newLeaseId).log("registered");
+    LOG.atInfo().addKeyValue("member", ownLabel).addKeyValue("lease", newLeaseId).log("registered");
   }
 
   private void retryLater() {
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
@@ -33,7 +33,7 @@
   private final StateCache stateCache;
   private final LeadershipFence fence;
   private final LedShards ledShards;
-  private final String self;
+  private final String ownLabel;
   private final long leaseMs;
 
   /** Shards whose acquisition the store has not answered yet. */
@@ -57,7 +57,7 @@
     this.stateCache = stateCache;
     this.fence = fence;
     this.ledShards = ledShards;
-    this.self = settings.label();
+    this.ownLabel = settings.label();
     this.leaseMs = settings.stateLeaseMs();
   }
 
@@ -70,7 +70,7 @@
   boolean formerLeaderMayAct(String shard) {
     Versioned<ShardRecord> current = stateCache.shard(shard);
     return current != null
-        && !current.record().leader().equals(self)
+        && !current.record().leader().equals(ownLabel)
         && stateCache.members().containsKey(current.record().leader());
   }
 
@@ -97,7 +97,7 @@
         .addKeyValue("epoch", epoch)
         .log("leadership superseded");
     ledShards.remove(shard);
-    if (shard.equals(self) && fence.isOpen()) {
+    if (shard.equals(ownLabel) && fence.isOpen()) {
       // Seized although this controller's lease is valid: the workers cannot reach this controller.
       startTransferHold();
     }
@@ -107,11 +107,11 @@
   private void acquireIfTransferredHere(String shard) {
     Versioned<ShardRecord> current = stateCache.shard(shard);
     if (current != null
-        && current.record().leader().equals(self)
-        && !shard.equals(self)
+        && current.record().leader().equals(ownLabel)
+        && !shard.equals(ownLabel)
         && !ledShards.contains(shard)
         && fence.isOpen()) {
-      acquire(shard, self, current.version());
+      acquire(shard, ownLabel, current.version());
     }
   }
 
@@ -171,14 +171,14 @@
       return;
     }
     boolean formerLeaderMayAct = formerLeaderMayAct(shard);
-    String member = StateKeys.member(self);
+    String member = StateKeys.member(ownLabel);
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(StateKeys.shard(shard), version));
     conditions.add(new KeyValueProtocol.Condition(member, stateCache.version(member)));
-    if (!formerLeaderMayAct && !leader.equals(self)) {
+    if (!formerLeaderMayAct && !leader.equals(ownLabel)) {
       conditions.add(new KeyValueProtocol.Condition(StateKeys.member(leader), 0));
     }
-    List<KeyValueProtocol.Change> changes = List.of(putLeader(shard, self));
+    List<KeyValueProtocol.Change> changes = List.of(putLeader(shard, ownLabel));
     LOG.atWarn()
         .addKeyValue("shard", shard)
         .addKeyValue("from", leader)
--- a/src/main/java/org/fieldtrestle/leadership/Membership.java
+++ b/src/main/java/org/fieldtrestle/leadership/Membership.java
@@ -29,7 +29,7 @@
 
   private final Reactor reactor;
   private final StateCache stateCache;
-  private final String self;
+  private final String ownLabel;
   private final long leaseMs;
   private final LeadershipFence fence;
   private final LedShards ledShards;
@@ -48,7 +48,7 @@
       String boot) {
     this.reactor = reactor;
     this.stateCache = stateCache;
-    this.self = settings.label();
+    this.ownLabel = settings.label();
     this.leaseMs = settings.stateLeaseMs();
     this.fence = new LeadershipFence(reactor, stateCache, leaseMs);
     this.ledShards = new LedShards();
@@ -90,15 +90,15 @@
   }
 
   /** Returns this controller's label, which is also the name of its home shard. */
-  public String self() {
-    return self;
+  public String ownLabel() {
+    return ownLabel;
   }
 
   /**
    * Returns whether this controller is registered and has the lowest label of all members. That
    * member does the cluster-wide work.
    */
-  public boolean isFirst() {
+  public boolean hasLowestLabel() {
     return controllerLease.isRegistered() && failover.rank() == 0;
   }
 
--- a/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
+++ b/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
@@ -25,7 +25,7 @@
   private final LeadershipFence fence;
   private final LedShards ledShards;
   private final LeadershipChanges leadershipChanges;
-  private final String self;
+  private final String ownLabel;
   private final long leaseMs;
 
   /**
@@ -46,7 +46,7 @@
     this.fence = fence;
     this.ledShards = ledShards;
     this.leadershipChanges = leadershipChanges;
-    this.self = settings.label();
+    this.ownLabel = settings.label();
     this.leaseMs = settings.stateLeaseMs();
   }
 
@@ -54,7 +54,7 @@
   int rank() {
     int lower = 0;
     for (String label : stateCache.members().keySet()) {
-      lower += label.compareTo(self) < 0 ? 1 : 0;
+      lower += label.compareTo(ownLabel) < 0 ? 1 : 0;
     }
     return lower;
   }
@@ -78,13 +78,13 @@
       return;
     }
     String leader = current.record().leader();
-    if (leader.equals(self)) {
+    if (leader.equals(ownLabel)) {
       // An unanswered request of this controller or a transfer has named it the leader. No other
       // controller would acquire the shard.
       leadershipChanges.acquire(shard, leader, current.version());
       return;
     }
-    boolean reclaim = shard.equals(self) && leadershipChanges.mayReclaimHomeShard();
+    boolean reclaim = shard.equals(ownLabel) && leadershipChanges.mayReclaimHomeShard();
     if (stateCache.members().containsKey(leader) && !reclaim) {
       leaderlessSinceMs.remove(shard);
       return;
--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -125,8 +125,8 @@
    */
   private void adoptIfOrphan(ListedMachine machine, long nowMs) {
     long sinceMs = unrecordedSinceMs.computeIfAbsent(machine.machine(), id -> nowMs);
-    if (!context.membership().isFirst()
-        || !term.shard().equals(context.membership().self())
+    if (!context.membership().hasLowestLabel()
+        || !term.shard().equals(context.membership().ownLabel())
         || nowMs - sinceMs < ORPHAN_AFTER_LAGS * context.cloud().listLagMs()) {
       return;
     }
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -156,7 +156,7 @@
   private String nextRequestId() {
     requests++;
     return "r-"
-        + context.membership().self()
+        + context.membership().ownLabel()
         + "-"
         + term.shard()
         + "-"
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -278,7 +278,7 @@
     List<FreeCapacity> all = new ArrayList<>();
     freeByZone.forEach((zone, sums) -> all.add(new FreeCapacity(zone, sums[0], sums[1], sums[2])));
     return new PeerMessage.ShardLoad(
-        context.membership().self(),
+        context.membership().ownLabel(),
         name(),
         epoch(),
         parts.ranges.waitingCpus(),
