--- a/src/main/java/org/fieldtrestle/api/CancellationHandler.java
+++ b/src/main/java/org/fieldtrestle/api/CancellationHandler.java
@@ -121,7 +121,7 @@
       String jobId, FinishedJobRecord end, List<KeyValueProtocol.Change> changes, long revision) {
     finishedJobs.cache(jobId, end);
     context.stateCache().applyCommit(changes, revision);
-    context.cancellations().confirmed(revision);
+    context.cancellations().cancellationConfirmed(revision);
     LOG.atInfo()
         .addKeyValue("job", jobId)
         .addKeyValue("revision", revision)
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -137,7 +137,7 @@
     this.listen = listen;
     stateCache.addKeyListener(this::keyChanged);
     stateCache.addProgressListener(
-        () -> context.cancellations().appliedRevision(stateCache.appliedRevision()));
+        () -> context.cancellations().revisionApplied(stateCache.appliedRevision()));
     stateCache.start();
     context.cloud().start();
     startWhenStateIsKnown();
--- a/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
@@ -49,7 +49,7 @@
   private void receive(PeerFrame frame) {
     PeerMessage message = frame.message();
     if (message instanceof PeerMessage.JobCancelled cancelled) { // final, so true at any age
-      context.cancellations().heard(cancelled.job());
+      context.cancellations().noticeReceived(cancelled.job());
       shards.tellAll(new ShardLeader.JobCancelled(cancelled.job()));
       return;
     }
--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -79,7 +79,7 @@
   private static void putCancellations(ObjectNode parent, CancellationNotices cancellations) {
     parent.put("confirmedHere", cancellations.confirmedCount());
     parent.put("notFollowedYet", cancellations.unappliedCount());
-    parent.put("heardFromOthers", cancellations.heardCount());
+    parent.put("heardFromOthers", cancellations.receivedNoticeCount());
   }
 
   private static void putStartsRefused(ObjectNode parent, ControllerMetrics metrics) {
--- a/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
+++ b/src/main/java/org/fieldtrestle/leadership/CancellationNotices.java
@@ -25,10 +25,10 @@
 
   private long appliedRevision = -1;
   private long confirmedCount;
-  private long heardCount;
+  private long receivedNoticeCount;
 
   /** Called when a commit of this controller has cancelled a job. */
-  public void confirmed(long revision) {
+  public void cancellationConfirmed(long revision) {
     confirmedCount++;
     if (revision > appliedRevision && unappliedRevisions.size() < MAX_UNAPPLIED) {
       unappliedRevisions.add(revision);
@@ -36,13 +36,13 @@
   }
 
   /** Called when another controller has reported that a job is cancelled. */
-  public void heard(String job) {
-    heardCount++;
+  public void noticeReceived(String job) {
+    receivedNoticeCount++;
     reportedJobs.put(job, true);
   }
 
   /** Called when the watch has delivered all changes up to a revision. */
-  public void appliedRevision(long revision) {
+  public void revisionApplied(long revision) {
     appliedRevision = revision;
     unappliedRevisions.removeIf(committed -> committed <= revision);
   }
@@ -51,7 +51,7 @@
    * Returns whether another controller has reported that the job is cancelled; {@code false} also
    * if the notice has been evicted.
    */
-  public boolean wasHeard(String job) {
+  public boolean hasNotice(String job) {
     return reportedJobs.get(job) != null;
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Returns how many notices this controller has received since it started, including repeats. */
-  public long heardCount() {
-    return heardCount;
+  public long receivedNoticeCount() {
+    return receivedNoticeCount;
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
+++ b/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
@@ -87,7 +87,7 @@
   }
 
   private boolean isCancellationKnown(TaskRange range) {
-    return range.stopState().isCancelled() || context.cancellations().wasHeard(range.key().job());
+    return range.stopState().isCancelled() || context.cancellations().hasNotice(range.key().job());
   }
 
   /**
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -146,7 +146,7 @@
     boolean inherited = kept.record().epoch() < term.epoch();
     TaskRange range =
         new TaskRange(key, kept.record(), kept.version(), inherited, context.now() - ageMs);
-    if (context.cancellations().wasHeard(key.job())) {
+    if (context.cancellations().hasNotice(key.job())) {
       range.stopState().markCancelled();
     }
     ranges.put(key, range);
--- a/src/test/java/org/fieldtrestle/controller/StatsPageTest.java
+++ b/src/test/java/org/fieldtrestle/controller/StatsPageTest.java
@@ -15,7 +15,7 @@
   void pageShowsAgesRefusalsAndCancellations() {
     ShardLeaderFixture fixture = new ShardLeaderFixture();
     fixture.reconcile();
-    fixture.context.cancellations().confirmed(ShardLeaderFixture.LATER_REVISION);
+    fixture.context.cancellations().cancellationConfirmed(ShardLeaderFixture.LATER_REVISION);
     fixture.commitCancellation();
     fixture.heartbeat();
     JsonNode page = Json.parseOrEmpty(StatsPage.render(fixture.context, List.of(fixture.shard)));
--- a/src/test/java/org/fieldtrestle/leadership/CancellationNoticesTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/CancellationNoticesTest.java
@@ -12,22 +12,22 @@
 
   @Test
   void confirmedCancellationIsCountedAsUnappliedUntilTheWatchReachesItsRevision() {
-    cancellations.appliedRevision(10);
-    cancellations.confirmed(12);
-    cancellations.confirmed(11);
-    cancellations.confirmed(9);
+    cancellations.revisionApplied(10);
+    cancellations.cancellationConfirmed(12);
+    cancellations.cancellationConfirmed(11);
+    cancellations.cancellationConfirmed(9);
     assertEquals(3, cancellations.confirmedCount());
     assertEquals(2, cancellations.unappliedCount());
-    cancellations.appliedRevision(11);
+    cancellations.revisionApplied(11);
     assertEquals(1, cancellations.unappliedCount());
-    cancellations.appliedRevision(12);
+    cancellations.revisionApplied(12);
     assertEquals(0, cancellations.unappliedCount());
   }
 
   @Test
   void countOfUnappliedCancellationsIsBounded() {
     for (int i = 0; i < 20_000; i++) {
-      cancellations.confirmed(i);
+      cancellations.cancellationConfirmed(i);
     }
     assertEquals(20_000, cancellations.confirmedCount());
     assertEquals(10_000, cancellations.unappliedCount());
@@ -35,8 +35,8 @@
 
   @Test
   void noticeIsRememberedByJob() {
-    cancellations.heard("job-1");
-    assertTrue(cancellations.wasHeard("job-1"));
-    assertFalse(cancellations.wasHeard("job-2"));
+    cancellations.noticeReceived("job-1");
+    assertTrue(cancellations.hasNotice("job-1"));
+    assertFalse(cancellations.hasNotice("job-2"));
   }
 }
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -32,7 +32,7 @@
   @Test
   void nothingIsPlacedOfAJobThatAnotherControllerSaysIsCancelled() {
     fixture.reconcile();
-    fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
+    fixture.context.cancellations().noticeReceived(ShardLeaderFixture.JOB);
     assertEquals(0, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
     assertEquals(0, fixture.context.metrics().placed());
   }
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -59,30 +59,30 @@
 
   @Test
   void aCancellationNoticeOfAnotherControllerRefusesStarts() {
-    fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
+    fixture.context.cancellations().noticeReceived(ShardLeaderFixture.JOB);
     assertEquals(StartRefusal.JOB_CANCELLED, policy.startRefusal(range));
     assertTrue(policy.mustStop(range));
   }
 
   @Test
   void aCancellationNoticeCountsForARangeHoweverManyOthersFollow() {
-    fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
+    fixture.context.cancellations().noticeReceived(ShardLeaderFixture.JOB);
     fixture.shard.tell(new ShardLeader.JobCancelled(ShardLeaderFixture.JOB));
     fixture.network.runFor(1);
     for (int i = 0; i < 30_000; i++) {
-      fixture.context.cancellations().heard("job-" + (100_000 + i));
+      fixture.context.cancellations().noticeReceived("job-" + (100_000 + i));
     }
     assertFalse(
-        fixture.context.cancellations().wasHeard(ShardLeaderFixture.JOB), "forgotten by itself");
+        fixture.context.cancellations().hasNotice(ShardLeaderFixture.JOB), "forgotten by itself");
     assertEquals(StartRefusal.JOB_CANCELLED, policy.startRefusal(range));
     assertTrue(policy.mustStop(range));
   }
 
   @Test
   void aCancellationNoticeForAnUnknownJobIsOnlyCounted() {
-    fixture.context.cancellations().heard("job-999999");
+    fixture.context.cancellations().noticeReceived("job-999999");
     assertNull(policy.startRefusal(range));
-    assertEquals(1, fixture.context.cancellations().heardCount());
+    assertEquals(1, fixture.context.cancellations().receivedNoticeCount());
   }
 
   @Test
