--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -48,20 +48,20 @@
   private final LedShards ledShards;
   private final LeadershipChanges leadershipChanges;
   private final String ownLabel;
-  private final String boot;
+  private final String bootId;
   private final long leaseMs;
   private State state = State.REGISTERING;
   private long leaseId;
 
   /**
-   * @param boot distinguishes this process from earlier ones that had the same label
+   * @param bootId distinguishes this process from earlier ones that had the same label
    */
   ControllerLease(
       Reactor reactor,
       KeyValueClient store,
       StateCache stateCache,
       Settings settings,
-      String boot,
+      String bootId,
       LeadershipFence fence,
       LedShards ledShards,
       LeadershipChanges leadershipChanges) {
@@ -72,7 +72,7 @@
     this.ledShards = ledShards;
     this.leadershipChanges = leadershipChanges;
     this.ownLabel = settings.label();
-    this.boot = boot;
+    this.bootId = bootId;
     this.leaseMs = settings.stateLeaseMs();
   }
 
@@ -126,7 +126,7 @@
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(member, stateCache.version(member)));
-    changes.add(StateChanges.put(member, new MemberRecord(boot), newLeaseId));
+    changes.add(StateChanges.put(member, new MemberRecord(bootId), newLeaseId));
     // Another controller may have acquired one of these shards since the lease expired. It waits
     // until the workers' leases have run out, counted from its acquisition, and this controller
     // would renew these leases if it acted again under the old epoch. Therefore the registration
--- a/src/main/java/org/fieldtrestle/leadership/Membership.java
+++ b/src/main/java/org/fieldtrestle/leadership/Membership.java
@@ -38,14 +38,14 @@
   private final ShardFailover failover;
 
   /**
-   * @param boot distinguishes this process from earlier ones that had the same label
+   * @param bootId distinguishes this process from earlier ones that had the same label
    */
   public Membership(
       Reactor reactor,
       KeyValueClient store,
       StateCache stateCache,
       Settings settings,
-      String boot) {
+      String bootId) {
     this.reactor = reactor;
     this.stateCache = stateCache;
     this.ownLabel = settings.label();
@@ -56,7 +56,7 @@
         new LeadershipChanges(reactor, store, stateCache, settings, fence, ledShards);
     this.controllerLease =
         new ControllerLease(
-            reactor, store, stateCache, settings, boot, fence, ledShards, leadershipChanges);
+            reactor, store, stateCache, settings, bootId, fence, ledShards, leadershipChanges);
     this.failover =
         new ShardFailover(reactor, stateCache, settings, fence, ledShards, leadershipChanges);
   }
--- a/src/main/java/org/fieldtrestle/state/MemberRecord.java
+++ b/src/main/java/org/fieldtrestle/state/MemberRecord.java
@@ -3,7 +3,7 @@
 /**
  * A running controller; the record is kept under its lease.
  *
- * @param boot an id of this start of the process, so that a restarted controller differs from one
+ * @param bootId an id of this start of the process, so that a restarted controller differs from one
  *     that runs on
  */
-public record MemberRecord(String boot) {}
+public record MemberRecord(String bootId) {}
--- a/src/main/java/org/fieldtrestle/state/RecordCodec.java
+++ b/src/main/java/org/fieldtrestle/state/RecordCodec.java
@@ -197,7 +197,7 @@
 
   /** Writes a running controller. */
   public static JsonNode encode(MemberRecord member) {
-    return form(FORM).put("boot", member.boot());
+    return form(FORM).put("boot", member.bootId());
   }
 
   /**
