--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -84,11 +84,11 @@
   void register() {
     state = State.REGISTERING;
     long sentAtMs = reactor.now();
-    store.grant(
+    store.requestLease(
         leaseMs,
         granted -> {
           if (granted instanceof LeaseGrant.Granted grant) {
-            registerUnder(grant.lease(), sentAtMs);
+            registerUnder(grant.leaseId(), sentAtMs);
           } else {
             retryLater();
           }
@@ -102,7 +102,7 @@
     }
     long sentAtMs = reactor.now();
     long renewedLeaseId = leaseId;
-    store.renew(
+    store.renewLease(
         renewedLeaseId,
         renewal -> {
           if (renewedLeaseId == leaseId && state == State.REGISTERED) {
@@ -112,9 +112,9 @@
   }
 
   private void renewalAnswered(LeaseRenewal renewal, long sentAtMs) {
-    if (renewal == LeaseRenewal.KEPT) {
+    if (renewal == LeaseRenewal.RENEWED) {
       fence.leaseRenewed(sentAtMs);
-    } else if (renewal == LeaseRenewal.ENDED) {
+    } else if (renewal == LeaseRenewal.EXPIRED) {
       LOG.atWarn().addKeyValue("lease", leaseId).log("lease expired");
       fence.leaseExpired();
       register();
--- a/src/main/java/org/fieldtrestle/state/ActiveJob.java
+++ b/src/main/java/org/fieldtrestle/state/ActiveJob.java
@@ -62,7 +62,7 @@
   }
 
   /** Forgets the job's record, but keeps the ranges that it named. */
-  void hideJob() {
+  void forgetJobRecord() {
     job = null;
   }
 
--- a/src/main/java/org/fieldtrestle/state/CachedRecords.java
+++ b/src/main/java/org/fieldtrestle/state/CachedRecords.java
@@ -18,7 +18,7 @@
 import org.fieldtrestle.state.StateKey.RangeKey;
 import org.fieldtrestle.state.StateKey.ShardKey;
 
-/** The records that a {@link StateCache} holds, each kind by its key. */
+/** The records that a {@link StateCache} holds, by kind and key. */
 final class CachedRecords {
   private final Consumer<StateKey> machineListener;
   private final Map<String, ActiveJob> jobs = new HashMap<>();
@@ -29,13 +29,13 @@
   private final Map<String, Versioned<QuotaRecord>> quotas = new HashMap<>();
 
   /**
-   * @param machineListener is called with the key of every machine that has changed, come or gone
+   * @param machineListener called with the key of every machine that was added, changed or removed
    */
   CachedRecords(Consumer<StateKey> machineListener) {
     this.machineListener = machineListener;
   }
 
-  /** The job, or null where no record of the job itself is known. */
+  /** Returns the job; {@code null} if the job's own record is not known. */
   ActiveJob job(String id) {
     ActiveJob job = jobs.get(id);
     return job == null || job.job() == null ? null : job;
@@ -77,8 +77,8 @@
   List<String> shardsLedBy(String controller) {
     List<String> led = new ArrayList<>();
     shards.forEach(
-        (shard, known) -> {
-          if (known.record().leader().equals(controller)) {
+        (shard, current) -> {
+          if (current.record().leader().equals(controller)) {
             led.add(shard);
           }
         });
@@ -94,9 +94,9 @@
   }
 
   /**
-   * Reads a value and puts it in place of what was known of its key.
+   * Decodes a value and replaces the record of its key.
    *
-   * @throws UnreadableRecordException if the value cannot be used; nothing has changed then
+   * @throws UnreadableRecordException if the value cannot be used; the previous record is unchanged
    */
   void put(StateKey key, JsonNode value, long version) throws UnreadableRecordException {
     if (key instanceof JobKey k) {
@@ -122,18 +122,20 @@
     return jobs.computeIfAbsent(id, key -> new ActiveJob());
   }
 
-  /** Replaces a part of an inventory, and reports each machine that is not as it was. */
-  private void putInventory(InventoryKey key, Map<String, MachineRecord> now) {
-    Map<String, MachineRecord> before = inventories.getOrDefault(key, Map.of());
-    inventories.put(key, now);
-    before.forEach(
+  /**
+   * Replaces a part of an inventory, and reports each machine that was added, changed or removed.
+   */
+  private void putInventory(InventoryKey key, Map<String, MachineRecord> next) {
+    Map<String, MachineRecord> previous = inventories.getOrDefault(key, Map.of());
+    inventories.put(key, next);
+    previous.forEach(
         (id, machine) -> {
-          if (!now.containsKey(id) && machine.equals(machines.get(id))) {
+          if (!next.containsKey(id) && machine.equals(machines.get(id))) {
             machines.remove(id);
             machineListener.accept(new MachineKey(id));
           }
         });
-    now.forEach(
+    next.forEach(
         (id, machine) -> {
           if (!machine.equals(machines.put(id, machine))) {
             machineListener.accept(new MachineKey(id));
@@ -142,34 +144,34 @@
   }
 
   /**
-   * Forgets what was known of a key whose value cannot be read. What would be lost with it is kept:
-   * tasks may run on the machines of an inventory, and ranges that only their job's record names
+   * Removes the record of a key whose value cannot be read. Machines of an inventory are kept,
+   * because tasks may run on them. Ranges that only the job's record names are kept, because they
    * are not done.
    */
-  void hide(StateKey key) {
+  void markUnreadable(StateKey key) {
     if (key instanceof JobKey k) {
       ActiveJob job = jobs.get(k.job());
       if (job != null) {
-        job.hideJob();
+        job.forgetJobRecord();
       }
     } else if (!(key instanceof InventoryKey)) {
       remove(key);
     }
   }
 
-  /** Forgets a key that has been deleted. */
+  /** Removes the record of a key that has been deleted. */
   void remove(StateKey key) {
     if (key instanceof JobKey k) {
       ActiveJob job = jobs.get(k.job());
       if (job != null) {
         job.removeJob();
-        dropIfEmpty(k.job(), job);
+        removeIfEmpty(k.job(), job);
       }
     } else if (key instanceof RangeKey k) {
       ActiveJob job = jobs.get(k.job());
       if (job != null) {
         job.removeRange(k.index());
-        dropIfEmpty(k.job(), job);
+        removeIfEmpty(k.job(), job);
       }
     } else if (key instanceof InventoryKey k) {
       putInventory(k, Map.of());
@@ -183,7 +185,7 @@
     }
   }
 
-  private void dropIfEmpty(String id, ActiveJob job) {
+  private void removeIfEmpty(String id, ActiveJob job) {
     if (job.isEmpty()) {
       jobs.remove(id);
     }
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -11,27 +11,34 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * A client of the key-value store that keeps to this controller's part of the store's rate limits.
- * Every result says whether the request was executed, was not, or may be at any time. Called on the
- * event loop's thread; so are the callbacks, never before the call has returned unless stated.
+ * A client of the key-value store that stays within this controller's share of the store's rate
+ * limits. Every result says whether the request was executed, was not executed, or may yet be
+ * executed at any time. All methods must be called on the event loop's thread. Callbacks run on the
+ * same thread, and not before the call has returned unless stated otherwise.
  */
 public final class KeyValueClient {
-  /** The most entries that the store lists at once. */
+  /** The maximum number of entries in one page of a listing. */
   public static final int MAX_PAGE = 1000;
 
-  /** Share of a user's patience within which a request has to be over, as a question needs two. */
+  /**
+   * Timeout of a request as a share of the time for which a user waits for an answer. A request
+   * must end before that time, because answering a query takes two requests.
+   */
   private static final double TIMEOUT_SHARE = 0.75;
 
-  /** A page of keys may take this many times as long as other requests. */
-  private static final int LIST_TIMEOUTS = 2;
+  /** Reading a page of keys may take this many times as long as another request. */
+  private static final int LIST_TIMEOUT_FACTOR = 2;
 
-  /** Share of this controller's part of the requests that is used, as clocks and counts differ. */
+  /**
+   * Share of its allowed requests that this controller uses. The rest is a margin, because the
+   * clocks and counts of the controllers and the store differ.
+   */
   private static final double REQUESTS_USED_SHARE = 0.9;
 
-  /** Share of this controller's part of the changes that is used. */
+  /** Share of its allowed changes of keys that this controller uses. */
   private static final double CHANGES_USED_SHARE = 0.95;
 
-  private static final int MAX_LATENCY_MS = 60_000;
+  private static final int MAX_RECORDED_LATENCY_MS = 60_000;
   private static final int LATENCY_DIGITS = 2;
   private static final int STATUS_OK = 200;
   private static final int STATUS_NOT_FOUND = 404;
@@ -46,10 +53,10 @@
   private final String address;
   private final long timeoutMs;
   private final RequestQueue queue;
-  private final Histogram latency = new Histogram(MAX_LATENCY_MS, LATENCY_DIGITS);
-  private long unavailableSince = AVAILABLE;
+  private final Histogram latency = new Histogram(MAX_RECORDED_LATENCY_MS, LATENCY_DIGITS);
+  private long unavailableSinceMs = AVAILABLE;
 
-  /** Creates a client of the store at the address in the settings; it connects when needed. */
+  /** Creates a client of the store at the address in the settings; it connects on demand. */
   public KeyValueClient(Reactor reactor, Http.Caller caller, Settings settings) {
     this.reactor = reactor;
     this.caller = caller;
@@ -62,42 +69,45 @@
             settings.share(settings.state().writeRps()) * CHANGES_USED_SHARE);
   }
 
-  /** For how long the store has answered nothing, in ms; 0 while it does answer. */
+  /** Returns for how long the store has been unavailable, in milliseconds; 0 while it answers. */
   public long unavailableForMs() {
-    return unavailableSince == AVAILABLE ? 0 : reactor.now() - unavailableSince;
+    return unavailableSinceMs == AVAILABLE ? 0 : reactor.now() - unavailableSinceMs;
   }
 
-  /** Latencies in ms of all requests but pages and watches. */
+  /** Returns the latencies, in milliseconds, of all requests except listings and watches. */
   public Histogram latency() {
     return latency;
   }
 
-  /** Whether so many writes wait that new work should be held back. */
+  /** Returns whether so many writes are waiting that new work should be held back. */
   public boolean isCongested() {
     return queue.isCongested();
   }
 
   /**
-   * Carries out a transaction that changes keys, once the limits allow it. Where too many wait
-   * already, it is refused with status 429.
+   * Sends a transaction that changes keys, once the rate limits allow it. If too many writes are
+   * waiting already, the transaction is refused with status 429.
    */
   public void commit(Transaction transaction, Consumer<CommitResult> done) {
-    if (!queue.write(transaction.changes().size(), () -> send(transaction, done))) {
+    if (!queue.enqueueWrite(transaction.changes().size(), () -> send(transaction, done))) {
       reactor.execute(() -> done.accept(new CommitResult.Refused(STATUS_TOO_MANY_REQUESTS)));
     }
   }
 
-  /** Like {@link #commit}, before all writes that wait: for changes of membership alone. */
+  /**
+   * Like {@link #commit}, but ahead of all waiting writes and never refused for their number. Only
+   * for changes of membership and leadership.
+   */
   public void commitWithPriority(Transaction transaction, Consumer<CommitResult> done) {
-    queue.writeFirst(transaction.changes().size(), () -> send(transaction, done));
+    queue.enqueueWriteFirst(transaction.changes().size(), () -> send(transaction, done));
   }
 
   /**
-   * Compares keys without changing any. It is sent at once, as answers to users depend on it; its
-   * caller bounds how often that is.
+   * Compares versions of keys without changing any key. The request is sent at once, because
+   * answers to users depend on it; the caller must limit how often this happens.
    */
   public void compare(List<KeyValueProtocol.Condition> conditions, Consumer<CommitResult> done) {
-    queue.sentDirectly();
+    queue.requestSentDirectly();
     send(new Transaction(conditions, List.of()), done);
   }
 
@@ -134,39 +144,39 @@
   }
 
   /**
-   * Runs something that sends one read, once the limits allow it. Reads and writes take turns.
+   * Runs an action that sends one read, once the rate limits allow it. Reads and writes take turns.
    *
-   * @param send may be run before this returns
-   * @return false if too many wait already, so that it is never run
+   * @param send the action; it may run before this method returns
+   * @return {@code false} if too many reads are waiting already; the action never runs then
    */
   public boolean enqueueRead(Runnable send) {
-    return queue.read(send);
+    return queue.enqueueRead(send);
   }
 
   /**
-   * Reads a page of keys without waiting for the limits.
+   * Reads a page of keys without waiting for the rate limits.
    *
-   * @param prefix of all keys that are listed
-   * @param after the key before the first one that is listed; empty to begin with the first
+   * @param prefix the common prefix of the listed keys
+   * @param after the listing begins after this key; empty to begin with the first key
    */
   public void listUnthrottled(String prefix, String after, Consumer<ListResult> done) {
-    queue.sentDirectly();
+    queue.requestSentDirectly();
     list(prefix, after, MAX_PAGE, done);
   }
 
   /**
-   * Reads a page of keys; to be called in {@link #enqueueRead}.
+   * Reads a page of keys; to be called by an action that is passed to {@link #enqueueRead}.
    *
-   * @param prefix of all keys that are listed
-   * @param after the key before the first one that is listed; empty to begin with the first
-   * @param limit how many are listed at the most
+   * @param prefix the common prefix of the listed keys
+   * @param after the listing begins after this key; empty to begin with the first key
+   * @param limit the maximum number of listed entries
    */
   public void list(String prefix, String after, int limit, Consumer<ListResult> done) {
     call(
         "GET",
         KeyValueProtocol.listPath(prefix, after, limit),
         Http.Response.EMPTY,
-        timeoutMs * LIST_TIMEOUTS,
+        timeoutMs * LIST_TIMEOUT_FACTOR,
         outcome -> done.accept(listResult(outcome)));
   }
 
@@ -185,14 +195,14 @@
   }
 
   /**
-   * Waits for changes.
+   * Waits for changes of keys.
    *
-   * @param prefix of all keys that are watched
-   * @param after the revision after which changes are asked for
-   * @param waitMs how long the store waits for the first change
+   * @param prefix the common prefix of the watched keys
+   * @param after only changes after this revision are returned
+   * @param waitMs how long the store waits for the first change, in milliseconds
    */
   public void watch(String prefix, long after, long waitMs, Consumer<WatchResult> done) {
-    queue.sentDirectly();
+    queue.requestSentDirectly();
     call(
         "GET",
         KeyValueProtocol.watchPath(prefix, after, waitMs),
@@ -216,9 +226,9 @@
     }
   }
 
-  /** Takes a lease of a duration in ms. */
-  public void grant(long ttlMs, Consumer<LeaseGrant> done) {
-    queue.sentDirectly();
+  /** Requests a new lease with the given time to live in milliseconds. */
+  public void requestLease(long ttlMs, Consumer<LeaseGrant> done) {
+    queue.requestSentDirectly();
     call(
         "POST",
         KeyValueProtocol.LEASES_PATH,
@@ -242,9 +252,9 @@
     }
   }
 
-  /** Gives a lease its whole time again. */
-  public void renew(long lease, Consumer<LeaseRenewal> done) {
-    queue.sentDirectly();
+  /** Renews a lease, so that its full time to live starts again. */
+  public void renewLease(long lease, Consumer<LeaseRenewal> done) {
+    queue.requestSentDirectly();
     call(
         "POST",
         KeyValueProtocol.renewPath(lease),
@@ -256,36 +266,37 @@
   private static LeaseRenewal leaseRenewal(Http.Outcome outcome) {
     int status = outcome instanceof Http.Answer answer ? answer.status() : NO_STATUS;
     return switch (status) {
-      case STATUS_OK -> LeaseRenewal.KEPT;
-      case STATUS_NOT_FOUND -> LeaseRenewal.ENDED;
-      default -> LeaseRenewal.NO_ANSWER;
+      case STATUS_OK -> LeaseRenewal.RENEWED;
+      case STATUS_NOT_FOUND -> LeaseRenewal.EXPIRED;
+      default -> LeaseRenewal.UNKNOWN;
     };
   }
 
   private void call(
-      String method, String path, byte[] body, long withinMs, Consumer<Http.Outcome> done) {
-    long sentAt = reactor.now();
+      String method, String path, byte[] body, long requestTimeoutMs, Consumer<Http.Outcome> done) {
+    long sentAtMs = reactor.now();
     caller.call(
         address,
         method,
         path,
         body,
-        withinMs,
+        requestTimeoutMs,
         outcome -> {
-          noteAvailability(outcome);
-          if (withinMs == timeoutMs) {
-            latency.recordValue(Math.min(MAX_LATENCY_MS, Math.max(0, reactor.now() - sentAt)));
+          recordAvailability(outcome);
+          if (requestTimeoutMs == timeoutMs) {
+            latency.recordValue(
+                Math.min(MAX_RECORDED_LATENCY_MS, Math.max(0, reactor.now() - sentAtMs)));
           }
           done.accept(outcome);
         });
   }
 
-  private void noteAvailability(Http.Outcome outcome) {
-    // 429 is an answer too: the store is there, and is asked too much.
+  private void recordAvailability(Http.Outcome outcome) {
+    // Status 429 is an answer too: the store is available, but receives too many requests.
     if (outcome instanceof Http.Answer answer && answer.status() < FIRST_SERVER_ERROR) {
-      unavailableSince = AVAILABLE;
-    } else if (unavailableSince == AVAILABLE) {
-      unavailableSince = reactor.now();
+      unavailableSinceMs = AVAILABLE;
+    } else if (unavailableSinceMs == AVAILABLE) {
+      unavailableSinceMs = reactor.now();
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/state/LeaseGrant.java
+++ b/src/main/java/org/fieldtrestle/state/LeaseGrant.java
@@ -4,7 +4,7 @@
 public sealed interface LeaseGrant {
 
   /** The lease was granted under this id. */
-  record Granted(long lease) implements LeaseGrant {}
+  record Granted(long leaseId) implements LeaseGrant {}
 
   /** The store answered with another status than 200. */
   record Refused(int status) implements LeaseGrant {}
--- a/src/main/java/org/fieldtrestle/state/RequestQueue.java
+++ b/src/main/java/org/fieldtrestle/state/RequestQueue.java
@@ -4,85 +4,86 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * Requests to the key-value store that wait for this controller's part of its rate limits.
+ * Delays requests to the key-value store until this controller's share of the store's rate limits
+ * allows them.
  *
- * <p>Reads and writes wait in queues of their own and take turns, so that neither can keep the
- * other away: writes may wait for minutes after many machines were lost, while users ask about
- * their jobs every few seconds. Both queues are bounded; what does not fit is refused at once.
+ * <p>Reads and writes wait in separate queues and take turns, so that neither can block the other:
+ * writes may wait for minutes after many machines have been lost, while users query their jobs
+ * every few seconds. Both queues are bounded; a request that does not fit is refused at once.
  */
 final class RequestQueue {
   /** How many writes may wait. */
-  private static final int MAX_WRITES = 64;
+  private static final int MAX_WAITING_WRITES = 64;
 
-  /** How many reads may wait: some ten seconds' worth where few requests are allowed. */
-  private static final int MAX_READS = 256;
+  /** How many reads may wait: about ten seconds' worth if only few requests are allowed. */
+  private static final int MAX_WAITING_READS = 256;
 
-  /** Share of this controller's requests that reads, which users' questions cause, may take. */
+  /** Share of this controller's requests that may be reads; users' queries cause these. */
   private static final double READ_SHARE = 0.55;
 
-  private static final long NOTHING_WAITS = Long.MAX_VALUE;
+  private static final long QUEUE_EMPTY = Long.MAX_VALUE;
 
   private record Request(int changes, Runnable send) {}
 
   private final Reactor reactor;
-  private final TokenBucket requests;
-  private final TokenBucket changes;
-  private final TokenBucket reads;
+  private final TokenBucket requestTokens;
+  private final TokenBucket changeTokens;
+  private final TokenBucket readTokens;
   private final ArrayDeque<Request> waitingWrites = new ArrayDeque<>();
   private final ArrayDeque<Request> waitingReads = new ArrayDeque<>();
   private boolean readsNext;
-  private Reactor.Timer nextDrain;
+  private Reactor.Timer nextDrainTimer;
 
   /**
-   * @param requestsPerSecond what this controller may send
-   * @param changesPerSecond how many keys it may change
+   * @param requestsPerSecond how many requests this controller may send
+   * @param changesPerSecond how many keys this controller may change
    */
   RequestQueue(Reactor reactor, double requestsPerSecond, double changesPerSecond) {
     this.reactor = reactor;
-    this.requests = new TokenBucket(requestsPerSecond);
-    this.reads = new TokenBucket(requestsPerSecond * READ_SHARE);
-    this.changes = new TokenBucket(changesPerSecond);
+    this.requestTokens = new TokenBucket(requestsPerSecond);
+    this.readTokens = new TokenBucket(requestsPerSecond * READ_SHARE);
+    this.changeTokens = new TokenBucket(changesPerSecond);
   }
 
-  /** Whether so many writes wait that new work should be held back. */
+  /** Returns whether so many writes are waiting that new work should be held back. */
   boolean isCongested() {
-    return waitingWrites.size() >= MAX_WRITES / 2;
+    return waitingWrites.size() >= MAX_WAITING_WRITES / 2;
   }
 
-  /** Counts a request that is sent without waiting. */
-  void sentDirectly() {
-    requests.take(reactor.now(), 1);
+  /** Called when a request is sent without waiting in a queue; counts it against the rate limit. */
+  void requestSentDirectly() {
+    requestTokens.take(reactor.now(), 1);
   }
 
   /**
-   * Sends a write once the limits allow it.
+   * Sends a write once the rate limits allow it.
    *
-   * @return false if the queue is full, so that it is never sent
+   * @return {@code false} if the queue is full; the write is never sent then
    */
-  boolean write(int changedKeys, Runnable send) {
-    return enqueue(waitingWrites, MAX_WRITES, new Request(changedKeys, send));
+  boolean enqueueWrite(int changedKeys, Runnable send) {
+    return enqueue(waitingWrites, MAX_WAITING_WRITES, new Request(changedKeys, send));
   }
 
   /**
-   * Sends a write before all others that wait, also where the queue is full: for the few on which
-   * everything else depends.
+   * Sends a write ahead of all waiting ones, even if the queue is full. Only for the few writes on
+   * which everything else depends.
    */
-  void writeFirst(int changedKeys, Runnable send) {
+  void enqueueWriteFirst(int changedKeys, Runnable send) {
     waitingWrites.addFirst(new Request(changedKeys, send));
     drain();
   }
 
   /**
-   * Sends a read once the limits allow it.
+   * Sends a read once the rate limits allow it.
    *
-   * @return false if the queue is full, so that it is never sent
+   * @return {@code false} if the queue is full; the read is never sent then
    */
-  boolean read(Runnable send) {
-    return enqueue(waitingReads, MAX_READS, new Request(0, send));
+  boolean enqueueRead(Runnable send) {
+    return enqueue(waitingReads, MAX_WAITING_READS, new Request(0, send));
   }
 
-  private boolean enqueue(ArrayDeque<Request> queue, int most, Request request) {
-    if (queue.size() >= most) {
+  private boolean enqueue(ArrayDeque<Request> queue, int maxSize, Request request) {
+    if (queue.size() >= maxSize) {
       return false;
     }
     queue.addLast(request);
@@ -91,22 +92,25 @@
   }
 
   private void drain() {
-    if (nextDrain != null) {
-      nextDrain.cancel();
-      nextDrain = null;
+    if (nextDrainTimer != null) {
+      nextDrainTimer.cancel();
+      nextDrainTimer = null;
     }
     long waitMs = sendUntilLimited();
     if (waitMs > 0) {
-      nextDrain = reactor.schedule(waitMs, this::drain);
+      nextDrainTimer = reactor.schedule(waitMs, this::drain);
     }
   }
 
-  /** Sends what the limits allow now; returns the wait of the next one in ms, 0 if none waits. */
+  /**
+   * Sends the requests that the rate limits allow now. Returns the time until the next request may
+   * be sent, in milliseconds; 0 if no request is waiting.
+   */
   private long sendUntilLimited() {
     while (true) {
       long readWaitMs = readWaitMs();
       long writeWaitMs = writeWaitMs();
-      if (readWaitMs == NOTHING_WAITS && writeWaitMs == NOTHING_WAITS) {
+      if (readWaitMs == QUEUE_EMPTY && writeWaitMs == QUEUE_EMPTY) {
         return 0;
       }
       if (readWaitMs > 0 && writeWaitMs > 0) {
@@ -122,37 +126,38 @@
 
   private long readWaitMs() {
     if (waitingReads.isEmpty()) {
-      return NOTHING_WAITS;
+      return QUEUE_EMPTY;
     }
     long now = reactor.now();
-    return Math.max(requests.waitMs(now, 1), reads.waitMs(now, 1));
+    return Math.max(requestTokens.waitMs(now, 1), readTokens.waitMs(now, 1));
   }
 
   private long writeWaitMs() {
     if (waitingWrites.isEmpty()) {
-      return NOTHING_WAITS;
+      return QUEUE_EMPTY;
     }
     long now = reactor.now();
     return Math.max(
-        requests.waitMs(now, 1), changes.waitMs(now, waitingWrites.peekFirst().changes()));
+        requestTokens.waitMs(now, 1),
+        changeTokens.waitMs(now, waitingWrites.peekFirst().changes()));
   }
 
   private void sendRead() {
     Request request = waitingReads.removeFirst();
-    reads.take(reactor.now(), 1);
+    readTokens.take(reactor.now(), 1);
     readsNext = false;
     send(request);
   }
 
   private void sendWrite() {
     Request request = waitingWrites.removeFirst();
-    changes.take(reactor.now(), request.changes());
+    changeTokens.take(reactor.now(), request.changes());
     readsNext = true;
     send(request);
   }
 
   private void send(Request request) {
-    requests.take(reactor.now(), 1);
+    requestTokens.take(reactor.now(), 1);
     request.send().run();
   }
 }
--- a/src/main/java/org/fieldtrestle/state/StateCache.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -21,34 +21,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the key-value store held at the applied revision, and this controller's own commits on top.
- * Listeners are called for every key that changes. All methods are called on the event loop's
- * thread; collections that are returned are live views and must not be changed.
+ * A copy of what the key-value store held at the applied revision, plus this controller's own later
+ * commits. Listeners are called for every key that changes. All methods must be called on the event
+ * loop's thread. The collections that are returned are live views and must not be modified.
  */
 public final class StateCache {
   private static final Logger LOG = LoggerFactory.getLogger(StateCache.class);
   private static final long NOT_LOADED = -1;
   private static final long ABSENT = 0;
 
-  /** A caller of {@link #awaitRevision}. */
-  private record Waiter(long revision, long deadline, Consumer<Boolean> done) {}
+  /** A pending call of {@link #awaitRevision}. */
+  private record Waiter(long revision, long deadlineMs, Consumer<Boolean> done) {}
 
   private final Reactor reactor;
   private final StoreFollower follower;
   private final CachedRecords records = new CachedRecords(this::notifyListeners);
   private final Map<String, Long> versions = new HashMap<>();
 
-  /** Revisions of deletions beyond the applied revision, so that older values are not put back. */
-  private final Map<String, Long> deletedAt = new HashMap<>();
+  /** Deletions newer than the applied revision; they keep older values from being put back. */
+  private final Map<String, Long> deletionRevisions = new HashMap<>();
 
-  private final Set<String> unreadable = new HashSet<>();
+  private final Set<String> unreadableKeys = new HashSet<>();
   private final List<Consumer<StateKey>> keyListeners = new ArrayList<>();
   private final List<Runnable> progressListeners = new ArrayList<>();
   private final List<Waiter> waiters = new ArrayList<>();
   private long appliedRevision = NOT_LOADED;
   private long freshAsOf = Long.MIN_VALUE;
 
-  /** Creates an empty cache; {@link #start} begins to fill it. */
+  /** Creates an empty cache; {@link #start} starts to fill it. */
   public StateCache(Reactor reactor, KeyValueClient store, Settings settings) {
     this.reactor = reactor;
     this.follower = new StoreFollower(reactor, store, this, settings);
@@ -59,74 +59,74 @@
     keyListeners.add(listener);
   }
 
-  /** Adds a listener that is called whenever the applied revision or its time has advanced. */
+  /** Adds a listener that is called when the applied revision or its time has advanced. */
   public void addProgressListener(Runnable listener) {
     progressListeners.add(listener);
   }
 
-  /** Begins to follow the store. */
+  /** Starts to follow the store. */
   public void start() {
     follower.start();
   }
 
-  /** Whether everything has been read once. */
+  /** Returns whether all live keys have been read at least once. */
   public boolean isReady() {
     return appliedRevision != NOT_LOADED;
   }
 
-  /** Every change up to this revision is known here; below 0 while nothing has been read. */
+  /** Returns the revision up to which all changes are applied; negative before the first load. */
   public long appliedRevision() {
     return appliedRevision;
   }
 
-  /** Time in ms on the reactor's clock: every change that was committed before it is known here. */
+  /** Returns the time on the reactor's clock, in ms, before which every commit is in the cache. */
   public long freshAsOf() {
     return freshAsOf;
   }
 
-  /** Least time between two readings of changes, in ms. */
+  /** Returns the minimum time between the starts of two watches, in milliseconds. */
   public long watchIntervalMs() {
     return follower.watchIntervalMs();
   }
 
-  /** An accepted job that has not ended; null where there is none, or its record is unreadable. */
+  /** Returns an accepted job that has not ended; {@code null} if absent or unreadable. */
   public ActiveJob job(String id) {
     return records.job(id);
   }
 
-  /** All active jobs, also those of which only records of ranges are left. */
+  /** Returns all active jobs, including those of which only task ranges are left. */
   public Collection<ActiveJob> jobs() {
     return records.jobs();
   }
 
-  /** All active jobs by id, also those of which only records of ranges are left. */
+  /** Returns all active jobs by id, including those of which only task ranges are left. */
   public Map<String, ActiveJob> jobsById() {
     return records.jobsById();
   }
 
-  /** The ranges of a job by index, also where only they are left of it. */
+  /** Returns the task ranges of a job by index, even if the job's own record is gone. */
   public NavigableMap<Integer, Versioned<RangeRecord>> rangesOf(String job) {
     return records.rangesOf(job);
   }
 
-  /** A task range, or null where there is none. */
+  /** Returns a task range; {@code null} if it does not exist. */
   public Versioned<RangeRecord> range(RangeKey key) {
     return rangesOf(key.job()).get(key.index());
   }
 
-  /** The machines of all inventories by name. */
+  /** Returns the machines of all inventories by name. */
   public Map<String, MachineRecord> machines() {
     return records.machines();
   }
 
-  /** The parts of all inventories, as they could last be read. */
+  /** Returns the parts of all inventories. A part that is unreadable now is as it was last read. */
   public Map<InventoryKey, Map<String, MachineRecord>> inventories() {
     return records.inventories();
   }
 
-  /** Whether a part of a shard's inventory cannot be read, so that machines may be missing. */
+  /** Returns whether part of a shard's inventory is unreadable; machines may be missing then. */
   public boolean isInventoryDamaged(String shard) {
-    for (String key : unreadable) {
+    for (String key : unreadableKeys) {
       if (StateKeys.parse(key) instanceof InventoryKey k && k.shard().equals(shard)) {
         return true;
       }
@@ -134,51 +134,52 @@
     return false;
   }
 
-  /** How many machines a shard has. */
+  /** Returns how many machines a shard has. */
   public int machineCountOf(String shard) {
     return records.machineCountOf(shard);
   }
 
-  /** Which controller leads a shard, or null where that is not known. */
+  /** Returns which controller leads a shard; {@code null} if that is not known. */
   public Versioned<ShardRecord> shard(String label) {
     return records.shards().get(label);
   }
 
-  /** All shards by name. */
+  /** Returns all shards by name. */
   public Map<String, Versioned<ShardRecord>> shards() {
     return records.shards();
   }
 
-  /** The shards that a controller leads. */
+  /** Returns the names of the shards that a controller leads. */
   public List<String> shardsLedBy(String controller) {
     return records.shardsLedBy(controller);
   }
 
-  /** The running controllers by label. */
+  /** Returns the running controllers by label. */
   public Map<String, Versioned<MemberRecord>> members() {
     return records.members();
   }
 
-  /** A team's quota shares, or null where there are none. */
+  /** Returns a team's quota shares; {@code null} if there are none. */
   public Versioned<QuotaRecord> quota(String team) {
     return records.quota(team);
   }
 
-  /** The version of a key; 0 where it does not exist. */
+  /** Returns the version of a key; 0 if the key does not exist. */
   public long version(String key) {
     return versions.getOrDefault(key, ABSENT);
   }
 
-  /** Whether the value of a key can be read; also true where the key does not exist. */
+  /** Returns whether the value of a key can be read; {@code true} if the key does not exist. */
   public boolean isReadable(String key) {
-    return !unreadable.contains(key);
+    return !unreadableKeys.contains(key);
   }
 
   /**
-   * Calls back once a revision has been applied, at once where it already is.
+   * Calls {@code done} once a revision has been applied. If it has been applied already, the call
+   * happens before this method returns.
    *
-   * @param timeoutMs how long to wait at the most
-   * @param done is given true, or false when the time ran out
+   * @param timeoutMs the maximum time to wait, in milliseconds
+   * @param done called with whether the revision was applied before the timeout
    */
   public void awaitRevision(long revision, long timeoutMs, Consumer<Boolean> done) {
     if (appliedRevision >= revision) {
@@ -190,25 +191,26 @@
   }
 
   private void expireWaiters() {
-    release(waiter -> waiter.deadline() <= reactor.now(), false);
+    completeWaiters(waiter -> waiter.deadlineMs() <= reactor.now(), false);
   }
 
-  private void release(Predicate<Waiter> which, boolean seen) {
-    List<Waiter> released = new ArrayList<>();
+  private void completeWaiters(Predicate<Waiter> condition, boolean applied) {
+    List<Waiter> completed = new ArrayList<>();
     for (Iterator<Waiter> remaining = waiters.iterator(); remaining.hasNext(); ) {
       Waiter waiter = remaining.next();
-      if (which.test(waiter)) {
+      if (condition.test(waiter)) {
         remaining.remove();
-        released.add(waiter);
+        completed.add(waiter);
       }
     }
-    released.forEach(waiter -> waiter.done().accept(seen));
+    completed.forEach(waiter -> waiter.done().accept(applied));
   }
 
   /**
-   * Applies the changes of this controller's own transaction without waiting for the watch. One
-   * that is answered after its revision was applied is left out: what it wrote may have been
-   * changed or deleted since, and applying it would bring deleted keys back for good.
+   * Applies the changes of this controller's own transaction without waiting for the watch. Ignores
+   * a transaction whose revision has already been applied when its answer arrives: the keys may
+   * have been changed or deleted since, and applying the changes would restore deleted keys
+   * permanently.
    */
   public void applyCommit(List<KeyValueProtocol.Change> changes, long revision) {
     if (revision <= appliedRevision) {
@@ -222,10 +224,11 @@
     }
   }
 
-  /** Applies one key as read, unless a later version of it is known. */
+  /** Applies one key as it was read, unless the cache already has this or a later version of it. */
   void apply(KeyValueProtocol.Entry entry) {
     String key = entry.key();
-    if (entry.version() <= version(key) || entry.version() <= deletedAt.getOrDefault(key, ABSENT)) {
+    if (entry.version() <= version(key)
+        || entry.version() <= deletionRevisions.getOrDefault(key, ABSENT)) {
       return;
     }
     StateKey parsed = StateKeys.parse(key);
@@ -239,9 +242,9 @@
 
   private void applyDeletion(String key, StateKey parsed, long revision) {
     versions.remove(key);
-    unreadable.remove(key);
+    unreadableKeys.remove(key);
     if (revision > appliedRevision) {
-      deletedAt.put(key, revision);
+      deletionRevisions.put(key, revision);
     }
     records.remove(parsed);
   }
@@ -250,46 +253,47 @@
     versions.put(key, entry.version());
     try {
       records.put(parsed, entry.value(), entry.version());
-      unreadable.remove(key);
+      unreadableKeys.remove(key);
     } catch (UnreadableRecordException e) {
-      // Contained: this key is left as it is in the store and counts as absent, all others go on.
-      if (unreadable.add(key)) {
+      // The value stays in the store, its key counts as absent here, and other keys are unaffected.
+      if (unreadableKeys.add(key)) {
         LOG.atError()
             .addKeyValue("key", key)
             .addKeyValue("reason", e.getMessage())
             .log("unreadable value at state key");
       }
-      records.hide(parsed);
+      records.markUnreadable(parsed);
     }
   }
 
-  /** Deletes all keys that a reload has not seen and that are not newer than its first revision. */
-  void removeUnseen(Set<String> seen, long revision) {
+  /** Removes the keys that a reload has not listed, unless they are newer than its first page. */
+  void removeUnlisted(Set<String> listedKeys, long revision) {
     for (String key : List.copyOf(versions.keySet())) {
-      if (!seen.contains(key) && version(key) <= revision) {
+      if (!listedKeys.contains(key) && version(key) <= revision) {
         apply(new KeyValueProtocol.Entry(key, null, revision));
       }
     }
   }
 
   /**
-   * Ends the application of all changes up to a revision, and with them of everything that was
-   * committed before a time. Only now may the state count as fresh.
+   * Called when all changes up to a revision have been applied, which include everything that was
+   * committed before the given time. The state may count as fresh only from now on.
    */
-  void advance(long revision, long asOf) {
-    logGap(revision, asOf);
-    freshAsOf = asOf;
+  void advance(long revision, long asOfMs) {
+    logGap(revision, asOfMs);
+    freshAsOf = asOfMs;
     appliedRevision = Math.max(appliedRevision, revision);
-    deletedAt.values().removeIf(deleted -> deleted <= appliedRevision);
-    release(waiter -> waiter.revision() <= appliedRevision, true);
+    deletionRevisions.values().removeIf(deleted -> deleted <= appliedRevision);
+    completeWaiters(waiter -> waiter.revision() <= appliedRevision, true);
     progressListeners.forEach(Runnable::run);
   }
 
   /**
-   * Logs the end of a pause in following, as after an outage: what was read, and how old it was.
+   * Logs the end of a period without reads, for example after an outage: which revisions were read,
+   * and how old the state had become.
    */
-  private void logGap(long revision, long asOf) {
-    long gapMs = asOf - freshAsOf;
+  private void logGap(long revision, long asOfMs) {
+    long gapMs = asOfMs - freshAsOf;
     if (freshAsOf != Long.MIN_VALUE && gapMs > follower.staleAfterMs()) {
       LOG.atInfo()
           .addKeyValue("fromRevision", appliedRevision)
--- a/src/main/java/org/fieldtrestle/state/StoreFollower.java
+++ b/src/main/java/org/fieldtrestle/state/StoreFollower.java
@@ -10,34 +10,40 @@
 
 /**
  * Keeps a {@link StateCache} up to date: reads all live keys page by page, then watches them, and
- * reads them again where the watch cannot go on.
+ * reads them all again if the watch cannot continue.
  */
 final class StoreFollower {
   private static final Logger LOG = LoggerFactory.getLogger(StoreFollower.class);
 
-  /** What opening a watch and reading its answer costs of a whole core, about. */
+  /** Approximate time in ms for which opening a watch and reading its answer occupy a full core. */
   private static final double WATCH_COST_MS = 0.5;
 
   /** Share of this controller's processor time that watches may take. */
   private static final double WATCH_CPU_SHARE = 0.05;
 
-  /** Reopened watches may take a quarter of the requests per second that are allowed. */
-  private static final double WATCH_REQUEST_MS = 4000;
+  /**
+   * The watch interval in ms if one request per second is allowed: watches may take a quarter of
+   * the requests.
+   */
+  private static final double WATCH_INTERVAL_MS_AT_ONE_RPS = 4000;
 
-  /** Watch intervals after which a failed request is repeated. */
+  /** A failed request is repeated after this many watch intervals. */
   private static final int RETRY_INTERVALS = 4;
 
-  /** Watch intervals after which a page that failed more than once is asked for again. */
-  private static final int LONG_RETRY_INTERVALS = 8;
+  /** A page that has failed more than once is requested again after this many watch intervals. */
+  private static final int REPEATED_RETRY_INTERVALS = 8;
 
-  /** Watches that fail in a row before everything is read again. */
+  /** After this many failed watches in a row, a stale cache is read again completely. */
   private static final int MAX_FAILED_WATCHES = 2;
 
-  /** Times a watch's wait after which the cache counts as stale. */
-  private static final int STALE_WAITS = 2;
+  /** The cache counts as stale if it is older than this many times the wait of a watch. */
+  private static final int STALE_AFTER_WATCH_WAITS = 2;
 
-  /** A watch waits for so much of the time for which a controller may act on one lease renewal. */
-  private static final int WATCHES_PER_LEASE = 6;
+  /**
+   * A watch waits for changes for the time for which a controller may act on one lease renewal,
+   * divided by this number.
+   */
+  private static final int WATCH_WAITS_PER_LEASE = 6;
 
   private final Reactor reactor;
   private final KeyValueClient store;
@@ -45,7 +51,7 @@
   private final long watchIntervalMs;
   private final long watchWaitMs;
   private boolean watching;
-  private long watchSentAt;
+  private long watchSentAtMs;
   private int failedWatches;
 
   StoreFollower(Reactor reactor, KeyValueClient store, StateCache cache, Settings settings) {
@@ -55,56 +61,57 @@
     this.watchIntervalMs =
         Math.round(
             Math.max(
-                WATCH_REQUEST_MS / settings.share(settings.state().rps()),
+                WATCH_INTERVAL_MS_AT_ONE_RPS / settings.share(settings.state().rps()),
                 WATCH_COST_MS / (settings.limits().cpuShare() * WATCH_CPU_SHARE)));
-    this.watchWaitMs = settings.stateLeaseMs() / WATCHES_PER_LEASE;
+    this.watchWaitMs = settings.stateLeaseMs() / WATCH_WAITS_PER_LEASE;
   }
 
-  /** Begins to follow, without end. */
+  /** Starts to follow the store; this never ends. */
   void start() {
     reload();
   }
 
-  /** Least time between the beginnings of two watches, in ms. */
+  /** Returns the minimum time between the starts of two watches, in milliseconds. */
   long watchIntervalMs() {
     return watchIntervalMs;
   }
 
-  /** Age in ms beyond which the cache counts as stale. */
+  /** Returns the age beyond which the cache counts as stale, in milliseconds. */
   long staleAfterMs() {
-    return STALE_WAITS * watchWaitMs;
+    return STALE_AFTER_WATCH_WAITS * watchWaitMs;
   }
 
   /**
-   * Reads everything, page by page. A page that fails is asked for again; the pages before it are
-   * kept, as what has changed since the first one comes by the watch that begins there.
+   * Reads all live keys, page by page. A page that fails is requested again. The pages before it
+   * are kept, because the following watch begins at the revision of the first page and delivers
+   * every change since then.
    */
   private final class Reload {
-    private final long startedAt = reactor.now();
-    private final Set<String> seen = new HashSet<>();
+    private final long startedAtMs = reactor.now();
+    private final Set<String> listedKeys = new HashSet<>();
     private String lastKey = "";
     private long firstRevision = -1;
     private long retryMs = watchIntervalMs * RETRY_INTERVALS;
 
     void nextPage() {
-      store.listUnthrottled(StateKeys.LIVE_PREFIX, lastKey, this::received);
+      store.listUnthrottled(StateKeys.LIVE_PREFIX, lastKey, this::pageReceived);
     }
 
-    private void received(ListResult result) {
+    private void pageReceived(ListResult result) {
       if (result instanceof ListResult.Listed listed) {
-        take(listed.page());
+        applyPage(listed.page());
       } else {
         reactor.schedule(retryMs, this::nextPage);
-        retryMs = watchIntervalMs * LONG_RETRY_INTERVALS;
+        retryMs = watchIntervalMs * REPEATED_RETRY_INTERVALS;
       }
     }
 
-    private void take(KeyValueProtocol.Listing page) {
+    private void applyPage(KeyValueProtocol.Listing page) {
       if (firstRevision < 0) {
         firstRevision = page.revision();
       }
       for (KeyValueProtocol.Entry entry : page.entries()) {
-        seen.add(entry.key());
+        listedKeys.add(entry.key());
         cache.apply(entry);
         lastKey = entry.key();
       }
@@ -116,8 +123,8 @@
     }
 
     private void finish() {
-      cache.removeUnseen(seen, firstRevision);
-      cache.advance(firstRevision, startedAt);
+      cache.removeUnlisted(listedKeys, firstRevision);
+      cache.advance(firstRevision, startedAtMs);
       LOG.atInfo()
           .addKeyValue("revision", firstRevision)
           .addKeyValue("jobs", cache.jobs().size())
@@ -137,14 +144,14 @@
       return;
     }
     watching = true;
-    watchSentAt = reactor.now();
+    watchSentAtMs = reactor.now();
     store.watch(StateKeys.LIVE_PREFIX, cache.appliedRevision(), watchWaitMs, this::watchEnded);
   }
 
   private void watchEnded(WatchResult result) {
     watching = false;
     if (result instanceof WatchResult.Changes changes) {
-      take(changes.events());
+      applyEvents(changes.events());
     } else if (result instanceof WatchResult.TooOld) {
       LOG.atInfo().addKeyValue("fromRevision", cache.appliedRevision()).log("watch too old");
       reload();
@@ -155,11 +162,11 @@
     }
   }
 
-  private void take(KeyValueProtocol.Events events) {
+  private void applyEvents(KeyValueProtocol.Events events) {
     failedWatches = 0;
     events.events().forEach(cache::apply);
-    cache.advance(events.revision(), watchSentAt);
-    long pauseMs = Math.max(0, watchSentAt + watchIntervalMs - reactor.now());
+    cache.advance(events.revision(), watchSentAtMs);
+    long pauseMs = Math.max(0, watchSentAtMs + watchIntervalMs - reactor.now());
     reactor.schedule(pauseMs, this::watch);
   }
 
@@ -168,8 +175,9 @@
   }
 
   /**
-   * An answer holds all changes since the watch's revision and has no limit, so that after a long
-   * failure it may be larger than a response may be and would fail again and again; the pages of a
+   * Retries the watch, or reads everything again if that is unlikely to help. The answer to a watch
+   * holds all changes since the watch's revision and is not limited in size. After a long outage it
+   * may exceed the maximum size of a response, and then every retry would fail; the pages of a
    * reload are bounded.
    */
   private void watchFailed() {
