--- a/src/main/java/org/fieldtrestle/api/ReadBarrier.java
+++ b/src/main/java/org/fieldtrestle/api/ReadBarrier.java
@@ -130,7 +130,7 @@
 
   private void completeSatisfied() {
     long appliedRevision = context.stateCache().appliedRevision();
-    long freshAsOfMs = context.stateCache().freshAsOf();
+    long freshAsOfMs = context.stateCache().freshAsOfMs();
     complete(
         pendingReads.stream()
             .filter(read -> read.satisfiedBy(appliedRevision, freshAsOfMs))
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
@@ -66,7 +66,7 @@
   /** Returns whether commands may be sent and heartbeats acknowledged now; logs each change. */
   boolean isOpen() {
     long oldestMs = reactor.now() - usableMs;
-    boolean open = leaseSentAtMs > oldestMs && stateCache.freshAsOf() > oldestMs;
+    boolean open = leaseSentAtMs > oldestMs && stateCache.freshAsOfMs() > oldestMs;
     if (open != wasOpen) {
       wasOpen = open;
       openings += open ? 1 : 0;
@@ -93,7 +93,7 @@
    * before the first.
    */
   public long stateAgeMs() {
-    return ageMs(stateCache.freshAsOf());
+    return ageMs(stateCache.freshAsOfMs());
   }
 
   private long ageMs(long sentAtMs) {
--- a/src/main/java/org/fieldtrestle/state/StateCache.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -46,7 +46,7 @@
   private final List<Runnable> progressListeners = new ArrayList<>();
   private final List<Waiter> waiters = new ArrayList<>();
   private long appliedRevision = NOT_LOADED;
-  private long freshAsOf = Long.MIN_VALUE;
+  private long freshAsOfMs = Long.MIN_VALUE;
 
   /** Creates an empty cache; {@link #start} starts to fill it. */
   public StateCache(Reactor reactor, KeyValueClient store, Settings settings) {
@@ -80,8 +80,8 @@
   }
 
   /** Returns the time on the reactor's clock, in ms, before which every commit is in the cache. */
-  public long freshAsOf() {
-    return freshAsOf;
+  public long freshAsOfMs() {
+    return freshAsOfMs;
   }
 
   /** Returns the minimum time between the starts of two watches, in milliseconds. */
@@ -281,7 +281,7 @@
    */
   void advance(long revision, long asOfMs) {
     logGap(revision, asOfMs);
-    freshAsOf = asOfMs;
+    freshAsOfMs = asOfMs;
     appliedRevision = Math.max(appliedRevision, revision);
     deletionRevisions.values().removeIf(deleted -> deleted <= appliedRevision);
     completeWaiters(waiter -> waiter.revision() <= appliedRevision, true);
@@ -293,8 +293,8 @@
    * and how old the state had become.
    */
   private void logGap(long revision, long asOfMs) {
-    long gapMs = asOfMs - freshAsOf;
-    if (freshAsOf != Long.MIN_VALUE && gapMs > follower.staleAfterMs()) {
+    long gapMs = asOfMs - freshAsOfMs;
+    if (freshAsOfMs != Long.MIN_VALUE && gapMs > follower.staleAfterMs()) {
       LOG.atInfo()
           .addKeyValue("fromRevision", appliedRevision)
           .addKeyValue("toRevision", revision)
--- a/src/main/java/org/fieldtrestle/state/StoreFollower.java
+++ b/src/main/java/org/fieldtrestle/state/StoreFollower.java
@@ -182,7 +182,7 @@
    */
   private void watchFailed() {
     failedWatches++;
-    boolean stale = reactor.now() - cache.freshAsOf() > staleAfterMs();
+    boolean stale = reactor.now() - cache.freshAsOfMs() > staleAfterMs();
     if (failedWatches >= MAX_FAILED_WATCHES && stale) {
       LOG.atWarn()
           .addKeyValue("fromRevision", cache.appliedRevision())
--- a/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
+++ b/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
@@ -111,7 +111,7 @@
    * the age of the followed state where that is older.
    */
   long soleLeaderUntilMs() {
-    return Math.min(context.now(), context.stateCache().freshAsOf());
+    return Math.min(context.now(), context.stateCache().freshAsOfMs());
   }
 
   /** The condition that makes every write of this term fail once the next has begun. */
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -169,7 +169,7 @@
         };
     time.runUntil(60_000);
     assertEquals(5001, view.appliedRevision());
-    assertTrue(time.now() - view.freshAsOf() < 10_000, "and goes on being followed");
+    assertTrue(time.now() - view.freshAsOfMs() < 10_000, "and goes on being followed");
   }
 
   @Test
@@ -183,7 +183,7 @@
     assertTrue(
         sent.stream().allMatch(path -> path.startsWith(KeyValueProtocol.WATCH_PATH)),
         sent.toString());
-    assertTrue(view.freshAsOf() > 60_000, "it is followed again");
+    assertTrue(view.freshAsOfMs() > 60_000, "it is followed again");
   }
 
   @Test
@@ -219,15 +219,15 @@
   void stateIsFreshOnlyOnceAllChangesAreApplied() {
     StateCache view = startedStateCache();
     List<Long> freshWhenTold = new ArrayList<>();
-    view.addKeyListener(key -> freshWhenTold.add(view.freshAsOf()));
-    long before = view.freshAsOf();
+    view.addKeyListener(key -> freshWhenTold.add(view.freshAsOfMs()));
+    long before = view.freshAsOfMs();
     String member = "{\"write\":\"ft/live/member/a\",\"v\":{\"f\":1,\"boot\":\"b\"},\"entry\":11}";
     service = path -> path.contains("from=10&") ? answer(200, watched(11, member)) : null;
     time.runUntil(time.now() + 20_000);
     assertEquals(11, view.appliedRevision());
-    assertTrue(view.freshAsOf() > before, "it is fresh afterwards");
+    assertTrue(view.freshAsOfMs() > before, "it is fresh afterwards");
     assertEquals(1, freshWhenTold.size());
-    assertTrue(freshWhenTold.get(0) < view.freshAsOf(), "but not while the change is taken in");
+    assertTrue(freshWhenTold.get(0) < view.freshAsOfMs(), "but not while the change is taken in");
   }
 
   /**
