--- a/src/main/java/org/fieldtrestle/api/FinishedJobs.java
+++ b/src/main/java/org/fieldtrestle/api/FinishedJobs.java
@@ -117,7 +117,8 @@
     readEnqueued = false;
     NavigableMap<String, List<Consumer<Outcome>>> queries = takePending();
     String pageStart = pageStart(queries);
-    int pageSize = Math.min(KeyValueClient.MAX_PAGE, ENTRIES_PER_PENDING_JOB * queries.size());
+    int pageSize =
+        Math.min(KeyValueClient.MAX_PAGE_ENTRIES, ENTRIES_PER_PENDING_JOB * queries.size());
     store.list(
         StateKeys.FINISHED_PREFIX,
         keyBefore(pageStart),
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -191,11 +191,11 @@
     conditions.add(new KeyValueProtocol.Condition(jobKey, context.stateCache().version(jobKey)));
     conditions.add(new KeyValueProtocol.Condition(StateKeys.shard(shard), epoch));
     if (cut == record.from()) {
-      changes.add(StateChanges.put(rangeKey, record.ownedBy(shard, epoch)));
+      changes.add(StateChanges.put(rangeKey, record.withOwner(shard, epoch)));
       return;
     }
     RangeRecord kept = record.slice(record.from(), cut);
-    RangeRecord moved = record.slice(cut, record.to()).ownedBy(shard, epoch);
+    RangeRecord moved = record.slice(cut, record.to()).withOwner(shard, epoch);
     String newKey = StateKeys.range(nextKey(range.key().job()));
     conditions.add(new KeyValueProtocol.Condition(newKey, 0));
     changes.add(StateChanges.put(rangeKey, kept));
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -18,7 +18,7 @@
  */
 public final class KeyValueClient {
   /** The maximum number of entries in one page of a listing. */
-  public static final int MAX_PAGE = 1000;
+  public static final int MAX_PAGE_ENTRIES = 1000;
 
   /**
    * Timeout of a request as a share of the time for which a user waits for an answer. A request
@@ -161,7 +161,7 @@
    */
   public void listUnthrottled(String prefix, String after, Consumer<ListResult> done) {
     queue.requestSentDirectly();
-    list(prefix, after, MAX_PAGE, done);
+    list(prefix, after, MAX_PAGE_ENTRIES, done);
   }
 
   /**
--- a/src/main/java/org/fieldtrestle/state/RangeRecord.java
+++ b/src/main/java/org/fieldtrestle/state/RangeRecord.java
@@ -57,7 +57,7 @@
   }
 
   /** The same range in the hands of a shard as of an epoch of it. */
-  public RangeRecord ownedBy(String newShard, long newEpoch) {
+  public RangeRecord withOwner(String newShard, long newEpoch) {
     return new RangeRecord(newShard, newEpoch, from, to, done, zoneLimits, team, cpus, gpus);
   }
 }
--- a/src/main/java/org/fieldtrestle/state/StateCache.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -125,7 +125,7 @@
   }
 
   /** Returns whether part of a shard's inventory is unreadable; machines may be missing then. */
-  public boolean isInventoryDamaged(String shard) {
+  public boolean hasUnreadableInventory(String shard) {
     for (String key : unreadableKeys) {
       if (StateKeys.parse(key) instanceof InventoryKey k && k.shard().equals(shard)) {
         return true;
--- a/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
+++ b/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
@@ -31,7 +31,7 @@
   /** The term begins: what was there before has to be reconciled. */
   public void inherit() {
     context.stateCache().machines().keySet().forEach(id -> sync(id, true));
-    if (context.stateCache().isInventoryDamaged(term.shard())) {
+    if (context.stateCache().hasUnreadableInventory(term.shard())) {
       workers.expectUnknownWorkersUntil(
           context.now() + term.formerLeaderGraceMs() + workers.leaseExpiryMs());
     }
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -97,7 +97,7 @@
     RangeRecord record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(
         StateKeys.range(ShardLeaderFixture.RANGE),
-        RecordCodec.encode(record.ownedBy("trestle-1", 1)));
+        RecordCodec.encode(record.withOwner("trestle-1", 1)));
     assertEquals(StartRefusal.RANGE_NOT_OURS, policy.startRefusal(range));
   }
 
@@ -106,7 +106,7 @@
     RangeRecord record = fixture.context.stateCache().range(ShardLeaderFixture.RANGE).record();
     fixture.commit(
         StateKeys.range(ShardLeaderFixture.RANGE),
-        RecordCodec.encode(record.ownedBy("trestle-0", ShardLeaderFixture.LATER_REVISION)));
+        RecordCodec.encode(record.withOwner("trestle-0", ShardLeaderFixture.LATER_REVISION)));
     assertEquals(StartRefusal.RANGE_NOT_OURS, policy.startRefusal(range));
   }
 
