--- a/src/main/java/org/fieldtrestle/state/ActiveJob.java
+++ b/src/main/java/org/fieldtrestle/state/ActiveJob.java
@@ -4,8 +4,9 @@
 import java.util.TreeMap;
 
 /**
- * An accepted job that has not ended, with its ranges by index. A range of version 0 has no record
- * of its own yet: it is as the job's record names it. Changed by {@link CachedRecords} alone.
+ * An accepted job that has not ended, with its task ranges by index. A range of version 0 has no
+ * record of its own yet and is as the job's record describes it. Only {@link CachedRecords}
+ * modifies instances.
  */
 public final class ActiveJob {
   private Versioned<JobRecord> job;
@@ -13,17 +14,17 @@
 
   ActiveJob() {}
 
-  /** The job's record, or null where only records of its ranges are left. */
+  /** Returns the job's record; {@code null} if only task ranges of the job are left. */
   public Versioned<JobRecord> job() {
     return job;
   }
 
-  /** The ranges by index; not to be changed. */
+  /** Returns the task ranges by index; the map must not be modified. */
   public NavigableMap<Integer, Versioned<RangeRecord>> ranges() {
     return ranges;
   }
 
-  /** Whether all tasks of the job are known to be done. */
+  /** Returns whether all tasks of the job are known to be done. */
   public boolean isComplete() {
     if (job == null || ranges.isEmpty()) {
       return false;
@@ -38,7 +39,7 @@
     return tasks == job.record().spec().tasks();
   }
 
-  /** How many of its tasks are done. */
+  /** Returns how many tasks of the job are done. */
   public int doneTasks() {
     int done = 0;
     for (Versioned<RangeRecord> range : ranges.values()) {
@@ -51,7 +52,7 @@
     return job == null && ranges.isEmpty();
   }
 
-  /** Sets the job's record; ranges that have no record of their own appear with it. */
+  /** Sets the job's record; the first one adds the ranges that have no record of their own. */
   void putJob(JobRecord record, long version) {
     if (job == null) {
       for (int i = 0; i < record.initialRanges().size(); i++) {
@@ -61,12 +62,12 @@
     job = new Versioned<>(record, version);
   }
 
-  /** Forgets the job's record, but keeps the ranges that it named. */
+  /** Removes the job's record, but keeps the ranges that it named. */
   void forgetJobRecord() {
     job = null;
   }
 
-  /** Forgets the job's record, and the ranges that have no record of their own. */
+  /** Removes the job's record and the ranges that have no record of their own. */
   void removeJob() {
     job = null;
     ranges.values().removeIf(range -> range.version() == 0);
--- a/src/main/java/org/fieldtrestle/state/BoundedCache.java
+++ b/src/main/java/org/fieldtrestle/state/BoundedCache.java
@@ -4,19 +4,20 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
- * A bounded cache that is created with its first entry: its creation takes milliseconds of
- * processor time, which a controller that has just started needs for its workers.
+ * A cache with a bounded number of entries. The underlying cache is created with the first entry,
+ * because its creation takes milliseconds of processor time, which a controller that has just
+ * started needs for its workers.
  */
 public final class BoundedCache<K, V> {
   private final long maximumSize;
   private Cache<K, V> cache;
 
-  /** Creates a cache of so many entries at the most. */
+  /** Creates a cache that holds at most the given number of entries. */
   public BoundedCache(long maximumSize) {
     this.maximumSize = maximumSize;
   }
 
-  /** Adds or replaces an entry; others may be evicted for it. */
+  /** Adds or replaces an entry; other entries may be evicted. */
   public void put(K key, V value) {
     if (cache == null) {
       cache = Caffeine.newBuilder().maximumSize(maximumSize).executor(Runnable::run).build();
@@ -24,7 +25,7 @@
     cache.put(key, value);
   }
 
-  /** The value of a key, or null where there is none or it has been evicted. */
+  /** Returns the value of a key; {@code null} if it was never added or has been evicted. */
   public V get(K key) {
     return cache == null ? null : cache.getIfPresent(key);
   }
--- a/src/main/java/org/fieldtrestle/state/CachedRecords.java
+++ b/src/main/java/org/fieldtrestle/state/CachedRecords.java
@@ -9,7 +9,6 @@
 import java.util.Map;
 import java.util.NavigableMap;
 import java.util.function.Consumer;
-import org.fieldtrestle.state.StateKey.ForeignKey;
 import org.fieldtrestle.state.StateKey.InventoryKey;
 import org.fieldtrestle.state.StateKey.JobKey;
 import org.fieldtrestle.state.StateKey.MachineKey;
@@ -17,6 +16,7 @@
 import org.fieldtrestle.state.StateKey.QuotaKey;
 import org.fieldtrestle.state.StateKey.RangeKey;
 import org.fieldtrestle.state.StateKey.ShardKey;
+import org.fieldtrestle.state.StateKey.UnknownKey;
 
 /** The records that a {@link StateCache} holds, by kind and key. */
 final class CachedRecords {
@@ -113,8 +113,8 @@
       members.put(k.label(), new Versioned<>(RecordCodec.decodeMember(value), version));
     } else if (key instanceof QuotaKey k) {
       quotas.put(k.team(), new Versioned<>(RecordCodec.decodeQuota(value), version));
-    } else if (key instanceof ForeignKey k) {
-      throw new UnreadableRecordException(StateKeys.whyForeign(k.key()));
+    } else if (key instanceof UnknownKey k) {
+      throw new UnreadableRecordException(StateKeys.unknownKeyReason(k.key()));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/state/FinishedJobRecord.java
+++ b/src/main/java/org/fieldtrestle/state/FinishedJobRecord.java
@@ -3,8 +3,8 @@
 /**
  * How a job ended.
  *
- * @param done true if all its tasks were done, false if it was cancelled
- * @param tasks how many tasks it had
- * @param doneTasks how many of them were done at its end
+ * @param done {@code true} if all tasks were done, {@code false} if the job was cancelled
+ * @param tasks how many tasks the job had
+ * @param doneTasks how many of these were done when the job ended
  */
 public record FinishedJobRecord(boolean done, int tasks, int doneTasks) {}
--- a/src/main/java/org/fieldtrestle/state/InventoryForm.java
+++ b/src/main/java/org/fieldtrestle/state/InventoryCodec.java
@@ -11,13 +11,14 @@
 import org.fieldtrestle.state.StateKey.InventoryKey;
 
 /**
- * The stored form of one part of a machine inventory: groups of machines that have everything but
- * their names in common, as a shard may have thousands of machines of a few kinds.
+ * Encodes and decodes one part of a machine inventory. Machines that have everything but their
+ * names in common are stored as a group, because a shard may have thousands of machines of a few
+ * kinds.
  */
-final class InventoryForm {
-  private InventoryForm() {}
+final class InventoryCodec {
+  private InventoryCodec() {}
 
-  /** What the machines of a group have in common. */
+  /** The properties that all machines of a group share. */
   private record MachineGroup(
       String type, String zone, boolean spot, long bootingSinceWallMs, long upSinceEpoch) {
     static MachineGroup of(MachineRecord machine) {
@@ -29,7 +30,7 @@
           machine.upSinceEpoch());
     }
 
-    /** Appends the group; returns the array that takes its machines' names. */
+    /** Appends the group and returns the array to which the names of its machines are added. */
     ArrayNode appendTo(ArrayNode groups) {
       return groups
           .addObject()
@@ -42,7 +43,9 @@
     }
   }
 
-  /** Adds the machines, which are given by name, to a value that has its form's number already. */
+  /**
+   * Adds machines, which are given by name, to a value that already contains its format's number.
+   */
   static JsonNode encode(ObjectNode json, Map<String, MachineRecord> machines) {
     Map<MachineGroup, ArrayNode> idsByGroup = new LinkedHashMap<>();
     ArrayNode groups = json.putArray("groups");
--- a/src/main/java/org/fieldtrestle/state/JobRecord.java
+++ b/src/main/java/org/fieldtrestle/state/JobRecord.java
@@ -8,16 +8,17 @@
  * An accepted job.
  *
  * @param spec the job as its user submitted it
- * @param acceptedWallMs time of day at which it was accepted
- * @param zone the zone that all its tasks have to be in; null where there is no such rule
- * @param initialRanges its ranges as they were first given to shards, by index. A range has a
- *     record of its own only once it differs from this. Empty for jobs of the former form, whose
- *     ranges all have records of their own
+ * @param acceptedWallMs time of day at which the job was accepted, in milliseconds
+ * @param zone the zone in which all tasks of the job must run; {@code null} if there is no such
+ *     restriction
+ * @param initialRanges the job's task ranges by index, as they were first assigned to shards. A
+ *     range has a record of its own only once it differs from its initial state. Empty for jobs
+ *     that were stored in the previous format, in which every range has a record of its own
  */
 public record JobRecord(
     JobSpec spec, long acceptedWallMs, String zone, List<InitialRange> initialRanges) {
 
-  /** The record of a range that has not changed since the job was accepted. */
+  /** Returns the record of a range that has not changed since the job was accepted. */
   public RangeRecord initialRange(int index) {
     InitialRange initial = initialRanges.get(index);
     return new RangeRecord(
--- a/src/main/java/org/fieldtrestle/state/LeaseGrant.java
+++ b/src/main/java/org/fieldtrestle/state/LeaseGrant.java
@@ -1,14 +1,14 @@
 package org.fieldtrestle.state;
 
-/** How a request for a lease went. */
+/** The outcome of a request for a lease. */
 public sealed interface LeaseGrant {
 
   /** The lease was granted under this id. */
   record Granted(long leaseId) implements LeaseGrant {}
 
-  /** The store answered with another status than 200. */
+  /** The store answered with a status other than 200. */
   record Refused(int status) implements LeaseGrant {}
 
-  /** No answer came, or none that can be used; a lease may exist that nobody will renew. */
+  /** No usable answer arrived; the store may have granted a lease that will never be renewed. */
   record Failed() implements LeaseGrant {}
 }
--- a/src/main/java/org/fieldtrestle/state/LeaseRenewal.java
+++ b/src/main/java/org/fieldtrestle/state/LeaseRenewal.java
@@ -1,11 +1,11 @@
 package org.fieldtrestle.state;
 
-/** How the renewal of a lease went. */
+/** The outcome of the renewal of a lease. */
 public enum LeaseRenewal {
-  /** The lease has its whole time again. */
+  /** The lease has its full time to live again. */
   RENEWED,
-  /** There is no such lease any more. */
+  /** The lease no longer exists. */
   EXPIRED,
-  /** The store did not say, or was not reached; the lease may have been renewed or not. */
+  /** No usable answer arrived; the lease may have been renewed or not. */
   UNKNOWN
 }
--- a/src/main/java/org/fieldtrestle/state/ListResult.java
+++ b/src/main/java/org/fieldtrestle/state/ListResult.java
@@ -2,15 +2,15 @@
 
 import org.fieldtrestle.protocol.KeyValueProtocol;
 
-/** How reading a page of keys went. */
+/** The outcome of reading a page of keys. */
 public sealed interface ListResult {
 
-  /** The page. */
+  /** The page was read. */
   record Listed(KeyValueProtocol.Listing page) implements ListResult {}
 
-  /** The store answered with another status than 200. */
+  /** The store answered with a status other than 200. */
   record Refused(int status) implements ListResult {}
 
-  /** No answer came, or none that can be used. */
+  /** No usable answer arrived. */
   record Failed() implements ListResult {}
 }
--- a/src/main/java/org/fieldtrestle/state/MachineRecord.java
+++ b/src/main/java/org/fieldtrestle/state/MachineRecord.java
@@ -5,15 +5,16 @@
 /**
  * A machine of a shard's inventory.
  *
- * @param shard the owner
- * @param part the part of the owner's inventory that lists it
- * @param type the machine type's name
- * @param zone the zone it is in
- * @param spot whether the cloud may take it back
- * @param bootingSinceWallMs time of day of the rental while the machine boots, 0 afterwards
- * @param upSinceEpoch the owner's epoch in which it came up, 0 while it boots. No task is started
- *     on a machine before this is durable, so that the next leader need not wait for the leases of
- *     machines that were still booting
+ * @param shard the shard that owns the machine
+ * @param part the part of that shard's inventory that lists the machine
+ * @param type the name of the machine type
+ * @param zone the zone in which the machine is
+ * @param spot whether the cloud may take the machine back
+ * @param bootingSinceWallMs time of day of the rental in milliseconds while the machine boots, 0
+ *     afterwards
+ * @param upSinceEpoch the owning shard's epoch in which the machine came up, 0 while it boots. No
+ *     task is started on a machine before this value is stored, so that the next shard leader need
+ *     not wait for the leases of machines that were still booting
  */
 public record MachineRecord(
     String shard,
@@ -24,17 +25,17 @@
     long bootingSinceWallMs,
     long upSinceEpoch) {
 
-  /** Whether it has come up, so that tasks may have been started on it. */
+  /** Returns whether the machine has come up, so that tasks may have been started on it. */
   public boolean isUp() {
     return upSinceEpoch > 0;
   }
 
-  /** The same machine, up since an epoch. */
+  /** Returns a copy of this record for a machine that came up in the given epoch. */
   public MachineRecord withUpSince(long epoch) {
     return new MachineRecord(shard, part, type, zone, spot, 0, epoch);
   }
 
-  /** Written out, as whole inventories are compared by it. */
+  /** Written by hand for speed, because whole inventories are compared with it. */
   @Override
   public boolean equals(Object other) {
     return other instanceof MachineRecord that
--- a/src/main/java/org/fieldtrestle/state/MemberRecord.java
+++ b/src/main/java/org/fieldtrestle/state/MemberRecord.java
@@ -1,9 +1,9 @@
 package org.fieldtrestle.state;
 
 /**
- * A running controller; the record is kept under its lease.
+ * A running controller; the record exists under the controller's lease.
  *
- * @param bootId an id of this start of the process, so that a restarted controller differs from one
- *     that runs on
+ * @param bootId an id of this start of the process, which distinguishes a restarted controller from
+ *     one that kept running
  */
 public record MemberRecord(String bootId) {}
--- a/src/main/java/org/fieldtrestle/state/QuotaAmount.java
+++ b/src/main/java/org/fieldtrestle/state/QuotaAmount.java
@@ -2,6 +2,6 @@
 
 /** An amount of the resources that a quota limits. */
 public record QuotaAmount(double cpus, double gpus) {
-  /** Nothing of either. */
+  /** No CPUs and no GPUs. */
   public static final QuotaAmount NONE = new QuotaAmount(0, 0);
 }
--- a/src/main/java/org/fieldtrestle/state/QuotaRecord.java
+++ b/src/main/java/org/fieldtrestle/state/QuotaRecord.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * A team's quota as it is split over the shards.
+ * A team's quota, split into quota shares of the shards.
  *
- * @param shares what each shard may use, by shard
+ * @param shares the amount that each shard may use, by shard
  */
 public record QuotaRecord(Map<String, QuotaAmount> shares) {
 
-  /** What a shard may use; nothing where the record does not name it. */
+  /** Returns the amount that a shard may use; nothing if the record does not name the shard. */
   public QuotaAmount shareOf(String shard) {
     return shares.getOrDefault(shard, QuotaAmount.NONE);
   }
--- a/src/main/java/org/fieldtrestle/state/RecordCodec.java
+++ b/src/main/java/org/fieldtrestle/state/RecordCodec.java
@@ -14,36 +14,40 @@
 import org.fieldtrestle.state.StateKey.InventoryKey;
 
 /**
- * The stored forms of records. Every value carries the number of its form in the field {@code f};
- * one that is damaged or of an unknown form is refused with an {@link UnreadableRecordException}
- * that says so, never guessed at. Field names are those of the first version.
+ * Encodes and decodes the stored records. Every value carries the number of its format in the field
+ * {@code f}. A value that is damaged or has an unknown format is refused with an {@link
+ * UnreadableRecordException} that states the reason; its meaning is never guessed. The field names
+ * are those of the first version.
  */
 public final class RecordCodec {
-  private static final int FORM = 1;
+  private static final int FORMAT = 1;
 
-  /** Jobs name their initial ranges since this form; before, every range had its own record. */
-  private static final int JOB_FORM = 2;
+  /**
+   * Since this format, a job's record names its initial task ranges; before, every range had its
+   * own record.
+   */
+  private static final int JOB_FORMAT = 2;
 
   private RecordCodec() {}
 
-  /** Reads one form. */
+  /** Decodes a value whose format is known. */
   private interface Decoder<T> {
     T decode(JsonNode json) throws MalformedJsonException;
   }
 
-  private static ObjectNode form(int number) {
+  private static ObjectNode withFormat(int number) {
     return Json.object().put("f", number);
   }
 
-  private static <T> T decode(JsonNode json, int newestForm, Decoder<T> decoder)
+  private static <T> T decode(JsonNode json, int newestFormat, Decoder<T> decoder)
       throws UnreadableRecordException {
-    JsonNode form = json.path("f");
-    if (!form.isInt()) {
+    JsonNode format = json.path("f");
+    if (!format.isInt()) {
       throw new UnreadableRecordException("not one of our records");
     }
-    if (form.intValue() < FORM || form.intValue() > newestForm) {
+    if (format.intValue() < FORMAT || format.intValue() > newestFormat) {
       throw new UnreadableRecordException(
-          "written in form " + form.intValue() + ", this version reads " + newestForm);
+          "written in form " + format.intValue() + ", this version reads " + newestFormat);
     }
     try {
       return decoder.decode(json);
@@ -52,9 +56,9 @@
     }
   }
 
-  /** Writes a job. */
+  /** Encodes a job. */
   public static JsonNode encode(JobRecord job) {
-    ObjectNode json = form(JOB_FORM);
+    ObjectNode json = withFormat(JOB_FORMAT);
     json.set("job", JobSpecCodec.write(job.spec()));
     json.put("at", job.acceptedWallMs());
     if (job.zone() != null) {
@@ -73,14 +77,14 @@
   }
 
   /**
-   * Reads a job, of the present form or the one before.
+   * Decodes a job, in the current format or the previous one.
    *
    * @throws UnreadableRecordException if the value cannot be used
    */
   public static JobRecord decodeJob(JsonNode value) throws UnreadableRecordException {
     return decode(
         value,
-        JOB_FORM,
+        JOB_FORMAT,
         json -> {
           var spec = JobSpecCodec.read(json.path("job"));
           List<InitialRange> ranges = new ArrayList<>();
@@ -108,22 +112,22 @@
 
   private static void encodeZoneLimits(ObjectNode json, Map<String, Integer> zoneLimits) {
     if (!zoneLimits.isEmpty()) {
-      ObjectNode caps = json.putObject("caps");
-      zoneLimits.forEach(caps::put);
+      ObjectNode limits = json.putObject("caps");
+      zoneLimits.forEach(limits::put);
     }
   }
 
   private static Map<String, Integer> decodeZoneLimits(JsonNode json) {
     Map<String, Integer> zoneLimits = new TreeMap<>();
-    for (var cap : json.path("caps").properties()) {
-      zoneLimits.put(cap.getKey(), cap.getValue().asInt());
+    for (var limit : json.path("caps").properties()) {
+      zoneLimits.put(limit.getKey(), limit.getValue().asInt());
     }
     return zoneLimits;
   }
 
-  /** Writes a task range. */
+  /** Encodes a task range. */
   public static JsonNode encode(RangeRecord range) {
-    ObjectNode json = form(FORM);
+    ObjectNode json = withFormat(FORMAT);
     json.put("m", range.shard())
         .put("e", range.epoch())
         .put("a", range.from())
@@ -134,14 +138,14 @@
   }
 
   /**
-   * Reads a task range.
+   * Decodes a task range.
    *
    * @throws UnreadableRecordException if the value cannot be used
    */
   public static RangeRecord decodeRange(JsonNode value) throws UnreadableRecordException {
     return decode(
         value,
-        FORM,
+        FORMAT,
         json -> {
           long from = Json.count(json, "a");
           long to = Json.count(json, "z");
@@ -161,57 +165,59 @@
         });
   }
 
-  /** Writes one part of an inventory: machines that differ in their names alone as one group. */
+  /** Encodes one part of an inventory; machines that differ only in their names form one group. */
   public static JsonNode encodeInventory(Map<String, MachineRecord> machines) {
-    return InventoryForm.encode(form(FORM), machines);
+    return InventoryCodec.encode(withFormat(FORMAT), machines);
   }
 
   /**
-   * Reads one part of an inventory: its machines by name.
+   * Decodes one part of an inventory into its machines by name.
    *
    * @throws UnreadableRecordException if the value cannot be used
    */
   public static Map<String, MachineRecord> decodeInventory(InventoryKey key, JsonNode value)
       throws UnreadableRecordException {
-    return decode(value, FORM, json -> InventoryForm.decode(key, json));
+    return decode(value, FORMAT, json -> InventoryCodec.decode(key, json));
   }
 
-  /** Writes the record of a machine that a shard has adopted; only its key is ever read. */
+  /**
+   * Encodes the record of a machine that a shard has adopted; only the record's key is ever read.
+   */
   public static JsonNode encodeOrphan(String shard) {
-    return form(FORM).put("m", shard);
+    return withFormat(FORMAT).put("m", shard);
   }
 
-  /** Writes which controller leads a shard. */
+  /** Encodes which controller leads a shard. */
   public static JsonNode encode(ShardRecord shard) {
-    return form(FORM).put("holder", shard.leader());
+    return withFormat(FORMAT).put("holder", shard.leader());
   }
 
   /**
-   * Reads which controller leads a shard.
+   * Decodes which controller leads a shard.
    *
    * @throws UnreadableRecordException if the value cannot be used
    */
   public static ShardRecord decodeShard(JsonNode value) throws UnreadableRecordException {
-    return decode(value, FORM, json -> new ShardRecord(Json.text(json, "holder")));
+    return decode(value, FORMAT, json -> new ShardRecord(Json.text(json, "holder")));
   }
 
-  /** Writes a running controller. */
+  /** Encodes the record of a running controller. */
   public static JsonNode encode(MemberRecord member) {
-    return form(FORM).put("boot", member.bootId());
+    return withFormat(FORMAT).put("boot", member.bootId());
   }
 
   /**
-   * Reads a running controller.
+   * Decodes the record of a running controller.
    *
    * @throws UnreadableRecordException if the value cannot be used
    */
   public static MemberRecord decodeMember(JsonNode value) throws UnreadableRecordException {
-    return decode(value, FORM, json -> new MemberRecord(Json.text(json, "boot")));
+    return decode(value, FORMAT, json -> new MemberRecord(Json.text(json, "boot")));
   }
 
-  /** Writes a team's quota shares. */
+  /** Encodes a team's quota shares. */
   public static JsonNode encode(QuotaRecord quota) {
-    ObjectNode json = form(FORM);
+    ObjectNode json = withFormat(FORMAT);
     ObjectNode shares = json.putObject("shares");
     quota
         .shares()
@@ -220,14 +226,14 @@
   }
 
   /**
-   * Reads a team's quota shares.
+   * Decodes a team's quota shares.
    *
    * @throws UnreadableRecordException if the value cannot be used
    */
   public static QuotaRecord decodeQuota(JsonNode value) throws UnreadableRecordException {
     return decode(
         value,
-        FORM,
+        FORMAT,
         json -> {
           Map<String, QuotaAmount> shares = new TreeMap<>();
           for (var share : json.path("shares").properties()) {
@@ -242,16 +248,16 @@
         });
   }
 
-  /** Writes how a job ended. */
+  /** Encodes how a job ended. */
   public static JsonNode encode(FinishedJobRecord job) {
-    return form(FORM)
+    return withFormat(FORMAT)
         .put("done", job.done())
         .put("tasks", job.tasks())
         .put("finished", job.doneTasks());
   }
 
   /**
-   * Reads how a job ended.
+   * Decodes how a job ended.
    *
    * @throws UnreadableRecordException if the value cannot be used
    */
@@ -259,7 +265,7 @@
       throws UnreadableRecordException {
     return decode(
         value,
-        FORM,
+        FORMAT,
         json -> {
           if (!json.path("done").isBoolean()) {
             throw new MalformedJsonException("done");
--- a/src/main/java/org/fieldtrestle/state/StateKey.java
+++ b/src/main/java/org/fieldtrestle/state/StateKey.java
@@ -1,6 +1,6 @@
 package org.fieldtrestle.state;
 
-/** A key of the key-value store, taken apart by {@link StateKeys#parse}. */
+/** A parsed key of the key-value store, see {@link StateKeys#parse}. */
 public sealed interface StateKey {
 
   /** The record of an accepted job that has not ended. */
@@ -14,7 +14,7 @@
       return byJob != 0 ? byJob : Integer.compare(index, other.index);
     }
 
-    /** Written out, as the generated method of a record costs several times as much. */
+    /** Written by hand, because a record's generated method takes several times as long. */
     @Override
     public boolean equals(Object other) {
       return other instanceof RangeKey that && index == that.index && job.equals(that.job);
@@ -34,7 +34,7 @@
   /** One part of a shard's machine inventory. */
   record InventoryKey(String shard, int part) implements StateKey {}
 
-  /** A machine of some inventory; not a key of the store, but what listeners are called with. */
+  /** A machine of some inventory. No key of the store, but listeners of changes are given it. */
   record MachineKey(String machine) implements StateKey {}
 
   /** The record of an adopted machine, see {@link StateKeys#orphan}. */
@@ -49,6 +49,6 @@
   /** The record of a team's quota shares. */
   record QuotaKey(String team) implements StateKey {}
 
-  /** Any other key; it cannot be used. */
-  record ForeignKey(String key) implements StateKey {}
+  /** Any other key; its value cannot be used. */
+  record UnknownKey(String key) implements StateKey {}
 }
--- a/src/main/java/org/fieldtrestle/state/StateKeys.java
+++ b/src/main/java/org/fieldtrestle/state/StateKeys.java
@@ -1,6 +1,5 @@
 package org.fieldtrestle.state;
 
-import org.fieldtrestle.state.StateKey.ForeignKey;
 import org.fieldtrestle.state.StateKey.InventoryKey;
 import org.fieldtrestle.state.StateKey.JobKey;
 import org.fieldtrestle.state.StateKey.MemberKey;
@@ -8,16 +7,19 @@
 import org.fieldtrestle.state.StateKey.QuotaKey;
 import org.fieldtrestle.state.StateKey.RangeKey;
 import org.fieldtrestle.state.StateKey.ShardKey;
+import org.fieldtrestle.state.StateKey.UnknownKey;
 
 /**
- * Builds the keys of the key-value store and takes them apart. Their texts keep the names of the
- * first version, as controllers of several versions may share a store.
+ * Builds and parses the keys of the key-value store. The texts of the keys keep the names of the
+ * first version, because controllers of different versions may share a store.
  */
 public final class StateKeys {
   /** Prefix of all keys that every controller follows. */
   public static final String LIVE_PREFIX = "ft/live/";
 
-  /** Prefix of the records of finished jobs; not followed, as their number has no limit. */
+  /**
+   * Prefix of the records of finished jobs. They are not followed, as their number is unlimited.
+   */
   public static final String FINISHED_PREFIX = "ft/final/";
 
   private static final String JOB = LIVE_PREFIX + "job/";
@@ -28,59 +30,64 @@
   private static final String MEMBER = LIVE_PREFIX + "member/";
   private static final String QUOTA = LIVE_PREFIX + "quota/";
 
-  /** Where a machine had a record of its own, before there were inventories. */
-  private static final String FORMER_MACHINE = LIVE_PREFIX + "machine/";
+  /**
+   * Prefix of the records of single machines, which former versions wrote instead of inventories.
+   */
+  private static final String FORMER_MACHINE_PREFIX = LIVE_PREFIX + "machine/";
 
   private static final int MAX_INDEX_DIGITS = 6;
   private static final int NO_INDEX = -1;
 
   private StateKeys() {}
 
-  /** The key of an accepted job. */
+  /** Returns the key of an accepted job. */
   public static String job(String id) {
     return JOB + id;
   }
 
-  /** The key of a task range. */
+  /** Returns the key of a task range. */
   public static String range(RangeKey key) {
     return RANGE + key.job() + "/" + key.index();
   }
 
-  /** The key of one part of a shard's machine inventory. */
+  /** Returns the key of one part of a shard's machine inventory. */
   public static String inventory(InventoryKey key) {
     return INVENTORY + key.shard() + "/" + key.part();
   }
 
   /**
-   * The key that shows that a machine was adopted by another shard than the one that rented it. The
-   * renter's own record of it may still be on its way: it is written on condition that this key is
-   * absent.
+   * Returns the key which shows that a machine was adopted by another shard than the one that
+   * rented it. The renter may not have written its own record of the machine yet; it writes that
+   * record on condition that this key is absent.
    */
   public static String orphan(String machine) {
     return ORPHAN + machine;
   }
 
-  /** The key that names the leader of a shard; its version is the shard's epoch. */
+  /** Returns the key whose record names the leader of a shard; its version is the shard's epoch. */
   public static String shard(String label) {
     return SHARD + label;
   }
 
-  /** The key that a controller keeps under its lease while it runs. */
+  /** Returns the key that a controller keeps under its lease while it runs. */
   public static String member(String label) {
     return MEMBER + label;
   }
 
-  /** The key of a team's quota shares. Teams' names are escaped, as they may hold any character. */
+  /**
+   * Returns the key of a team's quota shares. The team's name is escaped, because it may contain
+   * any character.
+   */
   public static String quota(String team) {
     return QUOTA + team.replace("%", "%25").replace(" ", "%20").replace("/", "%2F");
   }
 
-  /** The key of the record that says how a job ended. */
+  /** Returns the key of the record that states how a job ended. */
   public static String finished(String id) {
     return FINISHED_PREFIX + id;
   }
 
-  /** Takes a key apart; one that this version does not use is a {@link ForeignKey}. */
+  /** Parses a key; returns a {@link UnknownKey} for a key that this version does not use. */
   public static StateKey parse(String key) {
     if (key.startsWith(JOB)) {
       return new JobKey(key.substring(JOB.length()));
@@ -105,14 +112,14 @@
     if (key.startsWith(QUOTA)) {
       return new QuotaKey(unescape(key.substring(QUOTA.length())));
     }
-    return new ForeignKey(key);
+    return new UnknownKey(key);
   }
 
   private static String unescape(String team) {
     return team.replace("%2F", "/").replace("%20", " ").replace("%25", "%");
   }
 
-  /** The number that a key ends with, or {@link #NO_INDEX}. */
+  /** Returns the number that a key ends with, or {@link #NO_INDEX} if it ends with none. */
   private static int parseIndex(String key, int from) {
     if (key.length() == from || key.length() - from > MAX_INDEX_DIGITS) {
       return NO_INDEX;
@@ -128,9 +135,9 @@
     return index;
   }
 
-  /** Why a foreign key cannot be used. */
-  static String whyForeign(String key) {
-    return key.startsWith(FORMER_MACHINE)
+  /** Returns why the value of an unknown key cannot be used. */
+  static String unknownKeyReason(String key) {
+    return key.startsWith(FORMER_MACHINE_PREFIX)
         ? "a machine's record of the form before, this version keeps machines in rosters"
         : "not one of our keys";
   }
--- a/src/main/java/org/fieldtrestle/state/TaskSet.java
+++ b/src/main/java/org/fieldtrestle/state/TaskSet.java
@@ -4,15 +4,15 @@
 import java.util.BitSet;
 
 /**
- * A set of task numbers as a compact text: runs such as {@code 0-5,8}, or, where that would be
- * longer, {@code #} and a bitmap in Base64.
+ * Encodes a set of task numbers as a compact text: runs such as {@code 0-5,8} or, if these would be
+ * longer, {@code #} followed by a bitmap in Base64.
  */
 public final class TaskSet {
   private static final String BITMAP_MARK = "#";
 
   private TaskSet() {}
 
-  /** Writes a set in the shorter form. */
+  /** Encodes a set; uses runs unless they get longer than the bitmap. */
   public static String encode(BitSet set) {
     byte[] bitmap = set.toByteArray();
     int bitmapLength = BITMAP_MARK.length() + (bitmap.length + 2) / 3 * 4;
@@ -35,11 +35,11 @@
   }
 
   /**
-   * Reads a set.
+   * Decodes a set.
    *
-   * @param size all numbers must be below it
-   * @throws IllegalArgumentException if the text is damaged or names a number that is not below
-   *     size
+   * @param size the limit that all numbers must be below
+   * @throws IllegalArgumentException if the text is damaged or contains a number that is not below
+   *     {@code size}
    */
   public static BitSet decode(String text, int size) {
     BitSet set =
--- a/src/main/java/org/fieldtrestle/state/UnreadableRecordException.java
+++ b/src/main/java/org/fieldtrestle/state/UnreadableRecordException.java
@@ -1,8 +1,8 @@
 package org.fieldtrestle.state;
 
 /**
- * A stored value that this version cannot use: damaged, or of a form that it does not know. The
- * message says which.
+ * Thrown for a stored value that this version cannot use, because the value is damaged or has an
+ * unknown format. The message states which.
  */
 public final class UnreadableRecordException extends Exception {
   private static final long serialVersionUID = 1;
--- a/src/main/java/org/fieldtrestle/state/WatchResult.java
+++ b/src/main/java/org/fieldtrestle/state/WatchResult.java
@@ -2,18 +2,18 @@
 
 import org.fieldtrestle.protocol.KeyValueProtocol;
 
-/** How a watch ended. */
+/** The outcome of a watch. */
 public sealed interface WatchResult {
 
-  /** All changes since the revision at which it began. */
+  /** All changes since the revision at which the watch began. */
   record Changes(KeyValueProtocol.Events events) implements WatchResult {}
 
-  /** The changes since that revision are not kept any more. */
+  /** The store no longer keeps the changes since that revision. */
   record TooOld() implements WatchResult {}
 
-  /** The store answers, but serves no watch now. */
+  /** The store answered, but does not serve the watch now. */
   record NotServed() implements WatchResult {}
 
-  /** No answer came, or none that can be used. */
+  /** No usable answer arrived. */
   record Failed() implements WatchResult {}
 }
--- a/src/main/java/org/fieldtrestle/state/package-info.java
+++ b/src/main/java/org/fieldtrestle/state/package-info.java
@@ -1,14 +1,14 @@
 /**
- * The cluster's durable state, as one controller reads and writes it.
+ * Reads and writes the cluster's durable state on behalf of one controller.
  *
  * <p>{@link org.fieldtrestle.state.KeyValueClient} sends requests to the key-value store within
- * this controller's part of its rate limits. {@link org.fieldtrestle.state.StateCache} owns the
- * copy of everything under {@link org.fieldtrestle.state.StateKeys#LIVE_PREFIX} that the controller
- * follows; only this package changes it. {@link org.fieldtrestle.state.StateKeys} and {@link
- * org.fieldtrestle.state.RecordCodec} are the only places that know the names of keys and the
- * stored forms.
+ * this controller's share of the store's rate limits. {@link org.fieldtrestle.state.StateCache}
+ * owns the controller's copy of everything under {@link
+ * org.fieldtrestle.state.StateKeys#LIVE_PREFIX}; only this package changes that copy. {@link
+ * org.fieldtrestle.state.StateKeys} and {@link org.fieldtrestle.state.RecordCodec} are the only
+ * places that know the names of keys and the stored formats.
  *
- * <p>May be called by every package that needs durable state, on the event loop's thread alone. It
- * depends on {@code config}, {@code protocol} and {@code transport}.
+ * <p>Every package that needs durable state may call this package, but only on the event loop's
+ * thread. The package depends on {@code config}, {@code protocol} and {@code transport}.
  */
 package org.fieldtrestle.state;
--- a/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
+++ b/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
@@ -242,7 +242,7 @@
     assertEquals(job, RecordCodec.decodeFinishedJob(value(name)));
     assertStored(
         name,
-        new StateKey.ForeignKey(StateKeys.finished(id)),
+        new StateKey.UnknownKey(StateKeys.finished(id)),
         StateKeys.finished(id),
         RecordCodec.encode(job));
   }
