--- a/src/test/java/org/fieldtrestle/leadership/CancellationNoticesTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/CancellationNoticesTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Notices of other controllers, and counts of confirmed cancellations. */
+/** Tests the counts of confirmed cancellations and the notices of other controllers. */
 class CancellationNoticesTest {
   private final CancellationNotices cancellations = new CancellationNotices();
 
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -17,35 +17,35 @@
 import org.fieldtrestle.transport.Reactor;
 import org.junit.jupiter.api.Test;
 
-/** Acquisition of shards when the key-value store answers late. */
+/** Tests the acquisition of shards when the key-value store answers late. */
 class MembershipTest {
   private static final String LABEL = "trestle-0";
 
-  /** Within the time-out of a request, and longer than a watch takes to deliver a change. */
-  private static final long LATE_MS = 1000;
+  /** Delay of answers; below a request's timeout and above the delay of a watch. */
+  private static final long ANSWER_DELAY_MS = 1000;
 
   private final SimulatedNetwork network = new SimulatedNetwork();
   private final Reactor reactor = network.reactor();
-  private final List<Long> begun = new ArrayList<>();
+  private final List<Long> begunEpochs = new ArrayList<>();
 
-  private Http.Caller lateCommits() {
-    Http.Caller prompt = network.caller();
+  private Http.Caller callerWithDelayedCommits() {
+    Http.Caller promptCaller = network.caller();
     return (address, method, path, body, timeoutMs, done) -> {
-      long late = path.equals(KeyValueProtocol.COMMIT_PATH) ? LATE_MS : 0;
-      prompt.call(
+      long delayMs = path.equals(KeyValueProtocol.COMMIT_PATH) ? ANSWER_DELAY_MS : 0;
+      promptCaller.call(
           address,
           method,
           path,
           body,
           timeoutMs,
-          outcome -> reactor.schedule(late, () -> done.accept(outcome)));
+          outcome -> reactor.schedule(delayMs, () -> done.accept(outcome)));
     };
   }
 
-  private final class RecordEpochs implements Membership.Listener {
+  private final class EpochRecorder implements Membership.Listener {
     @Override
     public void leadershipBegan(String shard, long epoch, boolean formerLeaderMayAct) {
-      begun.add(epoch);
+      begunEpochs.add(epoch);
     }
 
     @Override
@@ -53,27 +53,32 @@
   }
 
   /**
-   * Another controller acquired the shard before the answer to this one's acquisition arrived, and
-   * the state cache shows it already: no later change would end a term that began now.
+   * Another controller acquires the shard before this controller receives the answer to its own
+   * acquisition, and the state cache already shows that. A term that began with the late answer
+   * would never end, because no later change of the key would end it.
    */
   @Test
-  void aShardAcquiredByAnotherBeforeTheAnswerArrivesIsNotLed() {
+  void shardAcquiredByAnotherBeforeTheAnswerArrivesIsNotLed() {
     network.serveState();
     Settings settings = network.settings(LABEL);
-    KeyValueClient store = new KeyValueClient(reactor, lateCommits(), settings);
+    KeyValueClient store = new KeyValueClient(reactor, callerWithDelayedCommits(), settings);
     StateCache stateCache = new StateCache(reactor, store, settings);
     Membership membership = new Membership(reactor, store, stateCache, settings, "boot");
     stateCache.start();
     network.runFor(500);
-    membership.start(new RecordEpochs());
-    network.runFor(LATE_MS / 2);
+    membership.start(new EpochRecorder());
+    network.runFor(ANSWER_DELAY_MS / 2);
     network.writeState(StateKeys.shard(LABEL), RecordCodec.encode(new ShardRecord("trestle-1")));
-    network.runFor(LATE_MS / 4);
-    long taken = stateCache.version(StateKeys.shard(LABEL));
-    network.runFor(LATE_MS);
-    assertTrue(begun.stream().noneMatch(epoch -> epoch < taken), begun + " before " + taken);
+    network.runFor(ANSWER_DELAY_MS / 4);
+    long otherLeadersEpoch = stateCache.version(StateKeys.shard(LABEL));
+    network.runFor(ANSWER_DELAY_MS);
+    assertTrue(
+        begunEpochs.stream().noneMatch(epoch -> epoch < otherLeadersEpoch),
+        begunEpochs + " before " + otherLeadersEpoch);
     network.runFor(settings.stateLeaseMs());
     assertEquals(
-        stateCache.version(StateKeys.shard(LABEL)), begun.get(begun.size() - 1), "taken back");
+        stateCache.version(StateKeys.shard(LABEL)),
+        begunEpochs.get(begunEpochs.size() - 1),
+        "the home shard is led here again");
   }
 }
--- a/src/test/java/org/fieldtrestle/state/RecordCodecTest.java
+++ b/src/test/java/org/fieldtrestle/state/RecordCodecTest.java
@@ -22,7 +22,7 @@
 import org.fieldtrestle.protocol.UserProtocol;
 import org.junit.jupiter.api.Test;
 
-/** The stored forms of records. */
+/** Tests that stored records are decoded as they were encoded, and that others are refused. */
 class RecordCodecTest {
   @Property(tries = 200, seed = "13")
   void rangesAreReadAsTheyWereWritten(
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void aJobIsReadAsItWasWrittenAndAlsoInTheFormBefore() throws Exception {
+  void jobIsReadAsItWasWrittenAndAlsoInThePreviousFormat() throws Exception {
     JobSpec spec =
         UserProtocol.readJob(
             """
@@ -83,16 +83,16 @@
     assertEquals(
         new RangeRecord("m1", 11, 10, 16, new BitSet(), Map.of(), "vision", 8, 1),
         job.initialRange(1));
-    ObjectNode former = (ObjectNode) RecordCodec.encode(job);
-    former.put("f", 1).put("ranges", 2).remove("parts");
+    ObjectNode previousFormat = (ObjectNode) RecordCodec.encode(job);
+    previousFormat.put("f", 1).put("ranges", 2).remove("parts");
     assertEquals(
         new JobRecord(spec, 1234, "a", List.of()),
-        RecordCodec.decodeJob(former),
-        "its ranges have records of their own");
+        RecordCodec.decodeJob(previousFormat),
+        "ranges have records of their own in the previous format");
   }
 
   @Test
-  void aRecordOfAnotherFormIsRefusedByName() {
+  void recordOfUnknownFormatIsRefusedWithItsNumber() {
     ObjectNode other = (ObjectNode) RecordCodec.encode(new ShardRecord("trestle-0"));
     other.put("f", 2);
     UnreadableRecordException error =
--- a/src/test/java/org/fieldtrestle/state/StateKeysTest.java
+++ b/src/test/java/org/fieldtrestle/state/StateKeysTest.java
@@ -8,10 +8,10 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.StringLength;
 
-/** Keys are taken apart as they were put together. */
+/** Tests that keys are parsed as they were built. */
 class StateKeysTest {
   @Property(tries = 300, seed = "14")
-  void keysAreTakenApartAsTheyWerePutTogether(
+  void keysAreParsedAsTheyWereBuilt(
       @ForAll @IntRange(max = 999_999) int index,
       @ForAll @StringLength(min = 1, max = 20) String team) {
     StateKey.RangeKey range = new StateKey.RangeKey("job-000412", index);
--- a/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
+++ b/src/test/java/org/fieldtrestle/state/StoredRecordCompatibilityTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Stored records, keys and values, are read and written exactly as by the version before. */
+/** Stored keys and values must be read and written exactly as the previous version does it. */
 class StoredRecordCompatibilityTest {
   private static final JobSpec ARRAY_SPEC =
       new JobSpec(
@@ -107,7 +107,7 @@
     return Json.parse(json(name).getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Checks the key in both directions and the written value byte for byte. */
+  /** Checks that the key is built and parsed, and that the value is written byte for byte. */
   private void assertStored(String name, StateKey key, String builtKey, JsonNode written) {
     assertEquals(key(name), builtKey);
     assertEquals(key, StateKeys.parse(builtKey));
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void jobsOfThePresentFormNameTheirRanges() throws Exception {
+  void jobsInTheCurrentFormatNameTheirRanges() throws Exception {
     assertJob(
         "job-form-2-array",
         new JobRecord(
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void aJobOfTheFormerFormNamesNoRanges() throws Exception {
+  void jobInThePreviousFormatNamesNoRanges() throws Exception {
     assertEquals(
         new JobRecord(ARRAY_SPEC, 1_790_000_000_000L, "a", List.of()),
         RecordCodec.decodeJob(value("job-form-1")));
@@ -248,7 +248,7 @@
   }
 
   @Test
-  void finishedJobsTellHowTheyEnded() throws Exception {
+  void finishedJobsStateHowTheyEnded() throws Exception {
     assertFinished("finished-job", "job-000398", new FinishedJobRecord(true, 16, 16));
     assertFinished("finished-job-cancelled", "job-000399", new FinishedJobRecord(false, 16, 3));
   }
--- a/src/test/java/org/fieldtrestle/state/TaskSetTest.java
+++ b/src/test/java/org/fieldtrestle/state/TaskSetTest.java
@@ -11,25 +11,27 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
 
-/** The text form of sets of tasks. */
+/** Tests the encoding of task sets as text. */
 class TaskSetTest {
   @Property(tries = 500, seed = "11")
-  void aTaskSetIsReadAsItWasWritten(
+  void taskSetIsReadAsItWasWritten(
       @ForAll @Size(max = 200) Set<@IntRange(max = 2999) Integer> numbers) {
     BitSet set = new BitSet();
     numbers.forEach(set::set);
     String text = TaskSet.encode(set);
     assertEquals(set, TaskSet.decode(text, 3000));
-    assertTrue(text.length() <= 1 + (3000 / 8 + 3) / 3 * 4 + 12, "stays near a bitmap's size");
+    assertTrue(
+        text.length() <= 1 + (3000 / 8 + 3) / 3 * 4 + 12,
+        "the text must not be much longer than a bitmap");
   }
 
   @Property(tries = 300, seed = "12")
-  void aDamagedTaskSetIsRefusedOrInBounds(@ForAll @StringLength(max = 20) String text) {
+  void damagedTaskSetIsRefusedOrWithinBounds(@ForAll @StringLength(max = 20) String text) {
     BitSet read;
     try {
       read = TaskSet.decode(text, 100);
     } catch (IllegalArgumentException e) {
-      return; // refused, which is fine; anything else thrown is not
+      return; // refusing the text is fine; any other exception fails the test
     }
     assertTrue(read.length() <= 100, text);
     assertEquals(read, TaskSet.decode(TaskSet.encode(read), 100));
