--- a/src/main/java/org/fieldtrestle/state/CachedRecords.java
+++ b/src/main/java/org/fieldtrestle/state/CachedRecords.java
@@ -145,8 +145,8 @@
 
   /**
    * Removes the record of a key whose value cannot be read. Machines of an inventory are kept,
-   * because tasks may run on them. Ranges that only the job's record names are kept, because they
-   * are not done.
+   * because tasks may run on them. Ranges that only the job's record names are kept, because their
+   * tasks are not done yet.
    */
   void markUnreadable(StateKey key) {
     if (key instanceof JobKey k) {
--- a/src/main/java/org/fieldtrestle/state/StateCache.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -255,7 +255,7 @@
       records.put(parsed, entry.value(), entry.version());
       unreadableKeys.remove(key);
     } catch (UnreadableRecordException e) {
-      // The value stays in the store, its key counts as absent here, and other keys are unaffected.
+      // The value stays in the store, its key counts as absent, and other keys are not affected.
       if (unreadableKeys.add(key)) {
         LOG.atError()
             .addKeyValue("key", key)
--- a/src/main/java/org/fieldtrestle/state/StateKeys.java
+++ b/src/main/java/org/fieldtrestle/state/StateKeys.java
@@ -87,7 +87,7 @@
     return FINISHED_PREFIX + id;
   }
 
-  /** Parses a key; returns a {@link UnknownKey} for a key that this version does not use. */
+  /** Parses a key; returns an {@link UnknownKey} for a key that this version does not use. */
   public static StateKey parse(String key) {
     if (key.startsWith(JOB)) {
       return new JobKey(key.substring(JOB.length()));
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -79,6 +79,6 @@
     assertEquals(
         stateCache.version(StateKeys.shard(LABEL)),
         begunEpochs.get(begunEpochs.size() - 1),
-        "the home shard is led here again");
+        "this controller leads its home shard again");
   }
 }
