--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -143,7 +143,7 @@
     this.startListening = startListening;
     stateCache.addKeyListener(this::onKeyChanged);
     stateCache.addProgressListener(
-        () -> context.cancellations().appliedRevision(stateCache.appliedRevision()));
+        () -> context.cancellations().revisionApplied(stateCache.appliedRevision()));
     stateCache.start();
     context.cloud().start();
     startWhenStateIsKnown();
--- a/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
@@ -50,7 +50,7 @@
     PeerMessage message = frame.message();
     if (message instanceof PeerMessage.JobCancelled cancelled) {
       // A cancellation is final, so the message is valid at any age.
-      context.cancellations().heard(cancelled.job());
+      context.cancellations().noticeReceived(cancelled.job());
       shards.tellAll(new ShardLeader.JobCancelled(cancelled.job()));
       return;
     }
--- a/src/main/java/org/fieldtrestle/leadership/Membership.java
+++ b/src/main/java/org/fieldtrestle/leadership/Membership.java
@@ -7,29 +7,29 @@
 
 /**
  * This controller as a member of the cluster: its lease, and the shards that it leads. A shard's
- * epoch is the version of its key in the key-value store: every change of leadership raises it, and
- * every write of a shard's leader depends on it.
+ * epoch is the version of its key in the key-value store. Every change of leadership raises the
+ * epoch, and every write of a shard leader succeeds only if the epoch is unchanged.
  */
 public final class Membership {
-  /** The lease is renewed, and shards are looked through, this often in a lease. */
+  /** How often per lease duration the lease is renewed and all shards are checked. */
   private static final int CHECKS_PER_LEASE = 12;
 
-  /** Notified when this controller's leadership of a shard begins or ends. */
+  /** Listens for the beginning and the end of this controller's leadership of shards. */
   public interface Listener {
     /**
-     * A leadership term begins.
+     * Called when this controller's leadership term of a shard has begun.
      *
-     * @param formerLeaderMayAct the former leader may not know yet that its term has ended
+     * @param formerLeaderMayAct whether the former leader may not know yet that its term has ended
      */
-    void began(String shard, long epoch, boolean formerLeaderMayAct);
+    void leadershipBegan(String shard, long epoch, boolean formerLeaderMayAct);
 
-    /** The leadership term of a shard has ended. */
-    void ended(String shard);
+    /** Called when this controller's leadership term of a shard has ended. */
+    void leadershipEnded(String shard);
   }
 
   private final Reactor reactor;
   private final StateCache stateCache;
-  private final String self;
+  private final String ownLabel;
   private final long leaseMs;
   private final LeadershipFence fence;
   private final LedShards ledShards;
@@ -38,17 +38,17 @@
   private final ShardFailover failover;
 
   /**
-   * @param boot identifies this process among those that had the same label
+   * @param bootId distinguishes this process from earlier ones that had the same label
    */
   public Membership(
       Reactor reactor,
       KeyValueClient store,
       StateCache stateCache,
       Settings settings,
-      String boot) {
+      String bootId) {
     this.reactor = reactor;
     this.stateCache = stateCache;
-    this.self = settings.label();
+    this.ownLabel = settings.label();
     this.leaseMs = settings.stateLeaseMs();
     this.fence = new LeadershipFence(reactor, stateCache, leaseMs);
     this.ledShards = new LedShards();
@@ -56,12 +56,12 @@
         new LeadershipChanges(reactor, store, stateCache, settings, fence, ledShards);
     this.controllerLease =
         new ControllerLease(
-            reactor, store, stateCache, settings, boot, fence, ledShards, leadershipChanges);
+            reactor, store, stateCache, settings, bootId, fence, ledShards, leadershipChanges);
     this.failover =
         new ShardFailover(reactor, stateCache, settings, fence, ledShards, leadershipChanges);
   }
 
-  /** Begins to register and to acquire shards; called once, when the state cache is ready. */
+  /** Starts to register and to acquire shards; called once, when the state cache is ready. */
   public void start(Listener listener) {
     ledShards.setListener(listener);
     stateCache.addKeyListener(leadershipChanges::keyChanged);
@@ -79,32 +79,38 @@
     scheduleCheck();
   }
 
-  /** Whether this controller may act as the leader of its shards now. */
+  /** Returns whether this controller may act as the leader of its shards now. */
   public boolean mayAct() {
     return fence.isOpen();
   }
 
-  /** The bound on acting without an answer of the key-value store. */
+  /** Returns the fence that bounds acting without an answer from the key-value store. */
   public LeadershipFence fence() {
     return fence;
   }
 
-  /** This controller's label. */
-  public String self() {
-    return self;
+  /** Returns this controller's label, which is also the name of its home shard. */
+  public String ownLabel() {
+    return ownLabel;
   }
 
-  /** Whether this is the registered member with the lowest label, which does cluster-wide work. */
-  public boolean isFirst() {
+  /**
+   * Returns whether this controller is registered and has the lowest label of all members. That
+   * member does the cluster-wide work.
+   */
+  public boolean hasLowestLabel() {
     return controllerLease.isRegistered() && failover.rank() == 0;
   }
 
-  /** Acquires a shard whose leader may still act, unless it has changed hands within a lease. */
+  /**
+   * Acquires a shard whose leader may still act, unless the shard's leadership has changed within
+   * one lease duration.
+   */
   public void seizeLeadership(String shard) {
     leadershipChanges.seize(shard);
   }
 
-  /** Ends the term of a shard that this controller leads, and makes another member its leader. */
+  /** Ends this controller's leadership term of a shard and makes another member its leader. */
   public void transferLeadership(String shard, String to) {
     leadershipChanges.transfer(shard, to);
   }
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -173,7 +173,7 @@
   private String nextRequestId() {
     requestCount++;
     return "r-"
-        + context.membership().self()
+        + context.membership().ownLabel()
         + "-"
         + term.shard()
         + "-"
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -296,7 +296,7 @@
         (zone, freeSums) ->
             freeCapacity.add(new FreeCapacity(zone, freeSums[0], freeSums[1], freeSums[2])));
     return new PeerMessage.ShardLoad(
-        context.membership().self(),
+        context.membership().ownLabel(),
         name(),
         epoch(),
         components.ranges.waitingCpus(),
--- a/src/main/java/org/fieldtrestle/state/LeaseRenewal.java
+++ b/src/main/java/org/fieldtrestle/state/LeaseRenewal.java
@@ -1,11 +1,11 @@
 package org.fieldtrestle.state;
 
-/** How the renewal of a lease went. */
+/** The outcome of the renewal of a lease. */
 public enum LeaseRenewal {
-  /** The lease has its whole time again. */
-  KEPT,
-  /** There is no such lease any more. */
-  ENDED,
-  /** The store did not say, or was not reached; the lease may have been renewed or not. */
-  NO_ANSWER
+  /** The lease has its full time to live again. */
+  RENEWED,
+  /** The lease no longer exists. */
+  EXPIRED,
+  /** No usable answer arrived; the lease may have been renewed or not. */
+  UNKNOWN
 }
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -33,7 +33,7 @@
   @Test
   void noTaskIsPlacedOnceAnotherControllerHasReportedTheCancellation() {
     fixture.reconcile();
-    fixture.context.cancellations().heard(ShardLeaderFixture.JOB);
+    fixture.context.cancellations().noticeReceived(ShardLeaderFixture.JOB);
     assertEquals(0, ShardLeaderFixture.countCommands(fixture.heartbeat(), "start"));
     assertEquals(0, fixture.context.metrics().placed());
   }
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -119,13 +119,13 @@
 
   private final class LeadershipListener implements Membership.Listener {
     @Override
-    public void began(String shardName, long newEpoch, boolean formerLeaderMayAct) {
+    public void leadershipBegan(String shardName, long newEpoch, boolean formerLeaderMayAct) {
       epoch = newEpoch;
       shard = new ShardLeader(context, shardName, epoch, formerLeaderMayAct, () -> {});
     }
 
     @Override
-    public void ended(String shardName) {}
+    public void leadershipEnded(String shardName) {}
   }
 
   private static void answerCloudRequest(Http.Request request, Consumer<Http.Response> reply) {
