--- a/src/main/java/org/fieldtrestle/config/InvalidSettingException.java
+++ b/src/main/java/org/fieldtrestle/config/InvalidSettingException.java
@@ -1,13 +1,14 @@
 package org.fieldtrestle.config;
 
-/** A setting that cannot be used. The message is one line: the field, a colon and the reason. */
+/** Thrown for an invalid setting. The message is one line: the field, a colon and the reason. */
 public final class InvalidSettingException extends Exception {
   private static final long serialVersionUID = 1;
 
   /**
    * Creates an exception.
    *
-   * @param field the field's name with those of the tables that it is in, or the name of the file
+   * @param field the full name of the field, which includes the tables that hold it, or the option
+   *     or file that cannot be read
    */
   public InvalidSettingException(String field, String reason) {
     super(field + ": " + reason);
--- a/src/main/java/org/fieldtrestle/config/OperatorSettings.java
+++ b/src/main/java/org/fieldtrestle/config/OperatorSettings.java
@@ -1,17 +1,19 @@
 package org.fieldtrestle.config;
 
 /**
- * The operators' own settings: parameters that the design leaves open. Times are in seconds, shares
- * from 0 to 1.
+ * The operators' settings: parameters of scheduling that the design leaves open. Times are in
+ * seconds, shares are from 0 to 1.
  *
- * @param remainingWeight weight of 1/remaining time in a score (the paper's omega 1)
- * @param waitingWeight weight of waiting time in a score (the paper's omega 2)
- * @param floorS least remaining time that a score assumes
- * @param delta share of the waiting tasks that a preempting task has to outscore
- * @param margin how much a victim's score has to be exceeded by
- * @param preemptionWaitS how long a task waits without free room before it may preempt
- * @param victimShare a victim may have run at most this share of its estimated run time
- * @param reserve room kept for classes that are to start within some time, in jobs of their size
+ * @param remainingWeight weight of the reciprocal of a task's remaining time in its score (omega 1
+ *     of the paper)
+ * @param waitingWeight weight of a task's waiting time in its score (omega 2 of the paper)
+ * @param floorS lower bound of the remaining time in a score
+ * @param delta share of the waiting tasks that a task must outscore before it may preempt
+ * @param margin by how much the score of a preempting task must exceed the score of its victim
+ * @param preemptionWaitS how long a task must have waited for free resources before it may preempt
+ * @param victimShare the largest share of its estimated run time that a victim may have run
+ * @param reserve capacity that is kept free for classes of jobs that should start within a given
+ *     time, as a number of jobs of their size
  */
 public record OperatorSettings(
     double remainingWeight,
@@ -22,7 +24,7 @@
     double preemptionWaitS,
     double victimShare,
     double reserve) {
-  /** The settings where the file does not set others. */
+  /** The settings that apply where the file does not set others. */
   public static final OperatorSettings DEFAULT =
       new OperatorSettings(0.5, 0.5, 1, 0.9, 0.5, 10, 0.3, 1);
 }
--- a/src/main/java/org/fieldtrestle/config/OperatorSettingsParser.java
+++ b/src/main/java/org/fieldtrestle/config/OperatorSettingsParser.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads the operators' own settings file (HCL); every setting has a default. */
+/** Reads the operators' settings file (HCL). Every setting has a default. */
 public final class OperatorSettingsParser {
   private static final double MAX_FLOOR_S = 3600;
   private static final double MAX_WAIT_S = 86_400;
   private static final double MAX_MARGIN = 1e6;
   private static final double MAX_RESERVED_JOBS = 100;
 
-  /** Least value of settings that must be above 0. */
+  /** Smallest allowed value of settings that must be above 0. */
   private static final double ABOVE_ZERO = 0.001;
 
-  /** Rounding error of the sum of the weights. */
+  /** Tolerance for rounding errors in the sum of the weights. */
   private static final double WEIGHT_ROUNDING = 1e-6;
 
   private OperatorSettingsParser() {}
@@ -26,7 +26,7 @@
   /**
    * Reads a file.
    *
-   * @throws InvalidSettingException if it cannot be read, or a setting is unknown or invalid
+   * @throws InvalidSettingException if the file cannot be read, or a setting is unknown or invalid
    */
   public static OperatorSettings read(Path file) throws InvalidSettingException {
     try {
@@ -37,22 +37,22 @@
   }
 
   /**
-   * Reads the text of a file.
+   * Parses the text of a file.
    *
    * @throws InvalidSettingException if a setting is unknown or invalid
    */
   public static OperatorSettings parse(String text) throws InvalidSettingException {
-    Map<String, Object> root = tree(text);
-    // The parser loses the name of an unfinished block, and a misspelt setting would leave its
-    // default in force: unknown names are refused.
-    requireKnown("", root, Set.of("falcon", "eviction", "reserve"));
+    Map<String, Object> root = parseHcl(text);
+    // Unknown names are refused because a misspelt setting would silently keep its default, and
+    // because the HCL parser drops the name of a block that is not closed.
+    requireKnownNames("", root, Set.of("falcon", "eviction", "reserve"));
     Block falcon = Block.of(root, "falcon");
     Block eviction = Block.of(root, "eviction");
-    requireKnown(
+    requireKnownNames(
         "falcon.",
         falcon.fields(),
         Set.of("remaining_weight", "waiting_weight", "floor_s", "delta"));
-    requireKnown("eviction.", eviction.fields(), Set.of("margin", "wait_s", "victim_share"));
+    requireKnownNames("eviction.", eviction.fields(), Set.of("margin", "wait_s", "victim_share"));
     OperatorSettings defaults = OperatorSettings.DEFAULT;
     OperatorSettings read =
         new OperatorSettings(
@@ -64,7 +64,7 @@
             eviction.number("wait_s", defaults.preemptionWaitS(), 0, MAX_WAIT_S),
             eviction.number("victim_share", defaults.victimShare(), 0, 1),
             number(root.get("reserve"), "reserve", defaults.reserve(), 0, MAX_RESERVED_JOBS));
-    // The paper's weights sum to 1: other sums would only scale the margin.
+    // The paper's weights sum to 1. Any other sum would only change the effect of the margin.
     if (Math.abs(read.remainingWeight() + read.waitingWeight() - 1) > WEIGHT_ROUNDING) {
       throw new InvalidSettingException(
           "falcon.waiting_weight", "remaining_weight and waiting_weight must sum to 1");
@@ -72,7 +72,7 @@
     return read;
   }
 
-  private static Map<String, Object> tree(String text) throws InvalidSettingException {
+  private static Map<String, Object> parseHcl(String text) throws InvalidSettingException {
     try {
       return new HCLParser().parse(text);
     } catch (HCLParserException | IOException | RuntimeException e) {
@@ -81,16 +81,16 @@
     }
   }
 
-  private static void requireKnown(String prefix, Map<?, ?> fields, Set<String> names)
+  private static void requireKnownNames(String prefix, Map<?, ?> fields, Set<String> names)
       throws InvalidSettingException {
     for (Object name : fields.keySet()) {
       if (!names.contains(String.valueOf(name))) {
-        throw new InvalidSettingException(prefix + name, "not one of the settings");
+        throw new InvalidSettingException(prefix + name, "unknown setting");
       }
     }
   }
 
-  /** The settings of one block; none where the block is missing. */
+  /** The settings of one block; empty if the file does not have the block. */
   private record Block(Map<?, ?> fields, String name) {
     static Block of(Map<String, Object> root, String name) throws InvalidSettingException {
       Object value = root.get(name);
@@ -100,23 +100,24 @@
       if (value instanceof Map<?, ?> map) {
         return new Block(map, name);
       }
-      throw new InvalidSettingException(name, "must be one block");
+      throw new InvalidSettingException(name, "must be a single block");
     }
 
-    double number(String field, double otherwise, double min, double max)
+    double number(String field, double defaultValue, double min, double max)
         throws InvalidSettingException {
       return OperatorSettingsParser.number(
-          fields.get(field), name + "." + field, otherwise, min, max);
+          fields.get(field), name + "." + field, defaultValue, min, max);
     }
   }
 
-  private static double number(Object value, String field, double otherwise, double min, double max)
+  private static double number(
+      Object value, String field, double defaultValue, double min, double max)
       throws InvalidSettingException {
     if (value == null) {
-      return otherwise;
+      return defaultValue;
     }
     if (!(value instanceof Number number)) {
-      throw new InvalidSettingException(field, "not a number");
+      throw new InvalidSettingException(field, "must be a number");
     }
     double read = number.doubleValue();
     if (!(read >= min && read <= max)) {
--- a/src/main/java/org/fieldtrestle/config/Settings.java
+++ b/src/main/java/org/fieldtrestle/config/Settings.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * The platform's settings of one controller.
+ * The platform's settings for one controller.
  *
- * @param label the controller's name; its shard has the same
- * @param zone the zone that it runs in
+ * @param label name of the controller, and of its home shard
+ * @param zone the zone in which the controller runs
  * @param userAddress host and port for users, workers and health checks
  * @param peerAddress host and port for the other controllers
  * @param peers the other controllers
  * @param cloudAddress host and port of the cloud's interface
  * @param stateAddress host and port of the key-value store
  * @param zones all zones of the cluster
- * @param maxClockErrorMs bound of the difference between the time of day and true time
+ * @param maxClockErrorMs upper bound of the difference between a machine's time of day and the true
+ *     time
  * @param teams all teams that may submit jobs
  * @param objectives the service-level objectives
- * @param workers the workers' intervals and leases
+ * @param workers intervals and leases of the workers
  * @param state limits of the key-value store
  * @param cloud limits of the cloud's interface
  * @param limits limits of this process
@@ -38,10 +39,13 @@
     Cloud cloud,
     Limits limits) {
 
-  /** Steady clocks of two machines differ by no more than this share; doubled for safety. */
+  /**
+   * Upper bound of the drift between the monotonic clocks of two machines, as a share of the
+   * elapsed time; doubled for safety.
+   */
   public static final double CLOCK_DRIFT = 0.001;
 
-  /** Share of a cancellation's time that leases may take; the rest is for processing. */
+  /** Share of the time limit of a cancellation that leases may use; the rest is for processing. */
   private static final double CANCELLATION_LEASES_SHARE = 0.95;
 
   private static final double MS_PER_S = 1000;
@@ -56,20 +60,21 @@
   /**
    * A team and its quota.
    *
-   * @param cpus CPUs of the guaranteed share
-   * @param cpusMax the most CPUs that its tasks may use; 0: no limit
-   * @param gpus GPUs of the guaranteed share
-   * @param gpusMax the most GPUs that its tasks may use; 0: no limit
+   * @param cpus CPUs of the team's guaranteed share
+   * @param cpusMax quota: the maximum number of CPUs that the team's tasks may use; 0 if unlimited
+   * @param gpus GPUs of the team's guaranteed share
+   * @param gpusMax quota: the maximum number of GPUs that the team's tasks may use; 0 if unlimited
    */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
   /**
-   * A service-level objective of a class of jobs; it steers scheduling and scaling, never a rule.
+   * A service-level objective of a class of jobs. Scheduling and scaling aim at it but do not
+   * guarantee it.
    *
    * @param kind what is measured, such as {@code wait} or {@code deadline}
-   * @param share of the jobs that should meet it, from 0 to 1
-   * @param times how many times the deadline a job may take
-   * @param withinS seconds within which a job should start; 0 where the objective has none
+   * @param share share of the jobs that should meet the objective, from 0 to 1
+   * @param times the multiple of its deadline that a job may take
+   * @param withinS seconds within which a job should start; 0 if the objective sets no such limit
    */
   public record Objective(
       String kind, String jobClass, double share, double times, double withinS) {}
@@ -77,19 +82,20 @@
   /**
    * Timing of the workers.
    *
-   * @param heartbeatIntervalS seconds between two heartbeats of a worker, give or take a quarter
-   * @param leaseS seconds after which a worker that gets no answer ends its tasks
+   * @param heartbeatIntervalS seconds between two heartbeats of a worker; the actual interval
+   *     varies by up to a quarter
+   * @param leaseS seconds without an answer after which a worker ends its tasks
    * @param cancelS seconds within which all tasks of a cancelled job must be gone
    */
   public record Workers(double heartbeatIntervalS, double leaseS, double cancelS) {}
 
   /**
-   * Limits of the key-value store, which all controllers have together where they are rates.
+   * Limits of the key-value store. All controllers together must keep to the rates.
    *
    * @param rps requests per second
    * @param writeRps changed keys per second
-   * @param valueKb size of a value in KiB
-   * @param txnOps changes in a transaction
+   * @param valueKb maximum size of a value in KiB
+   * @param txnOps maximum number of changes in a transaction
    */
   public record State(double rps, double writeRps, double valueKb, int txnOps) {}
 
@@ -97,23 +103,24 @@
    * Limits of the cloud's interface.
    *
    * @param rps requests per second of all controllers together
-   * @param listLagS seconds by which the list of machines may lag
+   * @param listLagS maximum number of seconds by which the list of machines may be out of date
    */
   public record Cloud(double rps, double listLagS) {}
 
   /**
    * Limits of this process.
    *
-   * @param cpuShare share of one core
-   * @param memoryMb memory, with what is kept in {@code /tmp}
-   * @param maxConnections open sockets
+   * @param cpuShare processor time, as a share of one core
+   * @param memoryMb memory in MB, including the files in {@code /tmp}
+   * @param maxConnections maximum number of open sockets
    */
   public record Limits(double cpuShare, double memoryMb, int maxConnections) {}
 
   /**
-   * How long a controller may act on one renewal of its lease at the key-value store, in ms. The
-   * last fencing token that it gave to a worker may be used for that time plus the worker's lease,
-   * which has to be within the time of a cancellation.
+   * Returns how long a controller may act after it has renewed its lease at the key-value store, in
+   * milliseconds. The last fencing token that the controller gave to a worker remains in use for at
+   * most this time plus the worker's lease, and the sum must stay within the time limit of a
+   * cancellation.
    */
   public long stateLeaseMs() {
     double leasesS = workers.cancelS() * CANCELLATION_LEASES_SHARE;
@@ -121,22 +128,22 @@
         (leasesS - workers.leaseS() * (1 + CLOCK_DRIFT)) * MS_PER_S * (1 - CLOCK_DRIFT));
   }
 
-  /** So many heartbeat intervals of the workers, in ms. */
+  /** Returns the duration of a number of heartbeat intervals in milliseconds. */
   public long heartbeatIntervalsMs(double count) {
     return Math.round(workers.heartbeatIntervalS() * MS_PER_S * count);
   }
 
-  /** The lease of a worker, in ms. */
+  /** Returns the duration of a worker's lease in milliseconds. */
   public long workerLeaseMs() {
     return Math.round(workers.leaseS() * MS_PER_S);
   }
 
-  /** This controller's equal share of a limit that all controllers have together. */
+  /** Returns this controller's equal share of a limit that applies to all controllers together. */
   public double share(double total) {
     return total / (peers.size() + 1);
   }
 
-  /** The team of a name; null where there is none. */
+  /** Returns the team with the given name, or {@code null} if there is none. */
   public Team team(String name) {
     for (Team team : teams) {
       if (team.name().equals(name)) {
--- a/src/main/java/org/fieldtrestle/config/SettingsParser.java
+++ b/src/main/java/org/fieldtrestle/config/SettingsParser.java
@@ -13,14 +13,14 @@
 import java.util.Set;
 import org.fieldtrestle.protocol.JsonTree;
 
-/** Reads the platform's settings file (TOML). Fields that it does not know are ignored. */
+/** Reads the platform's settings file (TOML). Unknown fields are ignored. */
 public final class SettingsParser {
   private SettingsParser() {}
 
   /**
    * Reads a file.
    *
-   * @throws InvalidSettingException if it cannot be read, or a field is missing or invalid
+   * @throws InvalidSettingException if the file cannot be read, or a field is missing or invalid
    */
   public static Settings read(Path file) throws InvalidSettingException {
     String text;
@@ -33,12 +33,12 @@
   }
 
   /**
-   * Reads the text of a file.
+   * Parses the text of a file.
    *
    * @throws InvalidSettingException if a field is missing or invalid
    */
   public static Settings parse(String text) throws InvalidSettingException {
-    SettingsTable file = new SettingsTable(tree(text), "");
+    SettingsTable file = new SettingsTable(parseToml(text), "");
     String label = file.text("label");
     List<Settings.Peer> peers = peers(file, label);
     SettingsTable endpoints = file.table("endpoints");
@@ -59,7 +59,7 @@
             endpoints.address("cloud"),
             endpoints.address("state"),
             cluster.texts("zones"),
-            cluster.atLeastZero("skew_ms"),
+            cluster.nonNegative("skew_ms"),
             teams,
             objectives,
             workers(workers),
@@ -70,7 +70,7 @@
     return settings;
   }
 
-  private static JsonNode tree(String text) throws InvalidSettingException {
+  private static JsonNode parseToml(String text) throws InvalidSettingException {
     try (JsonParser parser = new TomlFactory().createParser(text)) {
       return JsonTree.readSingle(parser);
     } catch (JsonProcessingException e) {
@@ -89,7 +89,8 @@
       Settings.Peer peer =
           new Settings.Peer(table.text("label"), table.text("site"), table.address("peer_addr"));
       if (!labels.add(peer.label())) {
-        throw new InvalidSettingException(table.fullName("label"), "used twice: " + peer.label());
+        throw new InvalidSettingException(
+            table.fullName("label"), "duplicate label: " + peer.label());
       }
       peers.add(peer);
     }
@@ -102,10 +103,10 @@
       teams.add(
           new Settings.Team(
               team.text("name"),
-              team.atLeastZero("cpus"),
-              team.atLeastZero("cpus_max"),
-              team.atLeastZero("gpus"),
-              team.atLeastZero("gpus_max")));
+              team.nonNegative("cpus"),
+              team.nonNegative("cpus_max"),
+              team.nonNegative("gpus"),
+              team.nonNegative("gpus_max")));
     }
     return List.copyOf(teams);
   }
--- a/src/main/java/org/fieldtrestle/protocol/CloudProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/CloudProtocol.java
@@ -6,24 +6,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The cloud's interface: machine types, rentals, returns and the list of rented machines. */
+/**
+ * Paths and messages of the cloud's interface: machine types, rentals, returns and the list of
+ * rented machines.
+ */
 public final class CloudProtocol {
-  /** Where machine types are read. */
+  /** Path for reading the machine types. */
   public static final String TYPES_PATH = "/flavors";
 
-  /** Where machines are rented and listed. */
+  /** Path for renting machines and listing the rented ones. */
   public static final String MACHINES_PATH = "/machines";
 
-  /** Where machines are returned. */
+  /** Path for returning machines. */
   public static final String RETURN_PATH = "/machines/return";
 
-  /** The most machines that one request rents. */
+  /** Maximum number of machines that one request can rent. */
   public static final int MAX_RENT = 50;
 
-  /** The most machines that one request returns. */
+  /** Maximum number of machines that one request can return. */
   public static final int MAX_RETURN = 100;
 
-  /** How many machines are listed at once. */
+  /** Maximum number of machines on one page of the machine list. */
   public static final int PAGE_SIZE = 500;
 
   private static final String NO_CAPACITY = "no capacity";
@@ -31,9 +34,9 @@
   private CloudProtocol() {}
 
   /**
-   * Reads the machine types, of which there is at least one.
+   * Reads the machine types.
    *
-   * @throws MalformedJsonException if the body breaks the protocol
+   * @throws MalformedJsonException if the body violates the protocol or lists no machine type
    */
   public static List<MachineType> readTypes(byte[] body) throws MalformedJsonException {
     List<MachineType> types = new ArrayList<>();
@@ -63,15 +66,16 @@
   }
 
   /**
-   * Writes a request for machines.
+   * Writes a request to rent machines.
    *
-   * @param request an id; a request that is repeated under it rents nothing more
+   * @param requestId id of the request; repeating a request under the same id rents no further
+   *     machines
    */
   public static byte[] writeRental(
-      String request, String type, String zone, boolean spot, int count) {
+      String requestId, String type, String zone, boolean spot, int count) {
     return Json.bytes(
         Json.object()
-            .put("hire", request)
+            .put("hire", requestId)
             .put("rig", type)
             .put("yard", zone)
             .put("loaners", spot)
@@ -79,9 +83,9 @@
   }
 
   /**
-   * Reads the names of the machines that were rented.
+   * Reads the names of the rented machines from the answer to a rental.
    *
-   * @throws MalformedJsonException if the body breaks the protocol
+   * @throws MalformedJsonException if the body violates the protocol
    */
   public static List<String> readRentedMachines(byte[] body) throws MalformedJsonException {
     JsonNode benches = Json.parse(body).path("benches");
@@ -93,7 +97,7 @@
     return names;
   }
 
-  /** Whether a request for machines was refused because the cloud has none of the kind now. */
+  /** Whether the cloud refused a rental because it has no free machine of the requested kind. */
   public static boolean isNoCapacity(byte[] body) {
     return Json.parseOrEmpty(body).path("error").asText("").equals(NO_CAPACITY);
   }
@@ -106,7 +110,11 @@
     return Json.bytes(json);
   }
 
-  /** The path of the page after a machine's name, or of the first one where that is empty. */
+  /**
+   * Returns the path for reading one page of the machine list.
+   *
+   * @param after the machine name after which the page begins; empty for the first page
+   */
   public static String listPath(String after) {
     return MACHINES_PATH + "?most=" + PAGE_SIZE + (after.isEmpty() ? "" : "&from=" + after);
   }
@@ -114,7 +122,7 @@
   /**
    * Reads a page of the machine list.
    *
-   * @throws MalformedJsonException if the body breaks the protocol
+   * @throws MalformedJsonException if the body violates the protocol
    */
   public static MachinePage readPage(byte[] body) throws MalformedJsonException {
     JsonNode json = Json.parse(body);
--- a/src/main/java/org/fieldtrestle/protocol/ExitCause.java
+++ b/src/main/java/org/fieldtrestle/protocol/ExitCause.java
@@ -1,19 +1,19 @@
 package org.fieldtrestle.protocol;
 
-/** Why a task exited, or was not started. */
+/** The reason why a task exited or was not started. */
 public enum ExitCause {
-  /** It has not exited, or the worker does not say. */
+  /** The task has not exited, or the worker reports no cause. */
   NONE,
-  /** It completed. */
+  /** The task completed. */
   DONE,
-  /** It was stopped by command, or with the other tasks of its gang. */
+  /** The task was stopped by a command, or together with the other tasks of its gang. */
   STOPPED,
-  /** It failed. */
+  /** The task failed. */
   ERROR,
-  /** Not started: the machine has too little room. */
+  /** The task was not started: the machine has too few free resources. */
   NO_ROOM,
-  /** Not started: another attempt of the task is on the machine. */
+  /** The task was not started: another attempt of the task is on the machine. */
   BUSY,
-  /** Not started: the worker found no such job or task. */
+  /** The task was not started: the worker does not know the job or the task. */
   UNKNOWN
 }
--- a/src/main/java/org/fieldtrestle/protocol/FreeCapacity.java
+++ b/src/main/java/org/fieldtrestle/protocol/FreeCapacity.java
@@ -1,4 +1,4 @@
 package org.fieldtrestle.protocol;
 
-/** Free room of one kind in a zone, at one shard. */
+/** The free resources of one shard's machines in a zone. */
 public record FreeCapacity(String zone, double cpus, double gpus, double memoryGb) {}
--- a/src/main/java/org/fieldtrestle/protocol/HeartbeatReader.java
+++ b/src/main/java/org/fieldtrestle/protocol/HeartbeatReader.java
@@ -8,14 +8,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads heartbeats token by token: they are most of what a controller receives, and a tree of each
- * would cost several times as much. One reader reads one heartbeat.
+ * Reads a heartbeat token by token. Heartbeats are most of what a controller receives, and building
+ * a tree of each would cost several times as much. Each instance reads a single heartbeat.
  */
 final class HeartbeatReader {
-  private static final Pattern MACHINE = Pattern.compile("[A-Za-z0-9._-]{1,100}");
+  private static final Pattern MACHINE_NAME = Pattern.compile("[A-Za-z0-9._-]{1,100}");
   private static final Pattern ADDRESS = Pattern.compile("[0-9.]{7,15}:[0-9]{1,5}");
 
-  /** More tasks than any machine can hold. */
+  /** Maximum number of tasks in a heartbeat; no machine can hold that many. */
   private static final int MAX_TASKS = 10_000;
 
   private static final long ABSENT = -1;
@@ -38,54 +38,54 @@
 
   static Heartbeat read(byte[] body) throws MalformedJsonException {
     try (JsonParser parser = Json.parser(body)) {
-      return new HeartbeatReader(parser).heartbeat();
+      return new HeartbeatReader(parser).readHeartbeat();
     } catch (IOException e) {
       throw new MalformedJsonException("not JSON");
     }
   }
 
-  private Heartbeat heartbeat() throws IOException, MalformedJsonException {
+  private Heartbeat readHeartbeat() throws IOException, MalformedJsonException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
       throw new MalformedJsonException("not an object");
     }
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String field = parser.currentName();
       parser.nextToken();
-      read(field);
+      readField(field);
     }
     if (parser.nextToken() != null) {
       throw new MalformedJsonException("not JSON");
     }
     return new Heartbeat(
-        matching(MACHINE, machine, "bench"),
-        matching(ADDRESS, address, "address"),
-        present(type, "rig"),
-        present(zone, "yard"),
-        present(spot, "loaners"),
-        present(incarnation, "shift"),
-        present(sequence, "tally"),
-        present(fencingToken, "warrant"),
+        requireMatch(MACHINE_NAME, machine, "bench"),
+        requireMatch(ADDRESS, address, "address"),
+        requirePresent(type, "rig"),
+        requirePresent(zone, "yard"),
+        requirePresent(spot, "loaners"),
+        requirePresent(incarnation, "shift"),
+        requirePresent(sequence, "tally"),
+        requirePresent(fencingToken, "warrant"),
         spotNoticeS,
         tasks);
   }
 
-  private void read(String field) throws IOException, MalformedJsonException {
+  private void readField(String field) throws IOException, MalformedJsonException {
     switch (field) {
-      case "bench" -> machine = text(field);
-      case "address" -> address = text(field);
-      case "rig" -> type = text(field);
-      case "yard" -> zone = text(field);
-      case "loaners" -> spot = flag(field);
-      case "shift" -> incarnation = count(field);
-      case "tally" -> sequence = count(field);
-      case "warrant" -> fencingToken = count(field);
-      case "recallS" -> spotNoticeS = isNull() ? ABSENT : amount(field);
-      case "boards" -> tasks = isNull() ? List.of() : taskList();
+      case "bench" -> machine = readText(field);
+      case "address" -> address = readText(field);
+      case "rig" -> type = readText(field);
+      case "yard" -> zone = readText(field);
+      case "loaners" -> spot = readBoolean(field);
+      case "shift" -> incarnation = readCount(field);
+      case "tally" -> sequence = readCount(field);
+      case "warrant" -> fencingToken = readCount(field);
+      case "recallS" -> spotNoticeS = isNull() ? ABSENT : readAmount(field);
+      case "boards" -> tasks = isNull() ? List.of() : readTasks();
       default -> parser.skipChildren();
     }
   }
 
-  private List<TaskStatus> taskList() throws IOException, MalformedJsonException {
+  private List<TaskStatus> readTasks() throws IOException, MalformedJsonException {
     if (parser.currentToken() != JsonToken.START_ARRAY) {
       throw new MalformedJsonException("boards");
     }
@@ -94,12 +94,12 @@
       if (list.size() == MAX_TASKS || parser.currentToken() != JsonToken.START_OBJECT) {
         throw new MalformedJsonException("boards");
       }
-      list.add(task());
+      list.add(readTask());
     }
     return list;
   }
 
-  private TaskStatus task() throws IOException, MalformedJsonException {
+  private TaskStatus readTask() throws IOException, MalformedJsonException {
     String id = null;
     long attempt = ABSENT;
     TaskState state = null;
@@ -108,39 +108,39 @@
       String field = parser.currentName();
       parser.nextToken();
       switch (field) {
-        case "board" -> id = text(field);
-        case "try" -> attempt = count(field);
-        case "stage" -> state = state(text(field));
-        case "cause" -> cause = cause();
+        case "board" -> id = readText(field);
+        case "try" -> attempt = readCount(field);
+        case "stage" -> state = parseState(readText(field));
+        case "cause" -> cause = readCause();
         default -> parser.skipChildren();
       }
     }
     return new TaskStatus(
-        TaskId.parse(present(id, "board")),
-        present(attempt, "try"),
-        present(state, "stage"),
+        TaskId.parse(requirePresent(id, "board")),
+        requirePresent(attempt, "try"),
+        requirePresent(state, "stage"),
         cause);
   }
 
-  private static TaskState state(String stage) {
+  private static TaskState parseState(String stage) {
     return switch (stage) {
       case "running" -> TaskState.RUNNING;
       case "saving" -> TaskState.SAVING;
       case "exited" -> TaskState.EXITED;
-      // "fetching", "waiting" of a gang's task, and what a later worker may call a task that does
-      // not run yet
+      // "fetching"; "waiting", for a task of a gang; and any state that a later version of the
+      // worker may report for a task that does not run yet.
       default -> TaskState.FETCHING;
     };
   }
 
-  private ExitCause cause() throws IOException {
+  private ExitCause readCause() throws IOException {
     if (parser.currentToken().isStructStart()) {
       parser.skipChildren();
       return ExitCause.NONE;
     }
     return switch (parser.getValueAsString("")) {
       case "done" -> ExitCause.DONE;
-      // The latter two: the other tasks of the gang did not start, or have ended.
+      // "peers" and "alone": the other tasks of the gang did not start or have ended.
       case "halted", "peers", "alone" -> ExitCause.STOPPED;
       case "full" -> ExitCause.NO_ROOM;
       case "in_use" -> ExitCause.BUSY;
@@ -154,22 +154,22 @@
     return parser.currentToken() == JsonToken.VALUE_NULL;
   }
 
-  private String text(String field) throws IOException, MalformedJsonException {
+  private String readText(String field) throws IOException, MalformedJsonException {
     if (parser.currentToken() != JsonToken.VALUE_STRING) {
       throw new MalformedJsonException(field);
     }
     return parser.getText();
   }
 
-  private boolean flag(String field) throws IOException, MalformedJsonException {
+  private boolean readBoolean(String field) throws IOException, MalformedJsonException {
     if (!parser.currentToken().isBoolean()) {
       throw new MalformedJsonException(field);
     }
     return parser.getBooleanValue();
   }
 
-  /** A count; those beyond a signed long, though the protocol allows them, are refused. */
-  private long count(String field) throws IOException, MalformedJsonException {
+  /** Reads a count. Rejects counts that exceed a signed long, although the protocol allows them. */
+  private long readCount(String field) throws IOException, MalformedJsonException {
     if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT
         || parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
         || parser.getLongValue() < 0) {
@@ -178,7 +178,7 @@
     return parser.getLongValue();
   }
 
-  private double amount(String field) throws IOException, MalformedJsonException {
+  private double readAmount(String field) throws IOException, MalformedJsonException {
     if (!parser.currentToken().isNumeric()) {
       throw new MalformedJsonException(field);
     }
@@ -189,21 +189,21 @@
     return value;
   }
 
-  private static <T> T present(T value, String field) throws MalformedJsonException {
+  private static <T> T requirePresent(T value, String field) throws MalformedJsonException {
     if (value == null) {
       throw new MalformedJsonException(field);
     }
     return value;
   }
 
-  private static long present(long value, String field) throws MalformedJsonException {
+  private static long requirePresent(long value, String field) throws MalformedJsonException {
     if (value == ABSENT) {
       throw new MalformedJsonException(field);
     }
     return value;
   }
 
-  private static String matching(Pattern pattern, String text, String field)
+  private static String requireMatch(Pattern pattern, String text, String field)
       throws MalformedJsonException {
     if (text == null || !pattern.matcher(text).matches()) {
       throw new MalformedJsonException(field);
--- a/src/main/java/org/fieldtrestle/protocol/JobSpec.java
+++ b/src/main/java/org/fieldtrestle/protocol/JobSpec.java
@@ -5,24 +5,25 @@
 /**
  * A job as its user submitted it.
  *
- * @param id unique id, chosen by the user
- * @param jobClass names the class of jobs that service-level objectives are set for
+ * @param id unique id, which the user chooses
+ * @param jobClass name of the job's class; service-level objectives are set for each class
  * @param team the team whose quota and guaranteed share apply
- * @param tasks how many tasks it has, numbered from 0
+ * @param tasks number of tasks; their indexes begin with 0
  * @param cpus CPUs of one task
  * @param gpus GPUs of one task
  * @param memoryGb memory of one task
  * @param image the image that a machine must have before a task can start
  * @param imageGb size of the image
- * @param types names of the allowed machine types; empty where any will do
- * @param zone the only allowed zone; null where any will do
+ * @param types names of the allowed machine types; empty if all types are allowed
+ * @param zone the only allowed zone; {@code null} if all zones are allowed
  * @param oneZone whether all tasks must be in the same zone
  * @param spread whether at most half of the tasks, rounded up, may be in one zone
- * @param spot whether spot machines will do
- * @param estimateS the owner's estimate of a task's run time in seconds, often wrong
- * @param checkpointS interval in seconds after which a task saves a checkpoint; 0: it never does
- * @param saveS seconds that a task needs to save when it is stopped
- * @param deadlineS seconds from its submission until it should be done; below 0: no deadline
+ * @param spot whether the tasks may run on spot machines
+ * @param estimateS the user's estimate of a task's run time in seconds, which is often wrong
+ * @param checkpointS interval in seconds between two checkpoints of a task; 0 if tasks save none
+ * @param saveS seconds that a task needs to save a checkpoint when it is stopped
+ * @param deadlineS seconds from the submission until the job should be done; negative if it has no
+ *     deadline
  */
 public record JobSpec(
     String id,
@@ -46,9 +47,9 @@
     double saveS,
     double deadlineS) {
 
-  /** How the tasks of a job belong together. */
+  /** How the tasks of a job depend on each other. */
   public enum Kind {
-    /** Independent tasks, each of which runs to its end. */
+    /** Independent tasks, each of which runs to completion. */
     ARRAY,
     /** Tasks that start, run and stop together. */
     GANG,
@@ -56,17 +57,17 @@
     SERVICE
   }
 
-  /** Whether all tasks need their room at the same time. */
+  /** Whether all tasks need their resources at the same time. */
   public boolean isCoScheduled() {
     return kind != Kind.ARRAY;
   }
 
-  /** Whether a task that is stopped can keep its progress. */
+  /** Whether a task that is stopped can keep its progress in a checkpoint. */
   public boolean hasCheckpoints() {
     return checkpointS > 0;
   }
 
-  /** How many tasks may be in one zone at a time. */
+  /** Returns the maximum number of tasks that may be in one zone at a time. */
   public int zoneLimit() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/org/fieldtrestle/protocol/JobSpecCodec.java
+++ b/src/main/java/org/fieldtrestle/protocol/JobSpecCodec.java
@@ -6,7 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The JSON form of a job, in which users submit it and in which it is stored. */
+/**
+ * Reads and writes the JSON form of a job, in which users submit jobs and controllers store them.
+ */
 public final class JobSpecCodec {
   private static final int MAX_NAME_LENGTH = 512;
   private static final double NO_DEADLINE = -1;
@@ -16,19 +18,20 @@
   /**
    * Reads a job.
    *
-   * @throws MalformedJsonException if a field is missing or invalid; the message names it
+   * @throws MalformedJsonException if a field is missing or invalid; the message is the field's
+   *     name
    */
   public static JobSpec read(JsonNode json) throws MalformedJsonException {
     String id = Json.text(json, "uid");
     if (!UserProtocol.isValidJobId(id)) {
       throw new MalformedJsonException("uid");
     }
-    JobSpec.Kind kind = kind(Json.text(json, "cut"));
+    JobSpec.Kind kind = parseKind(Json.text(json, "cut"));
     long tasks = Json.count(json, "boards");
     if (tasks > UserProtocol.MAX_TASKS) {
       throw new MalformedJsonException("boards");
     }
-    List<String> types = machineTypes(json);
+    List<String> types = readMachineTypes(json);
     double cpus = Json.amount(json, "cpus");
     double gpus = Json.amount(json, "gpus");
     double memoryGb = Json.amount(json, "memoryGb");
@@ -37,29 +40,29 @@
     }
     return new JobSpec(
         id,
-        name(json, "lot"),
-        name(json, "crew"),
+        readName(json, "lot"),
+        readName(json, "crew"),
         kind,
-        priority(Json.text(json, "urgency")),
+        parsePriority(Json.text(json, "urgency")),
         (int) tasks,
         cpus,
         gpus,
         memoryGb,
-        name(json, "blueprint"),
+        readName(json, "blueprint"),
         Json.amount(json, "pullGb"),
         types,
-        Json.absent(json, "yard") ? null : name(json, "yard"),
+        Json.isAbsent(json, "yard") ? null : readName(json, "yard"),
         Json.flag(json, "together"),
         Json.flag(json, "scatter"),
         Json.flag(json, "loaners"),
         Json.amount(json, "expectedS"),
         Json.amount(json, "tallyS"),
         Json.amount(json, "stackS"),
-        Json.absent(json, "dueS") ? NO_DEADLINE : Json.amount(json, "dueS"));
+        Json.isAbsent(json, "dueS") ? NO_DEADLINE : Json.amount(json, "dueS"));
   }
 
-  private static List<String> machineTypes(JsonNode json) throws MalformedJsonException {
-    if (Json.absent(json, "rigs")) {
+  private static List<String> readMachineTypes(JsonNode json) throws MalformedJsonException {
+    if (Json.isAbsent(json, "rigs")) {
       return List.of();
     }
     JsonNode rigs = json.get("rigs");
@@ -71,23 +74,23 @@
       if (!type.isTextual()) {
         throw new MalformedJsonException("rigs");
       }
-      types.add(checkedName(type.textValue(), "rigs"));
+      types.add(requireValidName(type.textValue(), "rigs"));
     }
     return List.copyOf(types);
   }
 
-  private static String name(JsonNode json, String field) throws MalformedJsonException {
-    return checkedName(Json.text(json, field), field);
+  private static String readName(JsonNode json, String field) throws MalformedJsonException {
+    return requireValidName(Json.text(json, field), field);
   }
 
-  private static String checkedName(String text, String field) throws MalformedJsonException {
+  private static String requireValidName(String text, String field) throws MalformedJsonException {
     if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
       throw new MalformedJsonException(field);
     }
     return text;
   }
 
-  private static JobSpec.Kind kind(String text) throws MalformedJsonException {
+  private static JobSpec.Kind parseKind(String text) throws MalformedJsonException {
     return switch (text) {
       case "array" -> JobSpec.Kind.ARRAY;
       case "group" -> JobSpec.Kind.GANG;
@@ -96,7 +99,7 @@
     };
   }
 
-  private static String text(JobSpec.Kind kind) {
+  private static String wireName(JobSpec.Kind kind) {
     return switch (kind) {
       case ARRAY -> "array";
       case GANG -> "group";
@@ -104,7 +107,7 @@
     };
   }
 
-  private static Priority priority(String text) throws MalformedJsonException {
+  private static Priority parsePriority(String text) throws MalformedJsonException {
     return switch (text) {
       case "critical" -> Priority.CRITICAL;
       case "urgent" -> Priority.URGENT;
@@ -114,7 +117,7 @@
     };
   }
 
-  private static String text(Priority priority) {
+  private static String wireName(Priority priority) {
     return switch (priority) {
       case CRITICAL -> "critical";
       case URGENT -> "urgent";
@@ -129,8 +132,8 @@
     json.put("uid", spec.id());
     json.put("lot", spec.jobClass());
     json.put("crew", spec.team());
-    json.put("cut", text(spec.kind()));
-    json.put("urgency", text(spec.priority()));
+    json.put("cut", wireName(spec.kind()));
+    json.put("urgency", wireName(spec.priority()));
     json.put("boards", spec.tasks());
     json.put("cpus", spec.cpus());
     json.put("gpus", spec.gpus());
--- a/src/main/java/org/fieldtrestle/protocol/JobStage.java
+++ b/src/main/java/org/fieldtrestle/protocol/JobStage.java
@@ -1,14 +1,14 @@
 package org.fieldtrestle.protocol;
 
-/** The stage of a job in answers to its user. */
+/** The stage of a job, as answers to users report it. */
 public enum JobStage {
   /** No task runs. */
   QUEUED("queued"),
-  /** Some task runs. */
+  /** At least one task runs. */
   RUNNING("running"),
-  /** All tasks are done; final. */
+  /** All tasks are done. This stage is final. */
   DONE("done"),
-  /** The user has cancelled it; final. */
+  /** The user has cancelled the job. This stage is final. */
   CANCELLED("cancelled");
 
   private final String wireName;
--- a/src/main/java/org/fieldtrestle/protocol/Json.java
+++ b/src/main/java/org/fieldtrestle/protocol/Json.java
@@ -11,38 +11,38 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Reads and writes JSON, and checks the fields of foreign JSON. May be used by every thread. */
+/** Reads and writes JSON, and checks the fields of received JSON. All methods are thread-safe. */
 public final class Json {
-  /** Enough for most bodies that are written field by field. */
+  /** Initial size of the output buffer; enough for most bodies that are written field by field. */
   private static final int INITIAL_BYTES = 256;
 
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private Json() {}
 
-  /** A new object without fields. */
+  /** Returns a new object without fields. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** A new array without items. */
+  /** Returns a new array without items. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
   /** Writes a tree as UTF-8. */
   public static byte[] bytes(JsonNode json) {
-    return generated(out -> JsonTree.write(out, json));
+    return generate(out -> JsonTree.write(out, json));
   }
 
-  /** Writes the fields of an object. */
-  interface FieldWriter {
+  /** Writes JSON content to a generator. */
+  interface ContentWriter {
     void write(JsonGenerator out) throws IOException;
   }
 
-  /** An object whose fields are written one by one, without a tree of them. */
-  static byte[] write(FieldWriter fields) {
-    return generated(
+  /** Writes an object field by field, without building a tree first. */
+  static byte[] writeObject(ContentWriter fields) {
+    return generate(
         out -> {
           out.writeStartObject();
           fields.write(out);
@@ -50,25 +50,25 @@
         });
   }
 
-  private static byte[] generated(FieldWriter content) {
+  private static byte[] generate(ContentWriter content) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
     try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
       content.write(out);
     } catch (IOException e) {
-      throw new UncheckedIOException("bytes can always be written", e);
+      throw new UncheckedIOException("cannot write JSON to memory", e);
     }
     return bytes.toByteArray();
   }
 
-  /** Reads a body token by token. */
+  /** Returns a parser that reads a body token by token. */
   static JsonParser parser(byte[] body) throws IOException {
     return FACTORY.createParser(body);
   }
 
   /**
-   * Reads a body that must be one object.
+   * Reads a body, which must be a single object.
    *
-   * @throws MalformedJsonException if it is not
+   * @throws MalformedJsonException if the body is anything else
    */
   public static JsonNode parse(byte[] body) throws MalformedJsonException {
     JsonNode json;
@@ -83,7 +83,7 @@
     return json;
   }
 
-  /** Like {@link #parse}, but an empty object where the body is malformed. */
+  /** Like {@link #parse}, but returns an empty object if the body is malformed. */
   public static JsonNode parseOrEmpty(byte[] body) {
     try {
       return parse(body);
@@ -92,16 +92,16 @@
     }
   }
 
-  /** Whether a field is missing or null, which mean the same. */
-  static boolean absent(JsonNode json, String field) {
+  /** Whether a field is missing or null; the protocols treat both the same. */
+  static boolean isAbsent(JsonNode json, String field) {
     JsonNode value = json.get(field);
     return value == null || value.isNull();
   }
 
   /**
-   * A required text.
+   * Returns the value of a required text field.
    *
-   * @throws MalformedJsonException if the field is missing or no text
+   * @throws MalformedJsonException if the field is missing or not a text
    */
   public static String text(JsonNode json, String field) throws MalformedJsonException {
     JsonNode value = json.path(field);
@@ -112,9 +112,9 @@
   }
 
   /**
-   * A required boolean.
+   * Returns the value of a required boolean field.
    *
-   * @throws MalformedJsonException if the field is missing or no boolean
+   * @throws MalformedJsonException if the field is missing or not a boolean
    */
   static boolean flag(JsonNode json, String field) throws MalformedJsonException {
     JsonNode value = json.path(field);
@@ -125,9 +125,9 @@
   }
 
   /**
-   * A required amount: a finite number from 0.
+   * Returns the value of a required field that holds a finite number of at least 0.
    *
-   * @throws MalformedJsonException if the field is missing or no such number
+   * @throws MalformedJsonException if the field is missing or has another value
    */
   static double amount(JsonNode json, String field) throws MalformedJsonException {
     JsonNode value = json.path(field);
@@ -138,10 +138,10 @@
   }
 
   /**
-   * A required count: a whole number from 0. Those beyond a signed long, though the protocols allow
-   * them, are refused.
+   * Returns the value of a required field that holds a whole number of at least 0. Rejects numbers
+   * that exceed a signed long, although the protocols allow them.
    *
-   * @throws MalformedJsonException if the field is missing or no such number
+   * @throws MalformedJsonException if the field is missing or has another value
    */
   public static long count(JsonNode json, String field) throws MalformedJsonException {
     JsonNode value = json.path(field);
--- a/src/main/java/org/fieldtrestle/protocol/JsonTree.java
+++ b/src/main/java/org/fieldtrestle/protocol/JsonTree.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 
 /**
- * Reads trees from Jackson's parsers and writes them to its generators. An {@code ObjectMapper}
- * does the same, but sets up formats of dates and inspection of classes that nothing here uses,
- * which takes tens of milliseconds of processor time at each start.
+ * Reads JSON trees from Jackson's parsers and writes them to its generators. Jackson's {@code
+ * ObjectMapper} does the same, but also sets up date formats and class introspection, which this
+ * program does not use and which take tens of milliseconds of processor time at each start.
  */
 public final class JsonTree {
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -22,25 +22,25 @@
   private JsonTree() {}
 
   /**
-   * Reads the one value that the input consists of.
+   * Reads the single value of the input.
    *
-   * @return null where there is no value, or more than one
+   * @return {@code null} if the input holds no value or more than one
    * @throws IOException if the input is not well formed
    */
   public static JsonNode readSingle(JsonParser parser) throws IOException {
     if (parser.nextToken() == null) {
       return null;
     }
-    JsonNode value = value(parser);
+    JsonNode value = readValue(parser);
     return parser.nextToken() == null ? value : null;
   }
 
-  private static JsonNode value(JsonParser parser) throws IOException {
+  private static JsonNode readValue(JsonParser parser) throws IOException {
     return switch (parser.currentToken()) {
-      case START_OBJECT -> object(parser);
-      case START_ARRAY -> array(parser);
+      case START_OBJECT -> readObject(parser);
+      case START_ARRAY -> readArray(parser);
       case VALUE_STRING -> NODES.textNode(parser.getText());
-      case VALUE_NUMBER_INT -> integer(parser);
+      case VALUE_NUMBER_INT -> readInteger(parser);
       case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
       case VALUE_TRUE -> NODES.booleanNode(true);
       case VALUE_FALSE -> NODES.booleanNode(false);
@@ -48,25 +48,25 @@
     };
   }
 
-  private static ObjectNode object(JsonParser parser) throws IOException {
+  private static ObjectNode readObject(JsonParser parser) throws IOException {
     ObjectNode object = NODES.objectNode();
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String field = parser.currentName();
       parser.nextToken();
-      object.set(field, value(parser));
+      object.set(field, readValue(parser));
     }
     return object;
   }
 
-  private static ArrayNode array(JsonParser parser) throws IOException {
+  private static ArrayNode readArray(JsonParser parser) throws IOException {
     ArrayNode array = NODES.arrayNode();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      array.add(value(parser));
+      array.add(readValue(parser));
     }
     return array;
   }
 
-  private static JsonNode integer(JsonParser parser) throws IOException {
+  private static JsonNode readInteger(JsonParser parser) throws IOException {
     return switch (parser.getNumberType()) {
       case INT -> NODES.numberNode(parser.getIntValue());
       case LONG -> NODES.numberNode(parser.getLongValue());
@@ -74,7 +74,7 @@
     };
   }
 
-  /** Writes a value with all that is in it. */
+  /** Writes a value with all values nested in it. */
   static void write(JsonGenerator out, JsonNode tree) throws IOException {
     switch (tree.getNodeType()) {
       case OBJECT -> writeObject(out, tree);
--- a/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
@@ -6,49 +6,49 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The key-value store's interface: transactions, leases, listings and watches. */
+/** Paths and messages of the key-value store: transactions, leases, listings and watches. */
 public final class KeyValueProtocol {
-  /** Where keys are listed. */
+  /** Path for listing keys. */
   public static final String KEYS_PATH = "/kv";
 
-  /** Where transactions are sent. */
+  /** Path for transactions. */
   public static final String COMMIT_PATH = "/commit";
 
-  /** Where leases are taken. */
+  /** Path for requesting leases. */
   public static final String LEASES_PATH = "/leases";
 
-  /** Where changes are watched. */
+  /** Path for watching changes. */
   public static final String WATCH_PATH = "/watch";
 
   private static final long NO_LEASE = 0;
 
   private KeyValueProtocol() {}
 
-  /** A key that must have this version still; version 0: that must not exist. */
+  /** A condition of a transaction: the key still has this version, or with 0, does not exist. */
   public record Condition(String key, long version) {}
 
   /** A change of one key. */
   public sealed interface Change {
-    /** The key. */
+    /** Returns the changed key. */
     String key();
   }
 
-  /** Sets a key; it is deleted when the lease ends. Lease 0 is none. */
+  /** Sets a key. The key is deleted when its lease ends; 0 stands for no lease. */
   public record Put(String key, JsonNode value, long lease) implements Change {}
 
   /** Deletes a key. */
   public record Delete(String key) implements Change {}
 
-  /** A key at a version; a null value means that it was deleted there. */
+  /** A key and its value at a version; {@code null} if the key was deleted at that version. */
   public record Entry(String key, JsonNode value, long version) {}
 
-  /** A page of keys at a revision; {@code more} tells whether others follow. */
+  /** A page of keys at a revision; {@code more} tells whether further pages follow. */
   public record Listing(List<Entry> entries, boolean more, long revision) {}
 
-  /** All changes up to a revision, in their order. */
+  /** The changes up to a revision, in the order in which they happened. */
   public record Events(List<Entry> events, long revision) {}
 
-  /** Writes a transaction; one without changes compares only. */
+  /** Writes a transaction. A transaction without changes only checks its conditions. */
   public static byte[] writeTransaction(List<Condition> conditions, List<Change> changes) {
     ObjectNode json = Json.object();
     ArrayNode when = json.putArray("when");
@@ -77,9 +77,10 @@
   }
 
   /**
-   * The path of a page of keys.
+   * Returns the path for listing a page of keys.
    *
-   * @param after the key before the first one; empty to begin with the first of the prefix
+   * @param after the key after which the page begins; empty to begin with the first key of the
+   *     prefix
    */
   public static String listPath(String prefix, String after, int limit) {
     return KEYS_PATH
@@ -90,40 +91,47 @@
         + limit;
   }
 
-  /** The path of a watch for changes after a revision, which waits so long for the first one. */
+  /**
+   * Returns the path of a watch for changes after a revision.
+   *
+   * @param waitMs how long the key-value store waits for the first change before it answers
+   */
   public static String watchPath(String prefix, long after, long waitMs) {
     return WATCH_PATH + "?prefix=" + prefix + "&from=" + after + "&blockMs=" + waitMs;
   }
 
-  /** The path under which a lease is renewed. */
+  /** Returns the path for renewing a lease. */
   public static String renewPath(long lease) {
     return LEASES_PATH + "/" + lease + "/extend";
   }
 
-  /** Writes a request for a lease of a duration. */
+  /** Writes a request for a lease with the given time to live. */
   public static byte[] writeLeaseRequest(long ttlMs) {
     return Json.bytes(Json.object().put("lifeMs", ttlMs));
   }
 
   /**
-   * Reads the id of a lease that was granted.
+   * Reads the id of a granted lease.
    *
-   * @throws MalformedJsonException if the body breaks the protocol
+   * @throws MalformedJsonException if the body violates the protocol
    */
   public static long readLease(byte[] body) throws MalformedJsonException {
     return Json.count(Json.parse(body), "permit");
   }
 
   /**
-   * Reads the revision of an answer to a transaction.
+   * Reads the revision from the answer to a transaction.
    *
-   * @throws MalformedJsonException if the body breaks the protocol
+   * @throws MalformedJsonException if the body violates the protocol
    */
   public static long readRevision(byte[] body) throws MalformedJsonException {
     return Json.count(Json.parse(body), "ledger");
   }
 
-  /** Reads the keys whose conditions failed; empty where the answer does not name them. */
+  /**
+   * Reads the keys whose conditions failed from the answer to a transaction. The list is empty if
+   * the answer does not name them.
+   */
   public static List<String> readConflictingKeys(byte[] body) {
     List<String> keys = new ArrayList<>();
     Json.parseOrEmpty(body).path("failed").forEach(key -> keys.add(key.asText()));
@@ -133,7 +141,7 @@
   /**
    * Reads a page of keys.
    *
-   * @throws MalformedJsonException if the body breaks the protocol
+   * @throws MalformedJsonException if the body violates the protocol
    */
   public static Listing readListing(byte[] body) throws MalformedJsonException {
     JsonNode json = Json.parse(body);
@@ -147,7 +155,7 @@
   /**
    * Reads the answer to a watch.
    *
-   * @throws MalformedJsonException if the body breaks the protocol
+   * @throws MalformedJsonException if the body violates the protocol
    */
   public static Events readEvents(byte[] body) throws MalformedJsonException {
     JsonNode json = Json.parse(body);
--- a/src/main/java/org/fieldtrestle/protocol/ListedMachine.java
+++ b/src/main/java/org/fieldtrestle/protocol/ListedMachine.java
@@ -1,14 +1,14 @@
 package org.fieldtrestle.protocol;
 
 /**
- * A rented machine as the cloud lists it.
+ * A rented machine in the cloud's list.
  *
- * @param machine its name
- * @param address host and port of its worker; empty where the cloud does not say
- * @param type the machine type's name
- * @param spot whether it is a spot machine
- * @param starting whether it still boots
- * @param failed whether it will never come up
+ * @param machine name of the machine
+ * @param address host and port of the machine's worker; empty if the cloud's list has none
+ * @param type name of the machine type
+ * @param spot whether this is a spot machine
+ * @param starting whether the machine is still booting
+ * @param failed whether the machine failed to boot and will never come up
  * @param ageS seconds since the rental
  */
 public record ListedMachine(
--- a/src/main/java/org/fieldtrestle/protocol/MachineType.java
+++ b/src/main/java/org/fieldtrestle/protocol/MachineType.java
@@ -5,12 +5,12 @@
 /**
  * A type of machine that the cloud rents out.
  *
- * @param cacheGb room for images on the machine
- * @param fetchGbPerS rate at which it fetches images, 0 where that is not known
- * @param price per hour
- * @param spotPrice per hour as a spot machine, 0 where there are none
- * @param bootS usual time in seconds from the rental until the worker reports
- * @param zones where it can be rented
+ * @param cacheGb size of the machine's image cache
+ * @param fetchGbPerS rate at which the machine fetches images; 0 if unknown
+ * @param price price per hour
+ * @param spotPrice price per hour of a spot machine; 0 if the cloud offers none of this type
+ * @param bootS usual time in seconds from the rental until the worker sends its first heartbeat
+ * @param zones zones in which the type can be rented
  */
 public record MachineType(
     String name,
@@ -25,7 +25,9 @@
     List<String> zones) {
   private static final double MAX_TASKS_PER_MACHINE = 10_000;
 
-  /** Amounts are decimal fractions: three times 0.1 must fit into 0.3. */
+  /**
+   * Tolerance for rounding of decimal fractions: three tasks of 0.1 CPUs each must fit into 0.3.
+   */
   private static final double ROUNDING = 1e-6;
 
   /** Whether a task of the job fits on an empty machine. */
@@ -33,7 +35,7 @@
     return cpus >= spec.cpus() && gpus >= spec.gpus() && memoryGb >= spec.memoryGb();
   }
 
-  /** How many tasks of a job fit on an empty machine; at least 1. */
+  /** Returns how many tasks of a job fit on an empty machine, at least 1. */
   public int tasksPerMachine(JobSpec spec) {
     double most = MAX_TASKS_PER_MACHINE;
     if (spec.cpus() > 0) {
@@ -48,12 +50,17 @@
     return Math.max(1, (int) Math.floor(most + ROUNDING));
   }
 
-  /** How long the image of a job takes to fetch if nothing else is fetched, in seconds. */
+  /**
+   * Returns how long a machine takes to fetch the image of a job if it fetches nothing else, in
+   * seconds; 0 if its rate is unknown.
+   */
   public double imageFetchS(JobSpec spec) {
     return fetchGbPerS > 0 ? spec.imageGb() / fetchGbPerS : 0;
   }
 
-  /** Whether the job may run on machines of this type, and fits. */
+  /**
+   * Whether a job may run on machines of this type and one of its tasks fits on an empty machine.
+   */
   public boolean allowedFor(JobSpec spec) {
     return (spec.types().isEmpty() || spec.types().contains(name))
         && (spec.zone() == null || zones.contains(spec.zone()))
--- a/src/main/java/org/fieldtrestle/protocol/MalformedFrameException.java
+++ b/src/main/java/org/fieldtrestle/protocol/MalformedFrameException.java
@@ -1,6 +1,6 @@
 package org.fieldtrestle.protocol;
 
-/** A peer frame that is damaged or of another protocol; the message says which part of it. */
+/** Thrown for a peer frame that is damaged or of another protocol. The message names the fault. */
 public final class MalformedFrameException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/org/fieldtrestle/protocol/MalformedJsonException.java
+++ b/src/main/java/org/fieldtrestle/protocol/MalformedJsonException.java
@@ -1,13 +1,18 @@
 package org.fieldtrestle.protocol;
 
 /**
- * Foreign JSON that breaks its protocol. The message is the name of the first field that is missing
- * or invalid, as it is on the wire, or says that the input is no JSON at all.
+ * Thrown for received JSON that violates its protocol. The message is the name on the wire of the
+ * first field that is missing or invalid, or states that the input is not JSON or not an object.
+ * Users see it in answers.
  */
 public final class MalformedJsonException extends Exception {
   private static final long serialVersionUID = 1;
 
-  /** Creates an exception that names the field, or says what else is wrong. */
+  /**
+   * Creates an exception.
+   *
+   * @param message the name of the field, or another fault
+   */
   public MalformedJsonException(String message) {
     super(message);
   }
--- a/src/main/java/org/fieldtrestle/protocol/PeerFrame.java
+++ b/src/main/java/org/fieldtrestle/protocol/PeerFrame.java
@@ -1,7 +1,9 @@
 package org.fieldtrestle.protocol;
 
 /**
- * A message and the sender's time of day in ms: one that the network has held for long says nothing
- * of now.
+ * A message from another controller.
+ *
+ * @param sentWallMs the sender's time of day in milliseconds when it sent the message; the receiver
+ *     ignores the status in a message that the network delayed for too long
  */
 public record PeerFrame(long sentWallMs, PeerMessage message) {}
--- a/src/main/java/org/fieldtrestle/protocol/PeerMessage.java
+++ b/src/main/java/org/fieldtrestle/protocol/PeerMessage.java
@@ -2,17 +2,17 @@
 
 import java.util.List;
 
-/** A message from one controller to another; {@code sender} is the label of its sender. */
+/** A message from one controller to another; {@code sender} is the sending controller's label. */
 public sealed interface PeerMessage {
 
   /**
-   * How busy one shard is.
+   * The load and the free capacity of one shard.
    *
-   * @param shard the shard, which the sender leads
-   * @param epoch the epoch in which it does
-   * @param waitingCpus CPUs of the tasks that wait for room
-   * @param capacityCpus CPUs of all its machines, also of those that boot
-   * @param freeCapacity what is free now
+   * @param shard name of the shard; the sender is its shard leader
+   * @param epoch the epoch of the sender's leadership term
+   * @param waitingCpus CPUs that the shard's waiting tasks need
+   * @param capacityCpus CPUs of all machines of the shard, including those that are booting
+   * @param freeCapacity resources that are free now, by zone
    */
   record ShardLoad(
       String sender,
@@ -23,17 +23,21 @@
       List<FreeCapacity> freeCapacity)
       implements PeerMessage {}
 
-  /** The sender runs; {@code storeAvailable} tells whether the key-value store answers it. */
+  /**
+   * Shows that the sender runs; {@code storeAvailable} tells whether the key-value store answers
+   * it.
+   */
   record Liveness(String sender, boolean storeAvailable) implements PeerMessage {}
 
   /**
-   * How many machines have lately sent heartbeats to the sender and were redirected to another
-   * controller: if that one hears nothing of them, it is cut off from its workers.
+   * The number of machines that have lately sent heartbeats to the sender and were redirected to
+   * another controller. If the other controller receives no heartbeats from them, it is cut off
+   * from its workers.
    *
-   * @param to the label of the other controller
+   * @param to label of the controller to which the machines were redirected
    */
   record RedirectCount(String sender, String to, int machines) implements PeerMessage {}
 
-  /** A job has been cancelled; sent once that is durable. */
+  /** A job has been cancelled; sent once the cancellation is durable. */
   record JobCancelled(String sender, String job) implements PeerMessage {}
 }
--- a/src/main/java/org/fieldtrestle/protocol/PeerProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/PeerProtocol.java
@@ -7,12 +7,13 @@
 import java.util.List;
 
 /**
- * The protocol between controllers. A frame is a length (4 bytes, of what follows), a magic number
- * (2) and version (1), a kind (1), the sender's time of day in ms (8) and a body. No rule depends
- * on these messages: a lost, late or repeated frame costs time only.
+ * The protocol between controllers. A frame consists of the length of its remainder (4 bytes), a
+ * magic number (2 bytes), a version (1 byte), a kind (1 byte), the sender's time of day in
+ * milliseconds (8 bytes) and a body. No guarantee of the scheduler depends on these messages: a
+ * lost, late or repeated frame costs only time.
  */
 public final class PeerProtocol {
-  /** Largest frame, with its length. */
+  /** Maximum size of a frame, including its length field. */
   public static final int MAX_FRAME_BYTES = 16 * 1024;
 
   private static final short MAGIC = 0x4654;
@@ -26,10 +27,10 @@
 
   private PeerProtocol() {}
 
-  /** Writes a frame with its length, ready to be read from the buffer. */
+  /** Writes a frame with its length field into a new buffer, which is ready to be read. */
   public static ByteBuffer encode(long sentWallMs, PeerMessage message) {
     ByteBuffer out = ByteBuffer.allocate(MAX_FRAME_BYTES);
-    out.putInt(0).putShort(MAGIC).put(VERSION).put(kind(message)).putLong(sentWallMs);
+    out.putInt(0).putShort(MAGIC).put(VERSION).put(kindOf(message)).putLong(sentWallMs);
     if (message instanceof PeerMessage.ShardLoad load) {
       putShardLoad(out, load);
     } else if (message instanceof PeerMessage.Liveness liveness) {
@@ -47,7 +48,7 @@
     return out.flip();
   }
 
-  private static byte kind(PeerMessage message) {
+  private static byte kindOf(PeerMessage message) {
     if (message instanceof PeerMessage.ShardLoad) {
       return SHARD_LOAD;
     }
@@ -78,17 +79,17 @@
   /**
    * Reads a frame.
    *
-   * @param in the frame without its length
-   * @throws MalformedFrameException if it is damaged or of another version
+   * @param in the frame without its length field
+   * @throws MalformedFrameException if the frame is damaged or of another version
    */
   public static PeerFrame decode(ByteBuffer in) throws MalformedFrameException {
     try {
       if (in.getShort() != MAGIC) {
-        throw new MalformedFrameException("magic");
+        throw new MalformedFrameException("wrong magic number");
       }
       byte version = in.get();
       if (version != VERSION) {
-        throw new MalformedFrameException("version " + version);
+        throw new MalformedFrameException("unsupported version " + version);
       }
       byte kind = in.get();
       long sentWallMs = in.getLong();
@@ -98,7 +99,7 @@
       }
       return new PeerFrame(sentWallMs, message);
     } catch (BufferUnderflowException e) {
-      throw new MalformedFrameException("short");
+      throw new MalformedFrameException("truncated frame");
     }
   }
 
@@ -108,7 +109,7 @@
       case LIVENESS -> new PeerMessage.Liveness(getText(in), in.get() != 0);
       case REDIRECT_COUNT -> new PeerMessage.RedirectCount(getText(in), getText(in), getCount(in));
       case JOB_CANCELLED -> new PeerMessage.JobCancelled(getText(in), getText(in));
-      default -> throw new MalformedFrameException("kind " + kind);
+      default -> throw new MalformedFrameException("unknown kind " + kind);
     };
   }
 
@@ -120,7 +121,7 @@
     double capacityCpus = getAmount(in);
     int count = in.get();
     if (count < 0 || count > MAX_ITEMS) {
-      throw new MalformedFrameException("count " + count);
+      throw new MalformedFrameException("invalid count " + count);
     }
     List<FreeCapacity> free = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -139,7 +140,7 @@
   private static int getCount(ByteBuffer in) throws MalformedFrameException {
     int value = in.getInt();
     if (value < 0) {
-      throw new MalformedFrameException("count " + value);
+      throw new MalformedFrameException("invalid count " + value);
     }
     return value;
   }
@@ -147,7 +148,7 @@
   private static double getAmount(ByteBuffer in) throws MalformedFrameException {
     double value = in.getDouble();
     if (!Double.isFinite(value) || value < 0) {
-      throw new MalformedFrameException("amount");
+      throw new MalformedFrameException("invalid amount");
     }
     return value;
   }
--- a/src/main/java/org/fieldtrestle/protocol/Priority.java
+++ b/src/main/java/org/fieldtrestle/protocol/Priority.java
@@ -1,13 +1,13 @@
 package org.fieldtrestle.protocol;
 
-/** The four priorities of jobs, the highest first. */
+/** The priorities of jobs, from the highest to the lowest. */
 public enum Priority {
   CRITICAL,
   URGENT,
   NORMAL,
   LOW;
 
-  /** Whether work of this priority goes before work of the other. */
+  /** Whether jobs of this priority take precedence over jobs of the other. */
   public boolean isHigherThan(Priority other) {
     return compareTo(other) < 0;
   }
--- a/src/main/java/org/fieldtrestle/protocol/TaskId.java
+++ b/src/main/java/org/fieldtrestle/protocol/TaskId.java
@@ -1,11 +1,11 @@
 package org.fieldtrestle.protocol;
 
-/** One task of a job; {@code index} numbers the tasks of the job from 0. */
+/** Identifies a task of a job; {@code index} numbers the tasks of the job from 0. */
 public record TaskId(String job, int index) {
   private static final int MAX_INDEX_DIGITS = 6;
 
   /**
-   * Reads the form that {@link #toString} writes, such as {@code job-000412/3}.
+   * Parses the form that {@link #toString} returns, such as {@code job-000412/3}.
    *
    * @throws MalformedJsonException if the text has another form
    */
@@ -25,7 +25,7 @@
     }
   }
 
-  /** Written out, as the generated method of a record costs several times as much. */
+  /** Replaces the record's generated method, which costs several times as much. */
   @Override
   public boolean equals(Object other) {
     return other instanceof TaskId that && index == that.index && job.equals(that.job);
--- a/src/main/java/org/fieldtrestle/protocol/TaskState.java
+++ b/src/main/java/org/fieldtrestle/protocol/TaskState.java
@@ -1,13 +1,13 @@
 package org.fieldtrestle.protocol;
 
-/** How far a task on a machine has come. */
+/** The state of a task on a machine. */
 public enum TaskState {
-  /** Not running yet: it waits for its image, or for the other tasks of its gang. */
+  /** The task does not run yet: it waits for its image, or for the other tasks of its gang. */
   FETCHING,
-  /** Running. */
+  /** The task is running. */
   RUNNING,
-  /** Was told to stop and saves a checkpoint. */
+  /** The task was told to stop and saves a checkpoint. */
   SAVING,
-  /** Ended; reported until it is cleared. */
+  /** The task has exited; the worker reports it until it is cleared. */
   EXITED
 }
--- a/src/main/java/org/fieldtrestle/protocol/TaskStatus.java
+++ b/src/main/java/org/fieldtrestle/protocol/TaskStatus.java
@@ -1,9 +1,9 @@
 package org.fieldtrestle.protocol;
 
 /**
- * How a task on a machine stands, as its worker reports it.
+ * The status of a task on a machine, as the worker reports it.
  *
- * @param attempt the number of this start of the task
- * @param cause why it exited; {@link ExitCause#NONE} while it has not
+ * @param attempt number of the attempt
+ * @param cause why the task exited; {@link ExitCause#NONE} until then
  */
 public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause) {}
--- a/src/main/java/org/fieldtrestle/protocol/UserProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/UserProtocol.java
@@ -2,31 +2,31 @@
 
 import java.util.regex.Pattern;
 
-/** The users' interface: paths, submissions and answers. */
+/** Paths and messages of the interface for users: submissions and answers. */
 public final class UserProtocol {
-  /** Where jobs are submitted; a job's own path is this, a slash and its id. */
+  /** Path for submitting jobs; the path of a single job is this one, a slash and the job's id. */
   public static final String JOBS_PATH = "/v2/runs";
 
-  /** The last segment of the path under which a job is cancelled. */
+  /** Last segment of the path for cancelling a job. */
   public static final String CANCEL_SEGMENT = "abort";
 
-  /** Where the load balancer asks whether this controller takes requests. */
+  /** Path where the load balancer asks whether this controller accepts requests. */
   public static final String READY_PATH = "/ready";
 
-  /** Where operators read this controller's figures. */
+  /** Path where operators read this controller's statistics. */
   public static final String STATS_PATH = "/stats";
 
-  /** The most tasks of one job. */
+  /** Maximum number of tasks of a job. */
   public static final int MAX_TASKS = 100_000;
 
-  /** For how long a user waits for the answer to a question. */
+  /** How long a user waits for the answer to a query about a job. */
   public static final long POLL_TIMEOUT_MS = 2000;
 
   private static final Pattern JOB_ID = Pattern.compile("job-[0-9]{1,40}");
 
   private UserProtocol() {}
 
-  /** Whether a text has the form of a job's id. */
+  /** Whether a text has the form of a job id. */
   public static boolean isValidJobId(String id) {
     return JOB_ID.matcher(id).matches();
   }
@@ -34,7 +34,7 @@
   /**
    * Reads a submission.
    *
-   * @throws MalformedJsonException if it breaks the protocol; the message names the field
+   * @throws MalformedJsonException if the body violates the protocol; the message names the field
    */
   public static JobSpec readJob(byte[] body) throws MalformedJsonException {
     JobSpec spec = JobSpecCodec.read(Json.parse(body));
@@ -50,10 +50,10 @@
   }
 
   /**
-   * Writes the answer to a question about a job.
+   * Writes the answer to a query about a job.
    *
-   * @param done how many of its tasks are done
-   * @param running how many of its tasks run
+   * @param done number of its tasks that are done
+   * @param running number of its tasks that are running
    */
   public static byte[] writeStatus(String id, JobStage stage, int done, int running) {
     return Json.bytes(
@@ -64,7 +64,7 @@
             .put("running", running));
   }
 
-  /** Writes why a request was refused. */
+  /** Writes the answer to a refused request. */
   public static byte[] writeError(String reason) {
     return Json.bytes(Json.object().put("error", reason));
   }
--- a/src/main/java/org/fieldtrestle/protocol/WorkerProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/WorkerProtocol.java
@@ -5,18 +5,18 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The workers' interface: paths, heartbeats, commands and answers. */
+/** Paths and messages of the interface for workers: heartbeats, commands and answers. */
 public final class WorkerProtocol {
-  /** Where workers send heartbeats. */
+  /** Path of the controller to which workers send heartbeats. */
   public static final String HEARTBEAT_PATH = "/hello";
 
-  /** Where a worker takes direct commands. */
+  /** Path of the worker that accepts direct commands. */
   public static final String COMMANDS_PATH = "/commands";
 
-  /** Where a worker answers with a heartbeat. */
+  /** Path of the worker that answers with a heartbeat. */
   public static final String INSPECT_PATH = "/inspect";
 
-  /** A worker waits so long for the answer to a heartbeat. */
+  /** How long a worker waits for the answer to a heartbeat. */
   public static final long HEARTBEAT_TIMEOUT_MS = 4000;
 
   private WorkerProtocol() {}
@@ -24,7 +24,7 @@
   /**
    * Reads a heartbeat.
    *
-   * @throws MalformedJsonException if it breaks the protocol
+   * @throws MalformedJsonException if the body violates the protocol
    */
   public static Heartbeat readHeartbeat(byte[] body) throws MalformedJsonException {
     return HeartbeatReader.read(body);
@@ -32,17 +32,17 @@
 
   /** Writes the answer to a heartbeat. */
   public static byte[] writeHeartbeatAnswer(long fencingToken, List<WorkerCommand> commands) {
-    return Json.write(
+    return Json.writeObject(
         out -> {
           out.writeNumberField("warrant", fencingToken);
           writeCommandList(out, commands);
         });
   }
 
-  /** Writes direct commands, which a worker executes in this incarnation alone. */
+  /** Writes direct commands, which the worker executes only during the given incarnation. */
   public static byte[] writeCommands(
       long fencingToken, long incarnation, List<WorkerCommand> commands) {
-    return Json.write(
+    return Json.writeObject(
         out -> {
           out.writeNumberField("warrant", fencingToken);
           out.writeNumberField("shift", incarnation);
@@ -71,7 +71,9 @@
   }
 
   /**
-   * Writes a redirection of a worker to another controller; null where it is not known to which.
+   * Writes an answer that redirects a worker to another controller.
+   *
+   * @param controller label of the other controller; {@code null} if it is unknown
    */
   public static byte[] writeRedirect(String controller) {
     ObjectNode json = Json.object();
--- a/src/test/java/org/fieldtrestle/config/OperatorSettingsParserTest.java
+++ b/src/test/java/org/fieldtrestle/config/OperatorSettingsParserTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The operators' settings: defaults, and what is refused by name. */
+/** Defaults of the operators' settings, and refusals, which name the invalid setting. */
 class OperatorSettingsParserTest {
   @Test
-  void whatIsNotSaidHasItsDefault() throws InvalidSettingException {
+  void missingSettingsHaveTheirDefaults() throws InvalidSettingException {
     assertEquals(OperatorSettings.DEFAULT, OperatorSettingsParser.parse(""));
     OperatorSettings read =
         OperatorSettingsParser.parse(
@@ -23,21 +23,21 @@
     return error.getMessage().substring(0, error.getMessage().indexOf(":"));
   }
 
-  private static void refused(String text, String field) {
+  private static void assertRefused(String text, String field) {
     InvalidSettingException error =
         assertThrows(InvalidSettingException.class, () -> OperatorSettingsParser.parse(text));
     assertEquals(field, fieldOf(error));
   }
 
   @Test
-  void badFiguresAreRefusedByName() {
-    refused("falcon {\n  delta = 0\n}", "falcon.delta");
-    refused("falcon {\n  delta = \"much\"\n}", "falcon.delta");
-    refused("falcon {\n  remaining_weight = 0.9\n}", "falcon.waiting_weight");
-    refused("eviction {\n  victim_share = 1.5\n}", "eviction.victim_share");
-    refused("reserve = -1", "reserve");
-    refused("falcon {\n  delta = @@\n}", "operator file");
-    refused("falcon {\n  delta = 0.5", "delta");
-    refused("falcon {\n  dleta = 0.5\n}", "falcon.dleta");
+  void invalidSettingsAreRefusedWithTheirNames() {
+    assertRefused("falcon {\n  delta = 0\n}", "falcon.delta");
+    assertRefused("falcon {\n  delta = \"much\"\n}", "falcon.delta");
+    assertRefused("falcon {\n  remaining_weight = 0.9\n}", "falcon.waiting_weight");
+    assertRefused("eviction {\n  victim_share = 1.5\n}", "eviction.victim_share");
+    assertRefused("reserve = -1", "reserve");
+    assertRefused("falcon {\n  delta = @@\n}", "operator file");
+    assertRefused("falcon {\n  delta = 0.5", "delta");
+    assertRefused("falcon {\n  dleta = 0.5\n}", "falcon.dleta");
   }
 }
--- a/src/test/java/org/fieldtrestle/config/SettingsParserTest.java
+++ b/src/test/java/org/fieldtrestle/config/SettingsParserTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The platform's settings: what is read, refused by name, or warned of. */
+/** Reading of the platform's settings; refusals and warnings name the field. */
 class SettingsParserTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       label = "n-0"
       site = "a"
@@ -56,57 +56,60 @@
       """;
 
   @Test
-  void aGoodFileIsRead() throws InvalidSettingException {
-    Settings settings = SettingsParser.parse(GOOD);
+  void validFileIsRead() throws InvalidSettingException {
+    Settings settings = SettingsParser.parse(VALID);
     assertEquals("n-1", settings.peers().get(0).label());
     assertEquals(10, settings.team("t").cpusMax());
-    // A controller's own lease, the workers' and a margin stay within a cancellation's time.
+    // The controller's lease, a worker's lease and a margin fit into the time of a cancellation.
     assertTrue(settings.stateLeaseMs() + settings.workerLeaseMs() < 46_000);
-    assertTrue(settings.stateLeaseMs() > 25_000, "outages are ridden out");
+    assertTrue(
+        settings.stateLeaseMs() > 25_000,
+        "the controller's lease must outlast short outages of the key-value store");
   }
 
   private static String fieldOf(InvalidSettingException error) {
     return error.getMessage().substring(0, error.getMessage().indexOf(": "));
   }
 
-  private static void refused(String from, String to, String field) {
-    assertTrue(GOOD.contains(from), from);
+  private static void assertRefused(String from, String to, String field) {
+    assertTrue(VALID.contains(from), from);
     InvalidSettingException error =
         assertThrows(
-            InvalidSettingException.class, () -> SettingsParser.parse(GOOD.replace(from, to)));
+            InvalidSettingException.class, () -> SettingsParser.parse(VALID.replace(from, to)));
     assertEquals(field, fieldOf(error));
     assertEquals(1, error.getMessage().lines().count());
   }
 
   @Test
-  void badFieldsAreNamed() {
-    refused("label = \"n-0\"", "", "label");
-    refused("label = \"n-1\"", "label = \"n-0\"", "others[0].label");
-    refused("front = \"127.0.0.1:8080\"", "front = \"nowhere\"", "front");
-    refused("127.0.0.3:2", "127.0.0.3:99999", "endpoints.state");
-    refused("cpus_max = 10.0", "cpus_max = -1.0", "cluster.teams[0].cpus_max");
-    refused("report_s = 2.5", "report_s = 0.0", "cluster.workers.report_s");
-    refused("cancel_s = 46.0", "cancel_s = 17.0", "cluster.workers.cancel_s");
-    refused("lease_s = 16.0", "lease_s = 4.0", "cluster.workers.lease_s");
-    refused("rps = 200.0", "rps = \"many\"", "cluster.state.rps");
-    refused("[cluster.cloud]", "[cluster.sky]", "cluster.cloud");
-    refused("label = \"n-0\"", "label = ", "file");
+  void invalidFieldsAreRefusedWithTheirNames() {
+    assertRefused("label = \"n-0\"", "", "label");
+    assertRefused("label = \"n-1\"", "label = \"n-0\"", "others[0].label");
+    assertRefused("front = \"127.0.0.1:8080\"", "front = \"nowhere\"", "front");
+    assertRefused("127.0.0.3:2", "127.0.0.3:99999", "endpoints.state");
+    assertRefused("cpus_max = 10.0", "cpus_max = -1.0", "cluster.teams[0].cpus_max");
+    assertRefused("report_s = 2.5", "report_s = 0.0", "cluster.workers.report_s");
+    assertRefused("cancel_s = 46.0", "cancel_s = 17.0", "cluster.workers.cancel_s");
+    assertRefused("lease_s = 16.0", "lease_s = 4.0", "cluster.workers.lease_s");
+    assertRefused("rps = 200.0", "rps = \"many\"", "cluster.state.rps");
+    assertRefused("[cluster.cloud]", "[cluster.sky]", "cluster.cloud");
+    assertRefused("label = \"n-0\"", "label = ", "file");
   }
 
-  private static void warned(String from, String to, String field) throws InvalidSettingException {
-    assertTrue(GOOD.contains(from), from);
+  private static void assertWarned(String from, String to, String field)
+      throws InvalidSettingException {
+    assertTrue(VALID.contains(from), from);
     List<String> warnings =
-        SettingsChecks.warnings(SettingsParser.parse(GOOD.replace(from, to)), 80);
+        SettingsChecks.warnings(SettingsParser.parse(VALID.replace(from, to)), 80);
     assertEquals(1, warnings.size(), warnings.toString());
     assertTrue(warnings.get(0).startsWith(field + ": "), warnings.get(0));
   }
 
   @Test
-  void figuresThatAreTooSmallAreServedWithAWarning() throws InvalidSettingException {
-    assertEquals(List.of(), SettingsChecks.warnings(SettingsParser.parse(GOOD), 80));
-    warned("write_rps = 40.0", "write_rps = 4.0", "cluster.state.write_rps");
-    warned("\nrps = 200.0", "\nrps = 12.0", "cluster.state.rps");
-    warned("mem_mb = 263.0", "mem_mb = 100.0", "cluster.machine_limits.mem_mb");
-    warned("report_s = 2.5", "report_s = 6.0", "cluster.workers.lease_s");
+  void lowValuesAreAcceptedWithAWarning() throws InvalidSettingException {
+    assertEquals(List.of(), SettingsChecks.warnings(SettingsParser.parse(VALID), 80));
+    assertWarned("write_rps = 40.0", "write_rps = 4.0", "cluster.state.write_rps");
+    assertWarned("\nrps = 200.0", "\nrps = 12.0", "cluster.state.rps");
+    assertWarned("mem_mb = 263.0", "mem_mb = 100.0", "cluster.machine_limits.mem_mb");
+    assertWarned("report_s = 2.5", "report_s = 6.0", "cluster.workers.lease_s");
   }
 }
--- a/src/test/java/org/fieldtrestle/protocol/CompatibilityFixture.java
+++ b/src/test/java/org/fieldtrestle/protocol/CompatibilityFixture.java
@@ -7,15 +7,16 @@
 import java.util.Map;
 
 /**
- * Files under {@code compatibility/} in the test resources, written by the sources of 2026-12-02:
- * each line is the name of a case, a space, and what that version wrote. The present code must read
- * and write exactly the same, as a cluster is upgraded one controller at a time.
+ * Reads the files under {@code compatibility/} in the test resources, which the sources of
+ * 2026-12-02 wrote. Each line consists of the name of a case, a space and the text that this
+ * version wrote. The current code must read and write exactly the same texts, because a cluster is
+ * upgraded one controller at a time.
  */
 public final class CompatibilityFixture {
   private CompatibilityFixture() {}
 
   /**
-   * Reads the cases of one file in its order, by name.
+   * Returns the texts of one file by the names of their cases, in the order of the file.
    *
    * @throws IOException if the file cannot be read
    */
--- a/src/test/java/org/fieldtrestle/protocol/JsonTreeTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/JsonTreeTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Trees are read and written as Jackson's own mapper does it. */
+/** Trees are read and written in the same way as by Jackson's own {@code ObjectMapper}. */
 class JsonTreeTest {
   private static final ObjectMapper MAPPER =
       new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-  /** Nearly as deep as Jackson's parsers go. */
-  private static final int DEEP = 990;
+  /** Nesting slightly below the maximum of Jackson's parsers, which is 1000. */
+  private static final int DEPTH = 990;
 
   private static final long STACK_BYTES = 512 * 1024;
 
@@ -55,7 +55,7 @@
             Arbitraries.doubles().map(Json.object()::numberNode),
             Arbitraries.of(true, false).map(Json.object()::booleanNode),
             Arbitraries.just(Json.object().nullNode()));
-    // A small integer is read as an int whatever it was written from.
+    // Jackson reads a small integer as an int, even if a long or a BigInteger was written.
     return Arbitraries.lazyOf(
             () -> leaves,
             () -> leaves,
@@ -64,10 +64,10 @@
                 Arbitraries.maps(Arbitraries.strings().alpha().ofMaxLength(3), leaves)
                     .ofMaxSize(4)
                     .map(fields -> Json.object().setAll(fields)))
-        .map(JsonTreeTest::asRead);
+        .map(JsonTreeTest::roundTrip);
   }
 
-  private static JsonNode asRead(JsonNode node) {
+  private static JsonNode roundTrip(JsonNode node) {
     try {
       return MAPPER.readTree(MAPPER.writeValueAsBytes(node));
     } catch (IOException e) {
@@ -89,32 +89,32 @@
         "{\"a\":1,}",
         "{\"a\":01}"
       })
-  void whatIsNotOneObjectIsRefused(String body) {
+  void inputOtherThanOneObjectIsRefused(String body) {
     assertThrows(
         MalformedJsonException.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  void theLastOfTwoFieldsOfTheSameNameCounts() throws MalformedJsonException {
+  void lastOfTwoFieldsWithTheSameNameIsUsed() throws MalformedJsonException {
     assertEquals(
         2, Json.parse("{\"a\":1,\"a\":2}".getBytes(StandardCharsets.UTF_8)).path("a").asInt());
   }
 
   @Test
   void deepNestingFitsTheStackOfAController() throws InterruptedException {
-    String body = "{\"a\":" + "[".repeat(DEEP) + "]".repeat(DEEP) + "}";
+    String body = "{\"a\":" + "[".repeat(DEPTH) + "]".repeat(DEPTH) + "}";
     boolean[] read = {false};
     Runnable reading =
         () -> read[0] = Json.parseOrEmpty(body.getBytes(StandardCharsets.UTF_8)).has("a");
-    Thread small = new Thread(null, reading, "small stack", STACK_BYTES);
-    small.start();
-    small.join();
+    Thread thread = new Thread(null, reading, "small stack", STACK_BYTES);
+    thread.start();
+    thread.join();
     assertTrue(read[0], "a deeply nested value should be read");
   }
 
   @Test
-  void deeperNestingThanJacksonAllowsIsRefused() {
-    String body = "{\"a\":" + "[".repeat(2 * DEEP) + "]".repeat(2 * DEEP) + "}";
+  void nestingBeyondJacksonsMaximumIsRefused() {
+    String body = "{\"a\":" + "[".repeat(2 * DEPTH) + "]".repeat(2 * DEPTH) + "}";
     assertThrows(
         MalformedJsonException.class, () -> Json.parse(body.getBytes(StandardCharsets.UTF_8)));
   }
--- a/src/test/java/org/fieldtrestle/protocol/ProtocolCompatibilityTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/ProtocolCompatibilityTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Peer frames and messages are byte for byte those of the version before. */
+/** Peer frames and messages are byte for byte the same as those of the previous version. */
 class ProtocolCompatibilityTest {
   private static final long SENT_WALL_MS = 1_790_000_000_123L;
   private static final TaskId TASK = new TaskId("job-000412", 4);
--- a/src/test/java/org/fieldtrestle/protocol/ProtocolsTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/ProtocolsTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-/** Messages of users and workers and peer frames: what is read, and what is refused by name. */
+/** Reading of users' and workers' messages and of peer frames; refusals name the invalid field. */
 class ProtocolsTest {
   private static ObjectNode job() {
     return Json.object()
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void everyRequiredFieldIsRequiredAndNamed() throws MalformedJsonException {
+  void missingFieldsAreNamedAndInvalidOnesAreRefused() throws MalformedJsonException {
     assertEquals(16, UserProtocol.readJob(Json.bytes(job())).tasks());
     job()
         .fieldNames()
@@ -89,43 +89,43 @@
               .replace("\"boards\":16", "\"boards\":" + boards);
       assertThrows(MalformedJsonException.class, () -> UserProtocol.readJob(utf8(text)), boards);
     }
-    String endless =
+    String infinite =
         new String(Json.bytes(job()), StandardCharsets.UTF_8)
             .replace("\"cpus\":8.0", "\"cpus\":1e400");
-    assertThrows(MalformedJsonException.class, () -> UserProtocol.readJob(utf8(endless)));
+    assertThrows(MalformedJsonException.class, () -> UserProtocol.readJob(utf8(infinite)));
     for (String body : new String[] {"", "[]", "7", "{", "{}x", "null", "\"a\"", "{\"uid\":"}) {
       assertThrows(MalformedJsonException.class, () -> UserProtocol.readJob(utf8(body)), body);
     }
   }
 
   @Property(tries = 500, seed = "41")
-  void noBytesMakeAReaderFailOtherwiseThanByName(@ForAll byte[] noise) {
+  void readersRefuseArbitraryBytesOnlyWithTheirOwnExceptions(@ForAll byte[] bytes) {
     try {
-      UserProtocol.readJob(noise);
+      UserProtocol.readJob(bytes);
     } catch (MalformedJsonException e) {
       assertTrue(e.getMessage() != null);
     }
     try {
-      WorkerProtocol.readHeartbeat(noise);
+      WorkerProtocol.readHeartbeat(bytes);
     } catch (MalformedJsonException e) {
       assertTrue(e.getMessage() != null);
     }
     try {
-      PeerProtocol.decode(ByteBuffer.wrap(noise));
+      PeerProtocol.decode(ByteBuffer.wrap(bytes));
     } catch (MalformedFrameException e) {
       assertTrue(e.getMessage() != null);
     }
   }
 
   @Property(tries = 300, seed = "42")
-  void framesAreReadAsTheyWereWrittenAndEveryCutOneIsRefused(
+  void framesAreReadAsWrittenAndTruncatedFramesAreRefused(
       @ForAll @AlphaChars @StringLength(min = 1, max = 20) String sender,
       @ForAll @LongRange(min = 0) long epoch,
       @ForAll @DoubleRange(min = 0, max = 1e9) double amount,
-      @ForAll @IntRange(max = 10) int rooms)
+      @ForAll @IntRange(max = 10) int zones)
       throws MalformedFrameException {
     List<FreeCapacity> all = new ArrayList<>();
-    for (int i = 0; i < rooms; i++) {
+    for (int i = 0; i < zones; i++) {
       all.add(new FreeCapacity("zone-" + i, amount, i, amount / 2));
     }
     PeerMessage.ShardLoad load =
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void smallFramesAreReadAsTheyWereSent() throws MalformedFrameException {
+  void smallFramesAreReadAsWritten() throws MalformedFrameException {
     for (PeerMessage message :
         List.of(
             new PeerMessage.Liveness("trestle-2", true),
@@ -167,7 +167,8 @@
       "board":"job-1/2","try":3,"stage":"exited","cause":"done"}]}""";
 
   @Test
-  void aHeartbeatThatIsCutOffOrDamagedIsRefusedByName() throws MalformedJsonException {
+  void truncatedAndDamagedHeartbeatsAreRefusedWithTheNameOfTheField()
+      throws MalformedJsonException {
     assertEquals(1, WorkerProtocol.readHeartbeat(utf8(HEARTBEAT)).tasks().size());
     for (int cut = 0; cut < HEARTBEAT.length(); cut++) {
       byte[] shorter = utf8(HEARTBEAT.substring(0, cut));
@@ -200,10 +201,10 @@
     }
     assertThrows(
         MalformedJsonException.class, () -> WorkerProtocol.readHeartbeat(utf8(HEARTBEAT + "x")));
-    Heartbeat odd =
+    Heartbeat unusualCause =
         WorkerProtocol.readHeartbeat(
             utf8(HEARTBEAT.replace("\"cause\":\"done\"", "\"cause\":{\"a\":[1]}")));
-    assertEquals(ExitCause.NONE, odd.tasks().get(0).cause());
+    assertEquals(ExitCause.NONE, unusualCause.tasks().get(0).cause());
   }
 
   @Property(tries = 200, seed = "43")
