--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -114,7 +114,7 @@
   private List<String> allowedZones(JobSpec spec) {
     TreeSet<String> zones = new TreeSet<>();
     for (MachineType type : context.types()) {
-      if (type.allowedFor(spec)) {
+      if (type.isAllowedFor(spec)) {
         zones.addAll(type.zones());
       }
     }
--- a/src/main/java/org/fieldtrestle/api/AdmissionCheck.java
+++ b/src/main/java/org/fieldtrestle/api/AdmissionCheck.java
@@ -22,7 +22,7 @@
     if (exceedsQuota(spec, team)) {
       return Optional.of("needs more than the team's limit");
     }
-    if (context.types().stream().noneMatch(type -> type.allowedFor(spec))) {
+    if (context.types().stream().noneMatch(type -> type.isAllowedFor(spec))) {
       return Optional.of("a task fits no allowed machine type");
     }
     return Optional.empty();
--- a/src/main/java/org/fieldtrestle/protocol/Heartbeat.java
+++ b/src/main/java/org/fieldtrestle/protocol/Heartbeat.java
@@ -31,7 +31,7 @@
     List<TaskStatus> tasks) {
 
   /** Whether the worker sent this heartbeat after the one with the given numbers. */
-  public boolean newerThan(long otherIncarnation, long otherSequence) {
+  public boolean isNewerThan(long otherIncarnation, long otherSequence) {
     return incarnation > otherIncarnation
         || (incarnation == otherIncarnation && sequence > otherSequence);
   }
--- a/src/main/java/org/fieldtrestle/protocol/MachineType.java
+++ b/src/main/java/org/fieldtrestle/protocol/MachineType.java
@@ -61,7 +61,7 @@
   /**
    * Whether a job may run on machines of this type and one of its tasks fits on an empty machine.
    */
-  public boolean allowedFor(JobSpec spec) {
+  public boolean isAllowedFor(JobSpec spec) {
     return (spec.types().isEmpty() || spec.types().contains(name))
         && (spec.zone() == null || zones.contains(spec.zone()))
         && fits(spec);
--- a/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
@@ -18,7 +18,7 @@
     MachineType cheapest = null;
     double lowestPrice = 0;
     for (MachineType type : context.types()) {
-      if (type.allowedFor(spec)) {
+      if (type.isAllowedFor(spec)) {
         double price = pricePerTask(type, spec);
         if (cheapest == null || price < lowestPrice) {
           cheapest = type;
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatOrder.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatOrder.java
@@ -29,7 +29,7 @@
   }
 
   boolean isNewer(Heartbeat message) {
-    return message.newerThan(incarnation, sequence);
+    return message.isNewerThan(incarnation, sequence);
   }
 
   boolean isOfIncarnation(Heartbeat message) {
