--- a/src/main/java/org/fieldtrestle/StubServices.java
+++ b/src/main/java/org/fieldtrestle/StubServices.java
@@ -67,7 +67,7 @@
     return switch (path) {
       case KeyValueProtocol.KEYS_PATH -> store.list(request.query());
       case KeyValueProtocol.COMMIT_PATH -> store.commit(body);
-      case CloudProtocol.TYPES_PATH -> cloud.machineTypes();
+      case CloudProtocol.MACHINE_TYPES_PATH -> cloud.machineTypes();
       case CloudProtocol.MACHINES_PATH -> cloud.machines(ownAddress);
       case WorkerProtocol.COMMANDS_PATH -> {
         worker.execute(body);
--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -60,7 +60,7 @@
   /** Reads the machine types now and then periodically, as spot prices change. */
   public void start() {
     read(
-        CloudProtocol.TYPES_PATH,
+        CloudProtocol.MACHINE_TYPES_PATH,
         outcome -> {
           readTypes(outcome);
           reactor.schedule(
@@ -71,7 +71,7 @@
   private void readTypes(Http.Outcome outcome) {
     if (outcome instanceof Http.Answer answer && answer.status() == 200) {
       try {
-        types = CloudProtocol.readTypes(answer.body());
+        types = CloudProtocol.readMachineTypes(answer.body());
       } catch (MalformedJsonException e) {
         LOG.atWarn().addKeyValue("reason", e.getMessage()).log("machine types are malformed");
       }
@@ -82,7 +82,7 @@
   public void rent(RentalRequest request, Consumer<RentalResult> done) {
     change(
         CloudProtocol.MACHINES_PATH,
-        CloudProtocol.writeRental(
+        CloudProtocol.writeRentalRequest(
             request.id(), request.type(), request.zone(), request.spot(), request.count()),
         outcome -> done.accept(rentalResult(outcome)));
   }
@@ -116,7 +116,7 @@
   public void terminate(List<String> machines, Consumer<Boolean> done) {
     change(
         CloudProtocol.RETURN_PATH,
-        CloudProtocol.writeReturn(machines),
+        CloudProtocol.writeReturnRequest(machines),
         outcome -> done.accept(outcome instanceof Http.Answer answer && answer.status() == 200));
   }
 
--- a/src/main/java/org/fieldtrestle/protocol/CloudProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/CloudProtocol.java
@@ -12,7 +12,7 @@
  */
 public final class CloudProtocol {
   /** Path for reading the machine types. */
-  public static final String TYPES_PATH = "/flavors";
+  public static final String MACHINE_TYPES_PATH = "/flavors";
 
   /** Path for renting machines and listing the rented ones. */
   public static final String MACHINES_PATH = "/machines";
@@ -21,10 +21,10 @@
   public static final String RETURN_PATH = "/machines/return";
 
   /** Maximum number of machines that one request can rent. */
-  public static final int MAX_RENT = 50;
+  public static final int MAX_MACHINES_PER_RENTAL = 50;
 
   /** Maximum number of machines that one request can return. */
-  public static final int MAX_RETURN = 100;
+  public static final int MAX_MACHINES_PER_RETURN = 100;
 
   /** Maximum number of machines on one page of the machine list. */
   public static final int PAGE_SIZE = 500;
@@ -38,10 +38,10 @@
    *
    * @throws MalformedJsonException if the body violates the protocol or lists no machine type
    */
-  public static List<MachineType> readTypes(byte[] body) throws MalformedJsonException {
+  public static List<MachineType> readMachineTypes(byte[] body) throws MalformedJsonException {
     List<MachineType> types = new ArrayList<>();
     for (JsonNode type : Json.parse(body).path("rigs")) {
-      types.add(readType(type));
+      types.add(readMachineType(type));
     }
     if (types.isEmpty()) {
       throw new MalformedJsonException("rigs");
@@ -49,7 +49,7 @@
     return List.copyOf(types);
   }
 
-  private static MachineType readType(JsonNode json) throws MalformedJsonException {
+  private static MachineType readMachineType(JsonNode json) throws MalformedJsonException {
     List<String> zones = new ArrayList<>();
     json.path("yards").forEach(zone -> zones.add(zone.asText()));
     return new MachineType(
@@ -71,7 +71,7 @@
    * @param requestId id of the request; repeating a request under the same id rents no further
    *     machines
    */
-  public static byte[] writeRental(
+  public static byte[] writeRentalRequest(
       String requestId, String type, String zone, boolean spot, int count) {
     return Json.bytes(
         Json.object()
@@ -103,7 +103,7 @@
   }
 
   /** Writes a request to return machines. */
-  public static byte[] writeReturn(List<String> machines) {
+  public static byte[] writeReturnRequest(List<String> machines) {
     ObjectNode json = Json.object();
     ArrayNode names = json.putArray("benches");
     machines.forEach(names::add);
--- a/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
@@ -151,7 +151,7 @@
     }
     List<String> machines = new ArrayList<>();
     for (Worker worker : workers.all()) {
-      if (machines.size() < CloudProtocol.MAX_RETURN
+      if (machines.size() < CloudProtocol.MAX_MACHINES_PER_RETURN
           && !worker.isTerminated()
           && (worker.isTerminating() || (worker.isDraining() && mayBeReturned(worker, nowMs)))) {
         worker.beginTermination();
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -139,7 +139,7 @@
 
   /** Rents from the first offer that was not refused lately. */
   private void rent(List<Offer> offers, int machines, long nowMs) {
-    int count = Math.min(machines, CloudProtocol.MAX_RENT);
+    int count = Math.min(machines, CloudProtocol.MAX_MACHINES_PER_RENTAL);
     for (Offer offer : offers) {
       if (refusedUntilMs.getOrDefault(offer, 0L) <= nowMs) {
         renting = true;
--- a/src/test/java/org/fieldtrestle/protocol/ProtocolCompatibilityTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/ProtocolCompatibilityTest.java
@@ -109,9 +109,10 @@
   }
 
   private static void putCloudMessages(Map<String, String> written) {
-    written.put("cloud-rent", text(CloudProtocol.writeRental("req-1", "g8", "a", true, 3)));
+    written.put("cloud-rent", text(CloudProtocol.writeRentalRequest("req-1", "g8", "a", true, 3)));
     written.put(
-        "cloud-return", text(CloudProtocol.writeReturn(List.of("host-000001", "host-000002"))));
+        "cloud-return",
+        text(CloudProtocol.writeReturnRequest(List.of("host-000001", "host-000002"))));
     written.put("cloud-list-path", CloudProtocol.listPath(""));
     written.put("cloud-list-path-after", CloudProtocol.listPath("host-000002"));
   }
