--- a/src/main/java/org/fieldtrestle/api/FinishedJobs.java
+++ b/src/main/java/org/fieldtrestle/api/FinishedJobs.java
@@ -155,7 +155,7 @@
       outcomes.put(entry.key(), outcome(entry));
       pageEnd = entry.key();
     }
-    boolean lastPage = !page.more();
+    boolean lastPage = !page.hasMore();
     nextPageStart = lastPage ? "" : pageEnd;
     for (Map.Entry<String, List<Consumer<Outcome>>> query : queries.entrySet()) {
       String key = query.getKey();
--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -141,7 +141,7 @@
           }
           List<ListedMachine> machines = page.get().machines();
           listed.addAll(machines);
-          if (page.get().more() && !machines.isEmpty()) {
+          if (page.get().hasMore() && !machines.isEmpty()) {
             readPage(machines.get(machines.size() - 1).machine(), listed, done);
           } else {
             done.accept(Optional.of(listed));
--- a/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
@@ -34,7 +34,7 @@
   }
 
   /** Sets a key. The key is deleted when its lease ends; 0 stands for no lease. */
-  public record Put(String key, JsonNode value, long lease) implements Change {}
+  public record Put(String key, JsonNode value, long leaseId) implements Change {}
 
   /** Deletes a key. */
   public record Delete(String key) implements Change {}
@@ -42,8 +42,8 @@
   /** A key and its value at a version; {@code null} if the key was deleted at that version. */
   public record Entry(String key, JsonNode value, long version) {}
 
-  /** A page of keys at a revision; {@code more} tells whether further pages follow. */
-  public record Listing(List<Entry> entries, boolean more, long revision) {}
+  /** A page of keys at a revision; {@code hasMore} tells whether further pages follow. */
+  public record Listing(List<Entry> entries, boolean hasMore, long revision) {}
 
   /** The changes up to a revision, in the order in which they happened. */
   public record Events(List<Entry> events, long revision) {}
@@ -68,8 +68,8 @@
     if (change instanceof Put put) {
       json.put("write", put.key());
       json.set("v", put.value());
-      if (put.lease() != NO_LEASE) {
-        json.put("permit", put.lease());
+      if (put.leaseId() != NO_LEASE) {
+        json.put("permit", put.leaseId());
       }
     } else {
       json.put("remove", change.key());
@@ -101,8 +101,8 @@
   }
 
   /** Returns the path for renewing a lease. */
-  public static String renewPath(long lease) {
-    return LEASES_PATH + "/" + lease + "/extend";
+  public static String renewPath(long leaseId) {
+    return LEASES_PATH + "/" + leaseId + "/extend";
   }
 
   /** Writes a request for a lease with the given time to live. */
@@ -115,7 +115,7 @@
    *
    * @throws MalformedJsonException if the body violates the protocol
    */
-  public static long readLease(byte[] body) throws MalformedJsonException {
+  public static long readLeaseId(byte[] body) throws MalformedJsonException {
     return Json.count(Json.parse(body), "permit");
   }
 
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -235,7 +235,7 @@
       return new LeaseGrant.Refused(answer.status());
     }
     try {
-      long lease = KeyValueProtocol.readLease(answer.body());
+      long lease = KeyValueProtocol.readLeaseId(answer.body());
       return lease == NO_LEASE ? new LeaseGrant.Failed() : new LeaseGrant.Granted(lease);
     } catch (MalformedJsonException e) {
       return new LeaseGrant.Failed();
--- a/src/main/java/org/fieldtrestle/state/StoreFollower.java
+++ b/src/main/java/org/fieldtrestle/state/StoreFollower.java
@@ -108,7 +108,7 @@
         cache.apply(entry);
         lastKey = entry.key();
       }
-      if (page.more() && !page.entries().isEmpty()) {
+      if (page.hasMore() && !page.entries().isEmpty()) {
         nextPage();
       } else {
         finish();
