--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -142,7 +142,7 @@
           List<ListedMachine> machines = page.get().machines();
           listed.addAll(machines);
           if (page.get().hasMore() && !machines.isEmpty()) {
-            readPage(machines.get(machines.size() - 1).machine(), listed, done);
+            readPage(machines.get(machines.size() - 1).name(), listed, done);
           } else {
             done.accept(Optional.of(listed));
           }
--- a/src/main/java/org/fieldtrestle/protocol/ListedMachine.java
+++ b/src/main/java/org/fieldtrestle/protocol/ListedMachine.java
@@ -3,7 +3,7 @@
 /**
  * A rented machine in the cloud's list.
  *
- * @param machine name of the machine
+ * @param name name of the machine
  * @param address host and port of the machine's worker; empty if the cloud's list has none
  * @param type name of the machine type
  * @param spot whether this is a spot machine
@@ -12,7 +12,7 @@
  * @param ageS seconds since the rental
  */
 public record ListedMachine(
-    String machine,
+    String name,
     String address,
     String type,
     String zone,
--- a/src/main/java/org/fieldtrestle/protocol/MachineType.java
+++ b/src/main/java/org/fieldtrestle/protocol/MachineType.java
@@ -7,8 +7,8 @@
  *
  * @param cacheGb size of the machine's image cache
  * @param fetchGbPerS rate at which the machine fetches images; 0 if unknown
- * @param price price per hour
- * @param spotPrice price per hour of a spot machine; 0 if the cloud offers none of this type
+ * @param pricePerHour price per hour
+ * @param spotPricePerHour price per hour of a spot machine; 0 if the cloud offers none of this type
  * @param bootS usual time in seconds from the rental until the worker sends its first heartbeat
  * @param zones zones in which the type can be rented
  */
@@ -19,8 +19,8 @@
     double memoryGb,
     double cacheGb,
     double fetchGbPerS,
-    double price,
-    double spotPrice,
+    double pricePerHour,
+    double spotPricePerHour,
     double bootS,
     List<String> zones) {
   private static final double MAX_TASKS_PER_MACHINE = 10_000;
--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -83,14 +83,14 @@
   private void reconcile(List<ListedMachine> machines, long nowMs) {
     Set<String> listed = new HashSet<>();
     for (ListedMachine machine : machines) {
-      listed.add(machine.machine());
-      Worker worker = workers.get(machine.machine());
+      listed.add(machine.name());
+      Worker worker = workers.get(machine.name());
       if (worker != null && machine.failed() && !worker.isTerminating()) {
         MachineHealth.drain(worker, "stopped by itself");
         worker.expireLease();
         worker.beginTermination();
       }
-      if (worker == null && !context.stateCache().machines().containsKey(machine.machine())) {
+      if (worker == null && !context.stateCache().machines().containsKey(machine.name())) {
         adoptIfOrphan(machine, nowMs);
       }
     }
@@ -124,13 +124,13 @@
    * renter has failed. Only one controller does so, for its own shard.
    */
   private void adoptIfOrphan(ListedMachine machine, long nowMs) {
-    long sinceMs = unrecordedSinceMs.computeIfAbsent(machine.machine(), id -> nowMs);
+    long sinceMs = unrecordedSinceMs.computeIfAbsent(machine.name(), id -> nowMs);
     if (!context.membership().isFirst()
         || !term.shard().equals(context.membership().self())
         || nowMs - sinceMs < ORPHAN_AFTER_LAGS * context.cloud().listLagMs()) {
       return;
     }
-    LOG.atInfo().addKeyValue("machine", machine.machine()).log("adopting orphan machine");
-    inventory.adopt(machine.machine(), machine.type(), machine.zone(), machine.spot(), () -> {});
+    LOG.atInfo().addKeyValue("machine", machine.name()).log("adopting orphan machine");
+    inventory.adopt(machine.name(), machine.type(), machine.zone(), machine.spot(), () -> {});
   }
 }
--- a/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
@@ -30,7 +30,8 @@
   }
 
   private static double pricePerTask(MachineType type, JobSpec spec) {
-    double price = spec.spot() && type.spotPrice() > 0 ? type.spotPrice() : type.price();
+    double price =
+        spec.spot() && type.spotPricePerHour() > 0 ? type.spotPricePerHour() : type.pricePerHour();
     return price / type.tasksPerMachine(spec);
   }
 
