--- a/src/main/java/org/fieldtrestle/protocol/JobSpec.java
+++ b/src/main/java/org/fieldtrestle/protocol/JobSpec.java
@@ -20,8 +20,9 @@
  * @param spread whether at most half of the tasks, rounded up, may be in one zone
  * @param spot whether the tasks may run on spot machines
  * @param estimateS the user's estimate of a task's run time in seconds, which is often wrong
- * @param checkpointS interval in seconds between two checkpoints of a task; 0 if tasks save none
- * @param saveS seconds that a task needs to save a checkpoint when it is stopped
+ * @param checkpointIntervalS interval in seconds between two checkpoints of a task; 0 if tasks save
+ *     none
+ * @param saveTimeS seconds that a task needs to save a checkpoint when it is stopped
  * @param deadlineS seconds from the submission until the job should be done; negative if it has no
  *     deadline
  */
@@ -43,8 +44,8 @@
     boolean spread,
     boolean spot,
     double estimateS,
-    double checkpointS,
-    double saveS,
+    double checkpointIntervalS,
+    double saveTimeS,
     double deadlineS) {
 
   /** How the tasks of a job depend on each other. */
@@ -64,7 +65,7 @@
 
   /** Whether a task that is stopped can keep its progress in a checkpoint. */
   public boolean hasCheckpoints() {
-    return checkpointS > 0;
+    return checkpointIntervalS > 0;
   }
 
   /** Returns the maximum number of tasks that may be in one zone at a time. */
--- a/src/main/java/org/fieldtrestle/protocol/JobSpecCodec.java
+++ b/src/main/java/org/fieldtrestle/protocol/JobSpecCodec.java
@@ -151,8 +151,8 @@
     json.put("scatter", spec.spread());
     json.put("loaners", spec.spot());
     json.put("expectedS", spec.estimateS());
-    json.put("tallyS", spec.checkpointS());
-    json.put("stackS", spec.saveS());
+    json.put("tallyS", spec.checkpointIntervalS());
+    json.put("stackS", spec.saveTimeS());
     if (spec.deadlineS() >= 0) {
       json.put("dueS", spec.deadlineS());
     }
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -184,6 +184,6 @@
     LOG.debug("task {} preempted by {} ({})", victim, preemptedBy.id(), preemptedBy.priority());
     context.metrics().countEvicted();
     JobSpec spec = victim.range().spec();
-    decisions.stop(victim, spec.hasCheckpoints() ? spec.saveS() : 0);
+    decisions.stop(victim, spec.hasCheckpoints() ? spec.saveTimeS() : 0);
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -82,7 +82,7 @@
               range.waiting()));
     } else {
       // A task of the gang was lost: the others cannot go on without it.
-      List.copyOf(range.placed().values()).forEach(task -> decisions.stop(task, spec.saveS()));
+      List.copyOf(range.placed().values()).forEach(task -> decisions.stop(task, spec.saveTimeS()));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
@@ -206,8 +206,9 @@
         JobSpec spec = attempt.range().spec();
         double restS = attempt.remainingS(now, spec.estimateS());
         if (!attempt.hasRun() || restS > MAX_REST_PER_NOTICE * noticeS) {
-          boolean saves = spec.hasCheckpoints() && spec.saveS() < noticeS;
-          commands.stop(attempt, saves ? Math.max(spec.saveS(), noticeS * GRACE_PER_NOTICE) : 0);
+          boolean saves = spec.hasCheckpoints() && spec.saveTimeS() < noticeS;
+          commands.stop(
+              attempt, saves ? Math.max(spec.saveTimeS(), noticeS * GRACE_PER_NOTICE) : 0);
         }
       }
     }
