--- a/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
@@ -103,8 +103,8 @@
 
   /** Takes in another controller's report; one that is meant for a third controller is ignored. */
   public void reportReceived(PeerMessage.RedirectCount report) {
-    if (report.to().equals(settings.label())) {
-      reports.put(report.sender(), new RedirectReport(reactor.now(), report.machines()));
+    if (report.targetController().equals(settings.label())) {
+      reports.put(report.sender(), new RedirectReport(reactor.now(), report.machineCount()));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/protocol/PeerMessage.java
+++ b/src/main/java/org/fieldtrestle/protocol/PeerMessage.java
@@ -34,9 +34,10 @@
    * another controller. If the other controller receives no heartbeats from them, it is cut off
    * from its workers.
    *
-   * @param to label of the controller to which the machines were redirected
+   * @param targetController label of the controller to which the machines were redirected
    */
-  record RedirectCount(String sender, String to, int machines) implements PeerMessage {}
+  record RedirectCount(String sender, String targetController, int machineCount)
+      implements PeerMessage {}
 
   /** A job has been cancelled; sent once the cancellation is durable. */
   record JobCancelled(String sender, String job) implements PeerMessage {}
--- a/src/main/java/org/fieldtrestle/protocol/PeerProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/PeerProtocol.java
@@ -38,8 +38,8 @@
       out.put((byte) (liveness.storeAvailable() ? 1 : 0));
     } else if (message instanceof PeerMessage.RedirectCount redirects) {
       putText(out, redirects.sender());
-      putText(out, redirects.to());
-      out.putInt(redirects.machines());
+      putText(out, redirects.targetController());
+      out.putInt(redirects.machineCount());
     } else if (message instanceof PeerMessage.JobCancelled cancelled) {
       putText(out, cancelled.sender());
       putText(out, cancelled.job());
