--- a/src/main/java/org/fieldtrestle/protocol/ExitCause.java
+++ b/src/main/java/org/fieldtrestle/protocol/ExitCause.java
@@ -13,7 +13,7 @@
   /** The task was not started: the machine has too few free resources. */
   NO_ROOM,
   /** The task was not started: another attempt of the task is on the machine. */
-  BUSY,
+  OTHER_ATTEMPT_PRESENT,
   /** The task was not started: the worker does not know the job or the task. */
   UNKNOWN
 }
--- a/src/main/java/org/fieldtrestle/protocol/HeartbeatReader.java
+++ b/src/main/java/org/fieldtrestle/protocol/HeartbeatReader.java
@@ -143,7 +143,7 @@
       // "peers" and "alone": the other tasks of the gang did not start or have ended.
       case "halted", "peers", "alone" -> ExitCause.STOPPED;
       case "full" -> ExitCause.NO_ROOM;
-      case "in_use" -> ExitCause.BUSY;
+      case "in_use" -> ExitCause.OTHER_ATTEMPT_PRESENT;
       case "unknown" -> ExitCause.UNKNOWN;
       case "" -> ExitCause.NONE;
       default -> ExitCause.ERROR;
--- a/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
@@ -70,7 +70,7 @@
         retry.restartWaiting(now);
         failures.failed(attempt, retry, range.countFailure(attempt.offset()), now);
       }
-      case NO_ROOM, BUSY, UNKNOWN -> {
+      case NO_ROOM, OTHER_ATTEMPT_PRESENT, UNKNOWN -> {
         long pauseUntil = now + context.heartbeatIntervalsMs(REFUSAL_PAUSE_INTERVALS);
         retry.delayUntil(pauseUntil);
         attempt.worker().quarantineUntil(pauseUntil);
