--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -44,7 +44,7 @@
 
   ControllerProcess(Settings settings, OperatorSettings operatorSettings) {
     EventLoopMeter meter = new EventLoopMeter(System::nanoTime);
-    int maxConnections = settings.limits().maxConnections();
+    int maxConnections = settings.processLimits().maxConnections();
     SocketBudget sockets = new SocketBudget(maxConnections);
     long idleMs = settings.workerLeaseMs() * IDLE_LEASES;
     HttpClient client =
--- a/src/main/java/org/fieldtrestle/config/Settings.java
+++ b/src/main/java/org/fieldtrestle/config/Settings.java
@@ -17,10 +17,10 @@
  *     time
  * @param teams all teams that may submit jobs
  * @param objectives the service-level objectives
- * @param workers intervals and leases of the workers
- * @param state limits of the key-value store
- * @param cloud limits of the cloud's interface
- * @param limits limits of this process
+ * @param workerTiming intervals and leases of the workers
+ * @param storeLimits limits of the key-value store
+ * @param cloudLimits limits of the cloud's interface
+ * @param processLimits limits of this process
  */
 public record Settings(
     String label,
@@ -34,10 +34,10 @@
     double maxClockErrorMs,
     List<Team> teams,
     List<Objective> objectives,
-    Workers workers,
-    State state,
-    Cloud cloud,
-    Limits limits) {
+    WorkerTiming workerTiming,
+    KeyValueStoreLimits storeLimits,
+    CloudLimits cloudLimits,
+    ProcessLimits processLimits) {
 
   /**
    * Upper bound of the drift between the monotonic clocks of two machines, as a share of the
@@ -80,14 +80,14 @@
       String kind, String jobClass, double share, double times, double withinS) {}
 
   /**
-   * Timing of the workers.
+   * Timing of the workerTiming.
    *
    * @param heartbeatIntervalS seconds between two heartbeats of a worker; the actual interval
    *     varies by up to a quarter
    * @param leaseS seconds without an answer after which a worker ends its tasks
    * @param cancelS seconds within which all tasks of a cancelled job must be gone
    */
-  public record Workers(double heartbeatIntervalS, double leaseS, double cancelS) {}
+  public record WorkerTiming(double heartbeatIntervalS, double leaseS, double cancelS) {}
 
   /**
    * Limits of the key-value store. All controllers together must keep to the rates.
@@ -97,7 +97,7 @@
    * @param valueKb maximum size of a value in KiB
    * @param txnOps maximum number of changes in a transaction
    */
-  public record State(double rps, double writeRps, double valueKb, int txnOps) {}
+  public record KeyValueStoreLimits(double rps, double writeRps, double valueKb, int txnOps) {}
 
   /**
    * Limits of the cloud's interface.
@@ -105,7 +105,7 @@
    * @param rps requests per second of all controllers together
    * @param listLagS maximum number of seconds by which the list of machines may be out of date
    */
-  public record Cloud(double rps, double listLagS) {}
+  public record CloudLimits(double rps, double listLagS) {}
 
   /**
    * Limits of this process.
@@ -114,7 +114,7 @@
    * @param memoryMb memory in MB, including the files in {@code /tmp}
    * @param maxConnections maximum number of open sockets
    */
-  public record Limits(double cpuShare, double memoryMb, int maxConnections) {}
+  public record ProcessLimits(double cpuShare, double memoryMb, int maxConnections) {}
 
   /**
    * Returns how long a controller may act after it has renewed its lease at the key-value store, in
@@ -123,19 +123,19 @@
    * cancellation.
    */
   public long stateLeaseMs() {
-    double leasesS = workers.cancelS() * CANCELLATION_LEASES_SHARE;
+    double leasesS = workerTiming.cancelS() * CANCELLATION_LEASES_SHARE;
     return Math.round(
-        (leasesS - workers.leaseS() * (1 + CLOCK_DRIFT)) * MS_PER_S * (1 - CLOCK_DRIFT));
+        (leasesS - workerTiming.leaseS() * (1 + CLOCK_DRIFT)) * MS_PER_S * (1 - CLOCK_DRIFT));
   }
 
   /** Returns the duration of a number of heartbeat intervals in milliseconds. */
   public long heartbeatIntervalsMs(double count) {
-    return Math.round(workers.heartbeatIntervalS() * MS_PER_S * count);
+    return Math.round(workerTiming.heartbeatIntervalS() * MS_PER_S * count);
   }
 
   /** Returns the duration of a worker's lease in milliseconds. */
   public long workerLeaseMs() {
-    return Math.round(workers.leaseS() * MS_PER_S);
+    return Math.round(workerTiming.leaseS() * MS_PER_S);
   }
 
   /** Returns this controller's equal share of a limit that applies to all controllers together. */
--- a/src/main/java/org/fieldtrestle/config/SettingsChecks.java
+++ b/src/main/java/org/fieldtrestle/config/SettingsChecks.java
@@ -29,7 +29,7 @@
    * @throws InvalidSettingException for the first field that is refused
    */
   static void requireUsable(Settings settings) throws InvalidSettingException {
-    Settings.Workers workers = settings.workers();
+    Settings.WorkerTiming workers = settings.workerTiming();
     if (workers.leaseS() < MIN_HEARTBEATS_PER_LEASE * workers.heartbeatIntervalS()) {
       throw new InvalidSettingException(
           "cluster.workers.lease_s",
@@ -41,7 +41,7 @@
           "too short for lease_s and the controller's own lease; a task could run on after the"
               + " cancellation of its job");
     }
-    if (settings.state().txnOps() < MIN_TRANSACTION_CHANGES) {
+    if (settings.storeLimits().txnOps() < MIN_TRANSACTION_CHANGES) {
       throw new InvalidSettingException(
           "cluster.state.txn_ops", "must be at least " + MIN_TRANSACTION_CHANGES);
     }
@@ -55,25 +55,25 @@
    */
   public static List<String> warnings(Settings settings, double heapMb) {
     List<String> warnings = new ArrayList<>();
-    if (settings.share(settings.state().writeRps()) < USUAL_CHANGES_PER_S) {
+    if (settings.share(settings.storeLimits().writeRps()) < USUAL_CHANGES_PER_S) {
       warnings.add(
           "cluster.state.write_rps: allows each controller fewer than "
               + USUAL_CHANGES_PER_S
               + " changes per second; jobs will be accepted and completed slowly");
     }
-    if (settings.share(settings.state().rps()) < USUAL_REQUESTS_PER_S) {
+    if (settings.share(settings.storeLimits().rps()) < USUAL_REQUESTS_PER_S) {
       warnings.add(
           "cluster.state.rps: allows each controller fewer than "
               + USUAL_REQUESTS_PER_S
               + " requests per second; answers will be late");
     }
-    if (settings.limits().memoryMb() < heapMb + MEMORY_BESIDE_HEAP_MB) {
+    if (settings.processLimits().memoryMb() < heapMb + MEMORY_BESIDE_HEAP_MB) {
       warnings.add(
           "cluster.machine_limits.mem_mb: too low for the JVM's heap of "
               + Math.round(heapMb)
               + " MB and the memory that the JVM needs outside the heap");
     }
-    Settings.Workers workers = settings.workers();
+    Settings.WorkerTiming workers = settings.workerTiming();
     if (workers.leaseS() < USUAL_HEARTBEATS_PER_LEASE * workers.heartbeatIntervalS()) {
       warnings.add(
           "cluster.workers.lease_s: below 3 times report_s; one or two lost reports end a lease");
--- a/src/main/java/org/fieldtrestle/config/SettingsParser.java
+++ b/src/main/java/org/fieldtrestle/config/SettingsParser.java
@@ -64,7 +64,7 @@
             objectives,
             workers(workers),
             state(state),
-            new Settings.Cloud(cloud.positive("rps"), cloud.positive("list_lag_s")),
+            new Settings.CloudLimits(cloud.positive("rps"), cloud.positive("list_lag_s")),
             limits(limits));
     SettingsChecks.requireUsable(settings);
     return settings;
@@ -126,21 +126,22 @@
     return List.copyOf(objectives);
   }
 
-  private static Settings.Workers workers(SettingsTable table) throws InvalidSettingException {
-    return new Settings.Workers(
+  private static Settings.WorkerTiming workers(SettingsTable table) throws InvalidSettingException {
+    return new Settings.WorkerTiming(
         table.positive("report_s"), table.positive("lease_s"), table.positive("cancel_s"));
   }
 
-  private static Settings.State state(SettingsTable table) throws InvalidSettingException {
-    return new Settings.State(
+  private static Settings.KeyValueStoreLimits state(SettingsTable table)
+      throws InvalidSettingException {
+    return new Settings.KeyValueStoreLimits(
         table.positive("rps"),
         table.positive("write_rps"),
         table.positive("value_kb"),
         (int) table.positive("txn_ops"));
   }
 
-  private static Settings.Limits limits(SettingsTable table) throws InvalidSettingException {
-    return new Settings.Limits(
+  private static Settings.ProcessLimits limits(SettingsTable table) throws InvalidSettingException {
+    return new Settings.ProcessLimits(
         table.positive("cpu"), table.positive("mem_mb"), (int) table.positive("fd_limit"));
   }
 }
--- a/src/main/java/org/fieldtrestle/shard/ShardComponents.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardComponents.java
@@ -48,7 +48,7 @@
     inventoryFollower = new InventoryFollower(context, term, workers, outcomes, commands, events);
     leases = new LeaseMonitor(term, workers, outcomes);
     ImageDownloads downloads =
-        new ImageDownloads(context.settings().workers().heartbeatIntervalS());
+        new ImageDownloads(context.settings().workerTiming().heartbeatIntervalS());
     Reconciler reconciler =
         new Reconciler(context, term, workers, ranges, outcomes, commands, downloads);
     heartbeats =
--- a/src/main/java/org/fieldtrestle/state/StoreFollower.java
+++ b/src/main/java/org/fieldtrestle/state/StoreFollower.java
@@ -55,8 +55,8 @@
     this.watchIntervalMs =
         Math.round(
             Math.max(
-                WATCH_REQUEST_MS / settings.share(settings.state().rps()),
-                WATCH_COST_MS / (settings.limits().cpuShare() * WATCH_CPU_SHARE)));
+                WATCH_REQUEST_MS / settings.share(settings.storeLimits().rps()),
+                WATCH_COST_MS / (settings.processLimits().cpuShare() * WATCH_CPU_SHARE)));
     this.watchWaitMs = settings.stateLeaseMs() / WATCHES_PER_LEASE;
   }
 
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -34,7 +34,8 @@
   static Optional<Transaction> byLastRange(
       ControllerContext context, StateKey.RangeKey key, RangeRecord next) {
     ActiveJob job = context.stateCache().job(key.job());
-    if (job == null || job.ranges().size() + CHANGES_OF_JOB > context.settings().state().txnOps()) {
+    if (job == null
+        || job.ranges().size() + CHANGES_OF_JOB > context.settings().storeLimits().txnOps()) {
       return Optional.empty();
     }
     int tasks = 0;
--- a/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
@@ -76,7 +76,7 @@
             new Settings.Team(LIMITED_TEAM, 16, LIMITED_TEAM_CPUS, 0, 0),
             new Settings.Team("open", 16, 0, 0, 0)),
         List.of(new Settings.Objective("wait", "rush", 0.9, 1, 5)),
-        new Settings.Workers(
+        new Settings.WorkerTiming(
             deployment.heartbeatIntervalsMs() / 1000.0,
             deployment.leaseMs() / 1000.0,
             deployment.cancelMs() / 1000.0),
--- a/src/test/java/org/fieldtrestle/simulation/Deployment.java
+++ b/src/test/java/org/fieldtrestle/simulation/Deployment.java
@@ -13,9 +13,9 @@
     long heartbeatIntervalsMs,
     long leaseMs,
     long cancelMs,
-    Settings.State state,
-    Settings.Cloud cloud,
-    Settings.Limits limits,
+    Settings.KeyValueStoreLimits state,
+    Settings.CloudLimits cloud,
+    Settings.ProcessLimits limits,
     int listPage,
     boolean limited) {
 
@@ -25,9 +25,9 @@
         heartbeatIntervalsMs,
         leaseMs,
         cancelMs,
-        new Settings.State(200, 40, 8, 32),
-        new Settings.Cloud(3, 6),
-        new Settings.Limits(0.2, 263, 1800),
+        new Settings.KeyValueStoreLimits(200, 40, 8, 32),
+        new Settings.CloudLimits(3, 6),
+        new Settings.ProcessLimits(0.2, 263, 1800),
         7,
         false);
   }
@@ -48,8 +48,8 @@
         4000,
         22_000,
         52_000,
-        new Settings.State(350, 70, 8, 32),
-        new Settings.Limits(0.323, 414, 2868));
+        new Settings.KeyValueStoreLimits(350, 70, 8, 32),
+        new Settings.ProcessLimits(0.323, 414, 2868));
   }
 
   /** Timber stock on a large fleet: long heartbeat intervals, few requests allowed. */
@@ -58,8 +58,8 @@
         6000,
         34_000,
         64_000,
-        new Settings.State(70, 30, 16, 24),
-        new Settings.Limits(0.289, 414, 2148));
+        new Settings.KeyValueStoreLimits(70, 30, 16, 24),
+        new Settings.ProcessLimits(0.289, 414, 2148));
   }
 
   /** Payroll with the smallest controllers. */
@@ -68,22 +68,22 @@
         2500,
         16_000,
         46_000,
-        new Settings.State(200, 40, 8, 32),
-        new Settings.Limits(0.061, 194, 1800));
+        new Settings.KeyValueStoreLimits(200, 40, 8, 32),
+        new Settings.ProcessLimits(0.061, 194, 1800));
   }
 
   private static Deployment large(
       long heartbeatIntervalsMs,
       long leaseMs,
       long cancelMs,
-      Settings.State state,
-      Settings.Limits limits) {
+      Settings.KeyValueStoreLimits state,
+      Settings.ProcessLimits limits) {
     return new Deployment(
         heartbeatIntervalsMs,
         leaseMs,
         cancelMs,
         state,
-        new Settings.Cloud(4, 6),
+        new Settings.CloudLimits(4, 6),
         limits,
         1000,
         true);
@@ -94,7 +94,8 @@
         heartbeatIntervalsMs,
         leaseMs,
         cancelMs,
-        new Settings.State(perSecond, state.writeRps(), state.valueKb(), state.txnOps()),
+        new Settings.KeyValueStoreLimits(
+            perSecond, state.writeRps(), state.valueKb(), state.txnOps()),
         cloud,
         limits,
         listPage,
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
@@ -65,7 +65,7 @@
         0,
         List.of(new Settings.Team("open", 16, 0, 0, 0)),
         List.of(),
-        new Settings.Workers(6, 34, 64),
+        new Settings.WorkerTiming(6, 34, 64),
         Deployment.timberFleet().state(),
         Deployment.timberFleet().cloud(),
         Deployment.timberFleet().limits());
