--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -51,7 +51,7 @@
         new HttpClient(
             group.next(),
             sockets,
-            new HashSet<>(List.of(settings.stateAddress(), settings.cloudAddress())),
+            new HashSet<>(List.of(settings.keyValueStoreAddress(), settings.cloudAddress())),
             maxConnections / WORKER_CALLS_DIVISOR,
             meter);
     peers =
--- a/src/main/java/org/fieldtrestle/api/StoreAvailability.java
+++ b/src/main/java/org/fieldtrestle/api/StoreAvailability.java
@@ -32,7 +32,7 @@
     return unansweredForLong()
         && (peers.anyServed()
             || (!peers.anyHeard()
-                && context.store().unavailableForMs() > context.settings().stateLeaseMs()));
+                && context.store().unavailableForMs() > context.settings().controllerLeaseMs()));
   }
 
   /** Returns the outcome of a request that cannot be served at present. */
@@ -42,6 +42,6 @@
 
   private boolean unansweredForLong() {
     return context.store().unavailableForMs()
-        > context.settings().stateLeaseMs() / UNRESPONSIVE_LEASE_DIVISOR;
+        > context.settings().controllerLeaseMs() / UNRESPONSIVE_LEASE_DIVISOR;
   }
 }
--- a/src/main/java/org/fieldtrestle/config/Settings.java
+++ b/src/main/java/org/fieldtrestle/config/Settings.java
@@ -11,7 +11,7 @@
  * @param peerAddress host and port for the other controllers
  * @param peers the other controllers
  * @param cloudAddress host and port of the cloud's interface
- * @param stateAddress host and port of the key-value store
+ * @param keyValueStoreAddress host and port of the key-value store
  * @param zones all zones of the cluster
  * @param maxClockErrorMs upper bound of the difference between a machine's time of day and the true
  *     time
@@ -29,7 +29,7 @@
     String peerAddress,
     List<Peer> peers,
     String cloudAddress,
-    String stateAddress,
+    String keyValueStoreAddress,
     List<String> zones,
     double maxClockErrorMs,
     List<Team> teams,
@@ -122,7 +122,7 @@
    * most this time plus the worker's lease, and the sum must stay within the time limit of a
    * cancellation.
    */
-  public long stateLeaseMs() {
+  public long controllerLeaseMs() {
     double leasesS = workerTiming.cancelS() * CANCELLATION_LEASES_SHARE;
     return Math.round(
         (leasesS - workerTiming.leaseS() * (1 + CLOCK_DRIFT)) * MS_PER_S * (1 - CLOCK_DRIFT));
--- a/src/main/java/org/fieldtrestle/config/SettingsChecks.java
+++ b/src/main/java/org/fieldtrestle/config/SettingsChecks.java
@@ -5,7 +5,7 @@
 
 /** Checks settings that depend on each other or on what a cluster usually needs. */
 public final class SettingsChecks {
-  private static final long MIN_STATE_LEASE_MS = 2000;
+  private static final long MIN_CONTROLLER_LEASE_MS = 2000;
   private static final int MIN_TRANSACTION_CHANGES = 8;
   private static final int MIN_HEARTBEATS_PER_LEASE = 2;
   private static final int USUAL_HEARTBEATS_PER_LEASE = 3;
@@ -35,7 +35,7 @@
           "cluster.workers.lease_s",
           "must be at least twice report_s; otherwise every lease of a worker expires");
     }
-    if (settings.stateLeaseMs() < MIN_STATE_LEASE_MS) {
+    if (settings.controllerLeaseMs() < MIN_CONTROLLER_LEASE_MS) {
       throw new InvalidSettingException(
           "cluster.workers.cancel_s",
           "too short for lease_s and the controller's own lease; a task could run on after the"
--- a/src/main/java/org/fieldtrestle/controller/MeteredCaller.java
+++ b/src/main/java/org/fieldtrestle/controller/MeteredCaller.java
@@ -38,7 +38,7 @@
   }
 
   private Activity activityOf(String address, String path) {
-    if (address.equals(settings.stateAddress())) {
+    if (address.equals(settings.keyValueStoreAddress())) {
       return path.startsWith(KeyValueProtocol.WATCH_PATH)
           ? Activity.STATE_WATCH
           : Activity.STATE_ANSWER;
--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -69,7 +69,7 @@
     this.leadershipChanges = leadershipChanges;
     this.self = settings.label();
     this.boot = boot;
-    this.leaseMs = settings.stateLeaseMs();
+    this.leaseMs = settings.controllerLeaseMs();
   }
 
   boolean isRegistered() {
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
@@ -58,7 +58,7 @@
     this.fence = fence;
     this.ledShards = ledShards;
     this.self = settings.label();
-    this.leaseMs = settings.stateLeaseMs();
+    this.leaseMs = settings.controllerLeaseMs();
   }
 
   /** Whether this controller may take its own shard back from another leader. */
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
@@ -13,7 +13,7 @@
  * counted from the <em>sending</em> of the request that proved it. A watch that no longer delivers
  * cancellations must not keep tasks alive, so the age of the state cache counts as much as the
  * lease. The bound is chosen so that the effect of the last answer to a worker ends within the time
- * that a cancellation may take, see {@link Settings#stateLeaseMs}.
+ * that a cancellation may take, see {@link Settings#controllerLeaseMs}.
  */
 public final class LeadershipFence {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipFence.class);
--- a/src/main/java/org/fieldtrestle/leadership/Membership.java
+++ b/src/main/java/org/fieldtrestle/leadership/Membership.java
@@ -49,7 +49,7 @@
     this.reactor = reactor;
     this.stateCache = stateCache;
     this.self = settings.label();
-    this.leaseMs = settings.stateLeaseMs();
+    this.leaseMs = settings.controllerLeaseMs();
     this.fence = new LeadershipFence(reactor, stateCache, leaseMs);
     this.ledShards = new LedShards();
     this.leadershipChanges =
--- a/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
+++ b/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
@@ -38,7 +38,7 @@
     this.ledShards = ledShards;
     this.leadershipChanges = leadershipChanges;
     this.self = settings.label();
-    this.leaseMs = settings.stateLeaseMs();
+    this.leaseMs = settings.controllerLeaseMs();
   }
 
   /** How many members have a lower label than this controller. */
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -53,7 +53,7 @@
   public KeyValueClient(Reactor reactor, Http.Caller caller, Settings settings) {
     this.reactor = reactor;
     this.caller = caller;
-    this.address = settings.stateAddress();
+    this.address = settings.keyValueStoreAddress();
     this.timeoutMs = Math.round(UserProtocol.POLL_TIMEOUT_MS * TIMEOUT_SHARE);
     this.queue =
         new RequestQueue(
--- a/src/main/java/org/fieldtrestle/state/StoreFollower.java
+++ b/src/main/java/org/fieldtrestle/state/StoreFollower.java
@@ -57,7 +57,7 @@
             Math.max(
                 WATCH_REQUEST_MS / settings.share(settings.storeLimits().rps()),
                 WATCH_COST_MS / (settings.processLimits().cpuShare() * WATCH_CPU_SHARE)));
-    this.watchWaitMs = settings.stateLeaseMs() / WATCHES_PER_LEASE;
+    this.watchWaitMs = settings.controllerLeaseMs() / WATCHES_PER_LEASE;
   }
 
   /** Begins to follow, without end. */
--- a/src/test/java/org/fieldtrestle/config/SettingsParserTest.java
+++ b/src/test/java/org/fieldtrestle/config/SettingsParserTest.java
@@ -61,9 +61,9 @@
     assertEquals("n-1", settings.peers().get(0).label());
     assertEquals(10, settings.team("t").cpusMax());
     // The controller's lease, a worker's lease and a margin fit into the time of a cancellation.
-    assertTrue(settings.stateLeaseMs() + settings.workerLeaseMs() < 46_000);
+    assertTrue(settings.controllerLeaseMs() + settings.workerLeaseMs() < 46_000);
     assertTrue(
-        settings.stateLeaseMs() > 25_000,
+        settings.controllerLeaseMs() > 25_000,
         "the controller's lease must outlast short outages of the key-value store");
   }
 
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -72,7 +72,7 @@
     long taken = stateCache.version(StateKeys.shard(LABEL));
     network.runFor(LATE_MS);
     assertTrue(begun.stream().noneMatch(epoch -> epoch < taken), begun + " before " + taken);
-    network.runFor(settings.stateLeaseMs());
+    network.runFor(settings.controllerLeaseMs());
     assertEquals(
         stateCache.version(StateKeys.shard(LABEL)), begun.get(begun.size() - 1), "taken back");
   }
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -98,9 +98,9 @@
   void noHeartbeatIsAcknowledgedOnceTheStateCacheIsTooOld() {
     fixture.reconcile();
     fixture.network.stateOutage(60_000);
-    fixture.network.runFor(fixture.context.settings().stateLeaseMs() / 2);
+    fixture.network.runFor(fixture.context.settings().controllerLeaseMs() / 2);
     assertEquals(200, fixture.heartbeat().status());
-    fixture.network.runFor(fixture.context.settings().stateLeaseMs() / 2);
+    fixture.network.runFor(fixture.context.settings().controllerLeaseMs() / 2);
     assertEquals(503, fixture.heartbeat().status());
   }
 }
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -120,7 +120,7 @@
   @Test
   void theFenceClosesWithoutAnswersOfTheKeyValueStore() {
     fixture.network.stateOutage(60_000);
-    fixture.network.runFor(fixture.context.settings().stateLeaseMs() + 1000);
+    fixture.network.runFor(fixture.context.settings().controllerLeaseMs() + 1000);
     assertEquals(StartRefusal.FENCE_CLOSED, policy.startRefusal(range));
     assertFalse(policy.mayAcknowledge());
     fixture.network.runFor(60_000);
