--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -48,7 +48,7 @@
 
   /** Returns the largest record of a job that the store takes, in bytes. */
   double maxRecordBytes() {
-    return context.settings().storeLimits().valueKb() * BYTES_PER_KB;
+    return context.settings().storeLimits().maxValueKb() * BYTES_PER_KB;
   }
 
   /** Plans the acceptance of a job by the present loads and epochs of the shards. */
@@ -70,7 +70,7 @@
   private List<JobSplitter.Part> split(JobSpec spec, String zone) {
     Settings settings = context.settings();
     List<JobSplitter.Candidate> candidates = context.loads().candidates(spec, zone);
-    int maxRanges = settings.storeLimits().txnOps() - FIXED_OPERATIONS;
+    int maxRanges = settings.storeLimits().maxTransactionChanges() - FIXED_OPERATIONS;
     int maxTasks = (int) (maxRecordBytes() / BITMAP_VALUE_DIVISOR * BITMAP_BITS_PER_BYTE);
     List<JobSplitter.Part> parts = JobSplitter.split(spec, candidates, maxTasks, settings.zones());
     if (parts.size() <= maxRanges) {
--- a/src/main/java/org/fieldtrestle/config/Settings.java
+++ b/src/main/java/org/fieldtrestle/config/Settings.java
@@ -80,32 +80,33 @@
       String kind, String jobClass, double share, double times, double withinS) {}
 
   /**
-   * Timing of the workerTiming.
+   * Timing of the workers.
    *
    * @param heartbeatIntervalS seconds between two heartbeats of a worker; the actual interval
    *     varies by up to a quarter
    * @param leaseS seconds without an answer after which a worker ends its tasks
-   * @param cancelS seconds within which all tasks of a cancelled job must be gone
+   * @param cancellationTimeS seconds within which all tasks of a cancelled job must be gone
    */
-  public record WorkerTiming(double heartbeatIntervalS, double leaseS, double cancelS) {}
+  public record WorkerTiming(double heartbeatIntervalS, double leaseS, double cancellationTimeS) {}
 
   /**
    * Limits of the key-value store. All controllers together must keep to the rates.
    *
-   * @param rps requests per second
-   * @param writeRps changed keys per second
-   * @param valueKb maximum size of a value in KiB
-   * @param txnOps maximum number of changes in a transaction
+   * @param requestsPerS maximum number of requests per second
+   * @param changesPerS maximum number of changed keys per second
+   * @param maxValueKb maximum size of a value in KiB
+   * @param maxTransactionChanges maximum number of changes in a transaction
    */
-  public record KeyValueStoreLimits(double rps, double writeRps, double valueKb, int txnOps) {}
+  public record KeyValueStoreLimits(
+      double requestsPerS, double changesPerS, double maxValueKb, int maxTransactionChanges) {}
 
   /**
    * Limits of the cloud's interface.
    *
-   * @param rps requests per second of all controllers together
-   * @param listLagS maximum number of seconds by which the list of machines may be out of date
+   * @param requestsPerS maximum number of requests per second of all controllers together
+   * @param maxListLagS maximum number of seconds by which the list of machines may be out of date
    */
-  public record CloudLimits(double rps, double listLagS) {}
+  public record CloudLimits(double requestsPerS, double maxListLagS) {}
 
   /**
    * Limits of this process.
@@ -123,7 +124,7 @@
    * cancellation.
    */
   public long controllerLeaseMs() {
-    double leasesS = workerTiming.cancelS() * CANCELLATION_LEASES_SHARE;
+    double leasesS = workerTiming.cancellationTimeS() * CANCELLATION_LEASES_SHARE;
     return Math.round(
         (leasesS - workerTiming.leaseS() * (1 + CLOCK_DRIFT)) * MS_PER_S * (1 - CLOCK_DRIFT));
   }
--- a/src/main/java/org/fieldtrestle/config/SettingsChecks.java
+++ b/src/main/java/org/fieldtrestle/config/SettingsChecks.java
@@ -29,8 +29,8 @@
    * @throws InvalidSettingException for the first field that is refused
    */
   static void requireUsable(Settings settings) throws InvalidSettingException {
-    Settings.WorkerTiming workers = settings.workerTiming();
-    if (workers.leaseS() < MIN_HEARTBEATS_PER_LEASE * workers.heartbeatIntervalS()) {
+    Settings.WorkerTiming timing = settings.workerTiming();
+    if (timing.leaseS() < MIN_HEARTBEATS_PER_LEASE * timing.heartbeatIntervalS()) {
       throw new InvalidSettingException(
           "cluster.workers.lease_s",
           "must be at least twice report_s; otherwise every lease of a worker expires");
@@ -41,7 +41,7 @@
           "too short for lease_s and the controller's own lease; a task could run on after the"
               + " cancellation of its job");
     }
-    if (settings.storeLimits().txnOps() < MIN_TRANSACTION_CHANGES) {
+    if (settings.storeLimits().maxTransactionChanges() < MIN_TRANSACTION_CHANGES) {
       throw new InvalidSettingException(
           "cluster.state.txn_ops", "must be at least " + MIN_TRANSACTION_CHANGES);
     }
@@ -55,13 +55,13 @@
    */
   public static List<String> warnings(Settings settings, double heapMb) {
     List<String> warnings = new ArrayList<>();
-    if (settings.share(settings.storeLimits().writeRps()) < USUAL_CHANGES_PER_S) {
+    if (settings.share(settings.storeLimits().changesPerS()) < USUAL_CHANGES_PER_S) {
       warnings.add(
           "cluster.state.write_rps: allows each controller fewer than "
               + USUAL_CHANGES_PER_S
               + " changes per second; jobs will be accepted and completed slowly");
     }
-    if (settings.share(settings.storeLimits().rps()) < USUAL_REQUESTS_PER_S) {
+    if (settings.share(settings.storeLimits().requestsPerS()) < USUAL_REQUESTS_PER_S) {
       warnings.add(
           "cluster.state.rps: allows each controller fewer than "
               + USUAL_REQUESTS_PER_S
@@ -73,8 +73,8 @@
               + Math.round(heapMb)
               + " MB and the memory that the JVM needs outside the heap");
     }
-    Settings.WorkerTiming workers = settings.workerTiming();
-    if (workers.leaseS() < USUAL_HEARTBEATS_PER_LEASE * workers.heartbeatIntervalS()) {
+    Settings.WorkerTiming timing = settings.workerTiming();
+    if (timing.leaseS() < USUAL_HEARTBEATS_PER_LEASE * timing.heartbeatIntervalS()) {
       warnings.add(
           "cluster.workers.lease_s: below 3 times report_s; one or two lost reports end a lease");
     }
--- a/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
+++ b/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
@@ -76,7 +76,7 @@
 
   /** Whether one more machine fits: the store limits operations and conditions. */
   boolean hasCapacity() {
-    int operations = context.settings().storeLimits().txnOps();
+    int operations = context.settings().storeLimits().maxTransactionChanges();
     return changes.size() + parts.size() + SPARE_OPERATIONS < operations
         && conditions.size() + 2 * parts.size() + SPARE_CONDITIONS
             < CONDITIONS_PER_OPERATION * operations;
@@ -136,7 +136,7 @@
   }
 
   private int firstPartWithRoom() {
-    double partBytes = context.settings().storeLimits().valueKb() * 1024;
+    double partBytes = context.settings().storeLimits().maxValueKb() * 1024;
     int maxMachines = (int) (partBytes * MAX_FILL / BYTES_PER_MACHINE);
     int number = 0;
     while (sizeOf(number) >= maxMachines
@@ -158,7 +158,7 @@
    */
   private boolean partFits(int number) {
     return parts.containsKey(key(number))
-        || (parts.size() + 1) * context.settings().storeLimits().valueKb() <= MAX_TRANSACTION_KB;
+        || (parts.size() + 1) * context.settings().storeLimits().maxValueKb() <= MAX_TRANSACTION_KB;
   }
 
   private Map<String, MachineRecord> part(int number) {
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -94,7 +94,7 @@
       return;
     }
     busy = true;
-    double writesPerS = context.settings().share(context.settings().storeLimits().writeRps());
+    double writesPerS = context.settings().share(context.settings().storeLimits().changesPerS());
     nextWriteAtMs = context.now() + Math.round(1000 * WRITE_INTERVAL_WRITES / writesPerS);
     term.write(
         batch.conditions(),
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -98,7 +98,7 @@
         || ranges.blocked(range)
         || !range.record().zoneLimits().isEmpty()
         || context.stateCache().rangesOf(range.key().job()).size() + OTHER_OPERATIONS
-            > context.settings().storeLimits().txnOps()) {
+            > context.settings().storeLimits().maxTransactionChanges()) {
       return 0;
     }
     int size = range.record().size();
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -35,7 +35,8 @@
       ControllerContext context, StateKey.RangeKey key, RangeRecord next) {
     ActiveJob job = context.stateCache().job(key.job());
     if (job == null
-        || job.ranges().size() + CHANGES_OF_JOB > context.settings().storeLimits().txnOps()) {
+        || job.ranges().size() + CHANGES_OF_JOB
+            > context.settings().storeLimits().maxTransactionChanges()) {
       return Optional.empty();
     }
     int tasks = 0;
--- a/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
@@ -158,7 +158,7 @@
       KeyValueProtocol.Put put =
           StateChanges.put(StateKeys.range(range.key()), range.recordWithFinished());
       bytes += put.value().toString().length() + CHANGE_OVERHEAD_BYTES;
-      if (batch.size() >= context.settings().storeLimits().txnOps() / 2
+      if (batch.size() >= context.settings().storeLimits().maxTransactionChanges() / 2
           || bytes > MAX_BATCH_BYTES) {
         break;
       }
--- a/src/test/java/org/fieldtrestle/simulation/Deployment.java
+++ b/src/test/java/org/fieldtrestle/simulation/Deployment.java
@@ -95,7 +95,7 @@
         leaseMs,
         cancelMs,
         new Settings.KeyValueStoreLimits(
-            perSecond, state.writeRps(), state.valueKb(), state.txnOps()),
+            perSecond, state.changesPerS(), state.maxValueKb(), state.maxTransactionChanges()),
         cloud,
         limits,
         listPage,
--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -236,7 +236,7 @@
     SimulatedJob job = cluster.users.define("job-77", one -> one.tasks(300));
     ObjectNode body = (ObjectNode) Json.parseOrEmpty(job.body());
     ArrayNode types = body.putArray("rigs").add("big");
-    int room = (int) (cluster.deployment().state().valueKb() * 1024) - ONE_RANGE_BYTES;
+    int room = (int) (cluster.deployment().state().maxValueKb() * 1024) - ONE_RANGE_BYTES;
     while (Json.bytes(body).length + LONG_NAME_BYTES < room) {
       types.add("x".repeat(LONG_NAME_BYTES));
     }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
@@ -32,8 +32,8 @@
   SimulatedKeyValueStore(SimulatedTime time, Deployment deployment) {
     this.time = time;
     this.deployment = deployment;
-    this.requestLimit = new RateLimit(deployment.state().rps());
-    this.writeLimit = new RateLimit(deployment.state().writeRps());
+    this.requestLimit = new RateLimit(deployment.state().requestsPerS());
+    this.writeLimit = new RateLimit(deployment.state().changesPerS());
     this.watches = new StoreWatches(time, keys, () -> outageUntilMs - time.now());
     this.leases = new StoreLeases(time, this::isDown, this::removeKeysOf);
   }
@@ -252,11 +252,11 @@
         return "no such lease";
       }
       if (change.path("v").toString().getBytes(StandardCharsets.UTF_8).length
-          > deployment.state().valueKb() * BYTES_PER_KB) {
+          > deployment.state().maxValueKb() * BYTES_PER_KB) {
         return "too large";
       }
     }
-    int maxChanges = deployment.state().txnOps();
+    int maxChanges = deployment.state().maxTransactionChanges();
     boolean tooMany =
         body.path("apply").size() > maxChanges
             || body.path("when").size() > CONDITIONS_PER_CHANGE * maxChanges;
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -56,7 +56,7 @@
   /** As many writes as can wait, each as large as a transaction may be. */
   private void fillWithWrites() {
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    for (int i = 0; i < settings.storeLimits().txnOps(); i++) {
+    for (int i = 0; i < settings.storeLimits().maxTransactionChanges(); i++) {
       changes.add(new KeyValueProtocol.Delete("ft/live/range/job-1/" + i));
     }
     for (int i = 0; i < 200; i++) {
@@ -115,7 +115,7 @@
     List<KeyValueProtocol.Change> change =
         List.of(new KeyValueProtocol.Delete("ft/live/member/trestle-0"));
     store.commitWithPriority(new Transaction(List.of(), change), result -> done[0] = true);
-    time.runUntil(1000 + 1000 * settings.storeLimits().txnOps() / 9);
+    time.runUntil(1000 + 1000 * settings.storeLimits().maxTransactionChanges() / 9);
     assertTrue(done[0], "once the write before it has been paid for");
   }
 
