--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -42,7 +42,8 @@
     this.caller = caller;
     this.address = settings.cloudAddress();
     this.requestIntervalMs =
-        Math.round(1000 / (settings.share(settings.cloudLimits().requestsPerS()) * USED_SHARE));
+        Math.round(
+            1000 / (settings.equalShare(settings.cloudLimits().requestsPerS()) * USED_SHARE));
     this.listLagMs = Math.round(settings.cloudLimits().maxListLagS() * 1000);
     this.queue = new RateLimitedQueue(reactor, requestIntervalMs);
   }
--- a/src/main/java/org/fieldtrestle/config/Settings.java
+++ b/src/main/java/org/fieldtrestle/config/Settings.java
@@ -72,12 +72,12 @@
    * guarantee it.
    *
    * @param kind what is measured, such as {@code wait} or {@code deadline}
-   * @param share share of the jobs that should meet the objective, from 0 to 1
-   * @param times the multiple of its deadline that a job may take
+   * @param targetShare share of the jobs that should meet the objective, from 0 to 1
+   * @param deadlineFactor the multiple of its deadline that a job may take
    * @param withinS seconds within which a job should start; 0 if the objective sets no such limit
    */
   public record Objective(
-      String kind, String jobClass, double share, double times, double withinS) {}
+      String kind, String jobClass, double targetShare, double deadlineFactor, double withinS) {}
 
   /**
    * Timing of the workers.
@@ -140,7 +140,7 @@
   }
 
   /** Returns this controller's equal share of a limit that applies to all controllers together. */
-  public double share(double total) {
+  public double equalShare(double total) {
     return total / (peers.size() + 1);
   }
 
--- a/src/main/java/org/fieldtrestle/config/SettingsChecks.java
+++ b/src/main/java/org/fieldtrestle/config/SettingsChecks.java
@@ -55,13 +55,13 @@
    */
   public static List<String> warnings(Settings settings, double heapMb) {
     List<String> warnings = new ArrayList<>();
-    if (settings.share(settings.storeLimits().changesPerS()) < USUAL_CHANGES_PER_S) {
+    if (settings.equalShare(settings.storeLimits().changesPerS()) < USUAL_CHANGES_PER_S) {
       warnings.add(
           "cluster.state.write_rps: allows each controller fewer than "
               + USUAL_CHANGES_PER_S
               + " changes per second; jobs will be accepted and completed slowly");
     }
-    if (settings.share(settings.storeLimits().requestsPerS()) < USUAL_REQUESTS_PER_S) {
+    if (settings.equalShare(settings.storeLimits().requestsPerS()) < USUAL_REQUESTS_PER_S) {
       warnings.add(
           "cluster.state.rps: allows each controller fewer than "
               + USUAL_REQUESTS_PER_S
--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -119,8 +119,8 @@
     for (Settings.Objective objective : context.settings().objectives()) {
       if (objective.kind().equals("deadline")
           && objective.jobClass().equals(spec.jobClass())
-          && objective.times() <= 1) {
-        share = Math.min(share, Math.max(MIN_SLACK_SHARE, 5 * (1 - objective.share())));
+          && objective.deadlineFactor() <= 1) {
+        share = Math.min(share, Math.max(MIN_SLACK_SHARE, 5 * (1 - objective.targetShare())));
       }
     }
     return share;
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -94,7 +94,8 @@
       return;
     }
     busy = true;
-    double writesPerS = context.settings().share(context.settings().storeLimits().changesPerS());
+    double writesPerS =
+        context.settings().equalShare(context.settings().storeLimits().changesPerS());
     nextWriteAtMs = context.now() + Math.round(1000 * WRITE_INTERVAL_WRITES / writesPerS);
     term.write(
         batch.conditions(),
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -58,8 +58,8 @@
     this.queue =
         new RequestQueue(
             reactor,
-            settings.share(settings.storeLimits().requestsPerS()) * REQUESTS_USED_SHARE,
-            settings.share(settings.storeLimits().changesPerS()) * CHANGES_USED_SHARE);
+            settings.equalShare(settings.storeLimits().requestsPerS()) * REQUESTS_USED_SHARE,
+            settings.equalShare(settings.storeLimits().changesPerS()) * CHANGES_USED_SHARE);
   }
 
   /** For how long the store has answered nothing, in ms; 0 while it does answer. */
--- a/src/main/java/org/fieldtrestle/state/StoreFollower.java
+++ b/src/main/java/org/fieldtrestle/state/StoreFollower.java
@@ -55,7 +55,7 @@
     this.watchIntervalMs =
         Math.round(
             Math.max(
-                WATCH_REQUEST_MS / settings.share(settings.storeLimits().requestsPerS()),
+                WATCH_REQUEST_MS / settings.equalShare(settings.storeLimits().requestsPerS()),
                 WATCH_COST_MS / (settings.processLimits().cpuShare() * WATCH_CPU_SHARE)));
     this.watchWaitMs = settings.controllerLeaseMs() / WATCHES_PER_LEASE;
   }
