--- a/src/main/java/org/fieldtrestle/config/OperatorSettingsParser.java
+++ b/src/main/java/org/fieldtrestle/config/OperatorSettingsParser.java
@@ -58,12 +58,12 @@
         new OperatorSettings(
             falcon.number("remaining_weight", defaults.remainingWeight(), 0, 1),
             falcon.number("waiting_weight", defaults.waitingWeight(), 0, 1),
-            falcon.number("floor_s", defaults.floorS(), ABOVE_ZERO, MAX_FLOOR_S),
+            falcon.number("floor_s", defaults.remainingTimeFloorS(), ABOVE_ZERO, MAX_FLOOR_S),
             falcon.number("delta", defaults.delta(), ABOVE_ZERO, 1),
-            eviction.number("margin", defaults.margin(), 0, MAX_MARGIN),
+            eviction.number("margin", defaults.preemptionMargin(), 0, MAX_MARGIN),
             eviction.number("wait_s", defaults.preemptionWaitS(), 0, MAX_WAIT_S),
-            eviction.number("victim_share", defaults.victimShare(), 0, 1),
-            number(root.get("reserve"), "reserve", defaults.reserve(), 0, MAX_RESERVED_JOBS));
+            eviction.number("victim_share", defaults.maxVictimRunShare(), 0, 1),
+            number(root.get("reserve"), "reserve", defaults.reservedJobs(), 0, MAX_RESERVED_JOBS));
     // The paper's weights sum to 1. Any other sum would only change the effect of the margin.
     if (Math.abs(read.remainingWeight() + read.waitingWeight() - 1) > WEIGHT_ROUNDING) {
       throw new InvalidSettingException(
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -68,7 +68,8 @@
         spec.deadlineS() < 0
             ? SLACK_WITHOUT_DEADLINE_FETCHES * fetchS
             : spec.deadlineS() - spec.estimateS() - fetchS;
-    return tasks.waitedS(nowMs) / Math.max(context.operatorSettings().floorS(), slackS);
+    return tasks.waitedS(nowMs)
+        / Math.max(context.operatorSettings().remainingTimeFloorS(), slackS);
   }
 
   /**
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -60,7 +60,7 @@
     double capacity = workers.capacity();
     double part = capacity / Math.max(1, capacity + context.loads().capacityOfOthers(shard));
     return Math.min(
-        latencySensitiveJobCpus * context.operatorSettings().reserve() * part,
+        latencySensitiveJobCpus * context.operatorSettings().reservedJobs() * part,
         capacity * MAX_SHARE);
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
+++ b/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
@@ -37,7 +37,8 @@
    * @param waitedS seconds that the task has waited
    */
   public double score(double remainingS, double waitedS) {
-    return operatorSettings.remainingWeight() / Math.max(operatorSettings.floorS(), remainingS)
+    return operatorSettings.remainingWeight()
+            / Math.max(operatorSettings.remainingTimeFloorS(), remainingS)
         + operatorSettings.waitingWeight() * Math.max(0, waitedS);
   }
 
@@ -128,7 +129,7 @@
     List<RunningTask<U>> victims = new ArrayList<>();
     for (RunningTask<U> candidate : running) {
       if ((waiting.priority().isHigherThan(candidate.priority()) || candidate.reclaimable())
-          && waiting.score() > candidate.score() + operatorSettings.margin()
+          && waiting.score() > candidate.score() + operatorSettings.preemptionMargin()
           && hasRunLittle(candidate.elapsedS(), candidate.estimateS())) {
         victims.add(candidate);
       }
@@ -139,6 +140,6 @@
 
   /** Whether a task has run so small a share of its estimate that it may be preempted. */
   boolean hasRunLittle(double elapsedS, double estimateS) {
-    return elapsedS <= operatorSettings.victimShare() * estimateS;
+    return elapsedS <= operatorSettings.maxVictimRunShare() * estimateS;
   }
 }
--- a/src/test/java/org/fieldtrestle/config/OperatorSettingsParserTest.java
+++ b/src/test/java/org/fieldtrestle/config/OperatorSettingsParserTest.java
@@ -15,8 +15,8 @@
             "falcon {\n  delta = 0.5\n}\neviction {\n  wait_s = 4\n}\nreserve = 2\n");
     assertEquals(0.5, read.delta());
     assertEquals(4, read.preemptionWaitS());
-    assertEquals(2, read.reserve());
-    assertEquals(OperatorSettings.DEFAULT.margin(), read.margin());
+    assertEquals(2, read.reservedJobs());
+    assertEquals(OperatorSettings.DEFAULT.preemptionMargin(), read.preemptionMargin());
   }
 
   private static String fieldOf(InvalidSettingException error) {
--- a/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
+++ b/src/test/java/org/fieldtrestle/scheduling/SelectivePreemptionTest.java
@@ -219,8 +219,8 @@
     double last = Double.NEGATIVE_INFINITY;
     for (RunningTask<Integer> victim :
         falcon.victims(waiting("w", Priority.URGENT, score), running)) {
-      assertTrue(victim.score() + PAPER.margin() < score);
-      assertTrue(victim.elapsedS() <= PAPER.victimShare() * 60);
+      assertTrue(victim.score() + PAPER.preemptionMargin() < score);
+      assertTrue(victim.elapsedS() <= PAPER.maxVictimRunShare() * 60);
       assertFalse(victim.score() < last);
       last = victim.score();
     }
