--- a/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
@@ -24,7 +24,10 @@
 
   private KeyValueProtocol() {}
 
-  /** A condition of a transaction: the key still has this version, or with 0, does not exist. */
+  /**
+   * A condition of a transaction: the key still has the given version. Version 0 means that the key
+   * does not exist.
+   */
   public record Condition(String key, long version) {}
 
   /** A change of one key. */
@@ -33,13 +36,15 @@
     String key();
   }
 
-  /** Sets a key. The key is deleted when its lease ends; 0 stands for no lease. */
+  /** Sets a key. The key is deleted when its lease ends; lease id 0 stands for no lease. */
   public record Put(String key, JsonNode value, long leaseId) implements Change {}
 
   /** Deletes a key. */
   public record Delete(String key) implements Change {}
 
-  /** A key and its value at a version; {@code null} if the key was deleted at that version. */
+  /**
+   * A key and its value at a version; a {@code null} value means that the key was deleted there.
+   */
   public record Entry(String key, JsonNode value, long version) {}
 
   /** A page of keys at a revision; {@code hasMore} tells whether further pages follow. */
