--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -44,14 +44,14 @@
 
   ControllerProcess(Settings settings, OperatorSettings operatorSettings) {
     EventLoopMeter meter = new EventLoopMeter(System::nanoTime);
-    int maxConnections = settings.limits().maxConnections();
+    int maxConnections = settings.processLimits().maxConnections();
     SocketBudget sockets = new SocketBudget(maxConnections);
     long idleMs = settings.workerLeaseMs() * IDLE_LEASES;
     HttpClient client =
         new HttpClient(
             group.next(),
             sockets,
-            new HashSet<>(List.of(settings.stateAddress(), settings.cloudAddress())),
+            new HashSet<>(List.of(settings.keyValueStoreAddress(), settings.cloudAddress())),
             maxConnections / WORKER_CALLS_DIVISOR,
             meter);
     peers =
--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -51,7 +51,7 @@
 
   /** Returns the size of the largest job record that the key-value store accepts, in bytes. */
   double maxRecordBytes() {
-    return context.settings().state().valueKb() * BYTES_PER_KB;
+    return context.settings().storeLimits().maxValueKb() * BYTES_PER_KB;
   }
 
   /** Plans the acceptance of a job according to the current loads and epochs of the shards. */
@@ -74,7 +74,7 @@
   private List<JobSplitter.Part> split(JobSpec spec, String zone) {
     Settings settings = context.settings();
     List<JobSplitter.Candidate> candidates = context.loads().candidates(spec, zone);
-    int maxRanges = settings.state().txnOps() - FIXED_OPERATIONS;
+    int maxRanges = settings.storeLimits().maxTransactionChanges() - FIXED_OPERATIONS;
     int maxTasks = (int) (maxRecordBytes() / BITMAP_VALUE_DIVISOR * BITMAP_BITS_PER_BYTE);
     List<JobSplitter.Part> parts = JobSplitter.split(spec, candidates, maxTasks, settings.zones());
     if (parts.size() <= maxRanges) {
@@ -118,7 +118,7 @@
   private List<String> allowedZones(JobSpec spec) {
     TreeSet<String> zones = new TreeSet<>();
     for (MachineType type : context.machineTypes()) {
-      if (type.allowedFor(spec)) {
+      if (type.isAllowedFor(spec)) {
         zones.addAll(type.zones());
       }
     }
--- a/src/main/java/org/fieldtrestle/api/AdmissionCheck.java
+++ b/src/main/java/org/fieldtrestle/api/AdmissionCheck.java
@@ -24,7 +24,7 @@
     if (exceedsQuota(spec, team)) {
       return Optional.of("needs more than the team's limit");
     }
-    if (context.machineTypes().stream().noneMatch(type -> type.allowedFor(spec))) {
+    if (context.machineTypes().stream().noneMatch(type -> type.isAllowedFor(spec))) {
       return Optional.of("a task fits no allowed machine type");
     }
     return Optional.empty();
--- a/src/main/java/org/fieldtrestle/api/StoreAvailability.java
+++ b/src/main/java/org/fieldtrestle/api/StoreAvailability.java
@@ -43,7 +43,7 @@
     return isUnansweredForLong()
         && (peers.isStoreAvailableToAny()
             || (!peers.isAnyAlive()
-                && context.store().unavailableForMs() > context.settings().stateLeaseMs()));
+                && context.store().unavailableForMs() > context.settings().controllerLeaseMs()));
   }
 
   /** Returns the outcome for a request that cannot be served at present. */
@@ -53,6 +53,6 @@
 
   private boolean isUnansweredForLong() {
     return context.store().unavailableForMs()
-        > context.settings().stateLeaseMs() / UNRESPONSIVE_LEASE_DIVISOR;
+        > context.settings().controllerLeaseMs() / UNRESPONSIVE_LEASE_DIVISOR;
   }
 }
--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -42,8 +42,9 @@
     this.caller = caller;
     this.address = settings.cloudAddress();
     this.requestIntervalMs =
-        Math.round(1000 / (settings.share(settings.cloud().rps()) * USED_SHARE));
-    this.listLagMs = Math.round(settings.cloud().listLagS() * 1000);
+        Math.round(
+            1000 / (settings.equalShare(settings.cloudLimits().requestsPerS()) * USED_SHARE));
+    this.listLagMs = Math.round(settings.cloudLimits().maxListLagS() * 1000);
     this.queue = new RateLimitedQueue(reactor, requestIntervalMs);
   }
 
@@ -66,7 +67,7 @@
   /** Reads the machine types at once and then periodically, as spot prices change. */
   public void start() {
     read(
-        CloudProtocol.TYPES_PATH,
+        CloudProtocol.MACHINE_TYPES_PATH,
         outcome -> {
           readTypes(outcome);
           reactor.schedule(
@@ -78,7 +79,7 @@
   private void readTypes(Http.Outcome outcome) {
     if (outcome instanceof Http.Answer answer && answer.status() == 200) {
       try {
-        machineTypes = CloudProtocol.readTypes(answer.body());
+        machineTypes = CloudProtocol.readMachineTypes(answer.body());
       } catch (MalformedJsonException e) {
         LOG.atWarn().addKeyValue("reason", e.getMessage()).log("machine types are malformed");
       }
@@ -89,7 +90,7 @@
   public void rent(RentalRequest request, Consumer<RentalResult> done) {
     change(
         CloudProtocol.MACHINES_PATH,
-        CloudProtocol.writeRental(
+        CloudProtocol.writeRentalRequest(
             request.id(), request.type(), request.zone(), request.spot(), request.count()),
         outcome -> done.accept(rentalResult(outcome)));
   }
@@ -123,7 +124,7 @@
   public void terminate(List<String> machines, Consumer<Boolean> done) {
     change(
         CloudProtocol.RETURN_PATH,
-        CloudProtocol.writeReturn(machines),
+        CloudProtocol.writeReturnRequest(machines),
         outcome -> done.accept(outcome instanceof Http.Answer answer && answer.status() == 200));
   }
 
@@ -148,8 +149,8 @@
           }
           List<ListedMachine> machines = page.get().machines();
           listed.addAll(machines);
-          if (page.get().more() && !machines.isEmpty()) {
-            readPage(machines.get(machines.size() - 1).machine(), listed, done);
+          if (page.get().hasMore() && !machines.isEmpty()) {
+            readPage(machines.get(machines.size() - 1).name(), listed, done);
           } else {
             done.accept(Optional.of(listed));
           }
--- a/src/main/java/org/fieldtrestle/config/SettingsParser.java
+++ b/src/main/java/org/fieldtrestle/config/SettingsParser.java
@@ -13,14 +13,14 @@
 import java.util.Set;
 import org.fieldtrestle.protocol.JsonTree;
 
-/** Reads the platform's settings file (TOML). Fields that it does not know are ignored. */
+/** Reads the platform's settings file (TOML). Unknown fields are ignored. */
 public final class SettingsParser {
   private SettingsParser() {}
 
   /**
    * Reads a file.
    *
-   * @throws InvalidSettingException if it cannot be read, or a field is missing or invalid
+   * @throws InvalidSettingException if the file cannot be read, or a field is missing or invalid
    */
   public static Settings read(Path file) throws InvalidSettingException {
     String text;
@@ -33,12 +33,12 @@
   }
 
   /**
-   * Reads the text of a file.
+   * Parses the text of a file.
    *
    * @throws InvalidSettingException if a field is missing or invalid
    */
   public static Settings parse(String text) throws InvalidSettingException {
-    SettingsTable file = new SettingsTable(tree(text), "");
+    SettingsTable file = new SettingsTable(parseToml(text), "");
     String label = file.text("label");
     List<Settings.Peer> peers = peers(file, label);
     SettingsTable endpoints = file.table("endpoints");
@@ -59,18 +59,18 @@
             endpoints.address("cloud"),
             endpoints.address("state"),
             cluster.texts("zones"),
-            cluster.atLeastZero("skew_ms"),
+            cluster.nonNegative("skew_ms"),
             teams,
             objectives,
             workers(workers),
             state(state),
-            new Settings.Cloud(cloud.positive("rps"), cloud.positive("list_lag_s")),
+            new Settings.CloudLimits(cloud.positive("rps"), cloud.positive("list_lag_s")),
             limits(limits));
     SettingsChecks.requireUsable(settings);
     return settings;
   }
 
-  private static JsonNode tree(String text) throws InvalidSettingException {
+  private static JsonNode parseToml(String text) throws InvalidSettingException {
     try (JsonParser parser = new TomlFactory().createParser(text)) {
       return JsonTree.readSingle(parser);
     } catch (JsonProcessingException e) {
@@ -89,7 +89,8 @@
       Settings.Peer peer =
           new Settings.Peer(table.text("label"), table.text("site"), table.address("peer_addr"));
       if (!labels.add(peer.label())) {
-        throw new InvalidSettingException(table.fullName("label"), "used twice: " + peer.label());
+        throw new InvalidSettingException(
+            table.fullName("label"), "duplicate label: " + peer.label());
       }
       peers.add(peer);
     }
@@ -102,10 +103,10 @@
       teams.add(
           new Settings.Team(
               team.text("name"),
-              team.atLeastZero("cpus"),
-              team.atLeastZero("cpus_max"),
-              team.atLeastZero("gpus"),
-              team.atLeastZero("gpus_max")));
+              team.nonNegative("cpus"),
+              team.nonNegative("cpus_max"),
+              team.nonNegative("gpus"),
+              team.nonNegative("gpus_max")));
     }
     return List.copyOf(teams);
   }
@@ -125,21 +126,22 @@
     return List.copyOf(objectives);
   }
 
-  private static Settings.Workers workers(SettingsTable table) throws InvalidSettingException {
-    return new Settings.Workers(
+  private static Settings.WorkerTiming workers(SettingsTable table) throws InvalidSettingException {
+    return new Settings.WorkerTiming(
         table.positive("report_s"), table.positive("lease_s"), table.positive("cancel_s"));
   }
 
-  private static Settings.State state(SettingsTable table) throws InvalidSettingException {
-    return new Settings.State(
+  private static Settings.KeyValueStoreLimits state(SettingsTable table)
+      throws InvalidSettingException {
+    return new Settings.KeyValueStoreLimits(
         table.positive("rps"),
         table.positive("write_rps"),
         table.positive("value_kb"),
         (int) table.positive("txn_ops"));
   }
 
-  private static Settings.Limits limits(SettingsTable table) throws InvalidSettingException {
-    return new Settings.Limits(
+  private static Settings.ProcessLimits limits(SettingsTable table) throws InvalidSettingException {
+    return new Settings.ProcessLimits(
         table.positive("cpu"), table.positive("mem_mb"), (int) table.positive("fd_limit"));
   }
 }
--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -73,7 +73,7 @@
     this.leadershipChanges = leadershipChanges;
     this.ownLabel = settings.label();
     this.bootId = bootId;
-    this.leaseMs = settings.stateLeaseMs();
+    this.leaseMs = settings.controllerLeaseMs();
   }
 
   boolean isRegistered() {
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
@@ -58,7 +58,7 @@
     this.fence = fence;
     this.ledShards = ledShards;
     this.ownLabel = settings.label();
-    this.leaseMs = settings.stateLeaseMs();
+    this.leaseMs = settings.controllerLeaseMs();
   }
 
   /** Returns whether this controller may take its home shard back from another leader. */
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
@@ -14,7 +14,7 @@
  * The age of the state cache counts as much as that of the lease, because a controller whose watch
  * no longer delivers cancellations must not keep tasks alive. The bound is chosen so that the
  * effect of the last answer to a worker ends within the time that a cancellation may take, see
- * {@link Settings#stateLeaseMs}.
+ * {@link Settings#controllerLeaseMs}.
  */
 public final class LeadershipFence {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipFence.class);
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
@@ -118,8 +118,8 @@
 
   /** Called with another controller's report; ignores a report that is meant for a third one. */
   public void reportReceived(PeerMessage.RedirectCount report) {
-    if (report.to().equals(settings.label())) {
-      reports.put(report.sender(), new RedirectReport(reactor.now(), report.machines()));
+    if (report.targetController().equals(settings.label())) {
+      reports.put(report.sender(), new RedirectReport(reactor.now(), report.machineCount()));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
+++ b/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
@@ -47,7 +47,7 @@
     this.ledShards = ledShards;
     this.leadershipChanges = leadershipChanges;
     this.ownLabel = settings.label();
-    this.leaseMs = settings.stateLeaseMs();
+    this.leaseMs = settings.controllerLeaseMs();
   }
 
   /** Returns how many members have a lower label than this controller. */
--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -86,14 +86,14 @@
   private void reconcile(List<ListedMachine> machines, long nowMs) {
     Set<String> listed = new HashSet<>();
     for (ListedMachine machine : machines) {
-      listed.add(machine.machine());
-      Worker worker = workers.get(machine.machine());
+      listed.add(machine.name());
+      Worker worker = workers.get(machine.name());
       if (worker != null && machine.failed() && !worker.isTerminating()) {
         MachineHealth.drain(worker, "stopped by itself");
         worker.expireLease();
         worker.beginTermination();
       }
-      if (worker == null && !context.stateCache().machines().containsKey(machine.machine())) {
+      if (worker == null && !context.stateCache().machines().containsKey(machine.name())) {
         adoptIfOrphan(machine, nowMs);
       }
     }
@@ -128,13 +128,13 @@
    * machines, and only for its home shard.
    */
   private void adoptIfOrphan(ListedMachine machine, long nowMs) {
-    long sinceMs = unrecordedSinceMs.computeIfAbsent(machine.machine(), id -> nowMs);
+    long sinceMs = unrecordedSinceMs.computeIfAbsent(machine.name(), id -> nowMs);
     if (!context.membership().hasLowestLabel()
         || !term.shard().equals(context.membership().ownLabel())
         || nowMs - sinceMs < ORPHAN_AFTER_LAGS * context.cloud().listLagMs()) {
       return;
     }
-    LOG.atInfo().addKeyValue("machine", machine.machine()).log("adopting orphan machine");
-    inventory.adopt(machine.machine(), machine.type(), machine.zone(), machine.spot(), () -> {});
+    LOG.atInfo().addKeyValue("machine", machine.name()).log("adopting orphan machine");
+    inventory.adopt(machine.name(), machine.type(), machine.zone(), machine.spot(), () -> {});
   }
 }
--- a/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
+++ b/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
@@ -83,7 +83,7 @@
    * conditions of a transaction.
    */
   boolean hasCapacity() {
-    int operations = context.settings().state().txnOps();
+    int operations = context.settings().storeLimits().maxTransactionChanges();
     return changes.size() + parts.size() + SPARE_OPERATIONS < operations
         && conditions.size() + 2 * parts.size() + SPARE_CONDITIONS
             < CONDITIONS_PER_OPERATION * operations;
@@ -144,7 +144,7 @@
   }
 
   private int firstPartNumberWithRoom() {
-    double partBytes = context.settings().state().valueKb() * 1024;
+    double partBytes = context.settings().storeLimits().maxValueKb() * 1024;
     int maxMachines = (int) (partBytes * MAX_FILL_SHARE / BYTES_PER_MACHINE);
     int partNumber = 0;
     while (machineCount(partNumber) >= maxMachines
@@ -167,7 +167,7 @@
    */
   private boolean partFits(int partNumber) {
     return parts.containsKey(inventoryKey(partNumber))
-        || (parts.size() + 1) * context.settings().state().valueKb() <= MAX_TRANSACTION_KB;
+        || (parts.size() + 1) * context.settings().storeLimits().maxValueKb() <= MAX_TRANSACTION_KB;
   }
 
   private Map<String, MachineRecord> part(int partNumber) {
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -100,7 +100,8 @@
       return;
     }
     busy = true;
-    double writesPerS = context.settings().share(context.settings().state().writeRps());
+    double writesPerS =
+        context.settings().equalShare(context.settings().storeLimits().changesPerS());
     nextWriteAtMs = context.nowMs() + Math.round(1000 * WRITE_INTERVAL_WRITES / writesPerS);
     term.write(
         batch.conditions(),
--- a/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineTypeSelector.java
@@ -21,7 +21,7 @@
     MachineType cheapest = null;
     double lowestPrice = 0;
     for (MachineType type : context.machineTypes()) {
-      if (type.allowedFor(spec)) {
+      if (type.isAllowedFor(spec)) {
         double price = pricePerTask(type, spec);
         if (cheapest == null || price < lowestPrice) {
           cheapest = type;
@@ -33,7 +33,8 @@
   }
 
   private static double pricePerTask(MachineType type, JobSpec spec) {
-    double price = spec.spot() && type.spotPrice() > 0 ? type.spotPrice() : type.price();
+    double price =
+        spec.spot() && type.spotPricePerHour() > 0 ? type.spotPricePerHour() : type.pricePerHour();
     return price / type.tasksPerMachine(spec);
   }
 
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -153,7 +153,7 @@
 
   /** Rents machines of the first offer that was not refused recently. */
   private void rent(List<Offer> offers, int machines, long nowMs) {
-    int count = Math.min(machines, CloudProtocol.MAX_RENT);
+    int count = Math.min(machines, CloudProtocol.MAX_MACHINES_PER_RENTAL);
     for (Offer offer : offers) {
       if (refusedUntilMs.getOrDefault(offer, 0L) <= nowMs) {
         rentalInFlight = true;
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -203,6 +203,6 @@
         preemptedBy.priority());
     context.metrics().countPreempted();
     JobSpec spec = victim.range().spec();
-    executor.stop(victim, spec.hasCheckpoints() ? spec.saveS() : 0);
+    executor.stop(victim, spec.hasCheckpoints() ? spec.saveTimeS() : 0);
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -99,7 +99,7 @@
         || ranges.blocked(range)
         || !range.record().zoneLimits().isEmpty()
         || context.stateCache().rangesOf(range.key().job()).size() + OTHER_JOB_END_OPERATIONS
-            > context.settings().state().txnOps()) {
+            > context.settings().storeLimits().maxTransactionChanges()) {
       return 0;
     }
     int size = range.record().size();
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -64,7 +64,7 @@
     double capacityShare =
         capacity / Math.max(1, capacity + context.loads().capacityOfOthers(shard));
     return Math.min(
-        latencySensitiveJobCpus * context.operatorSettings().reserve() * capacityShare,
+        latencySensitiveJobCpus * context.operatorSettings().reservedJobs() * capacityShare,
         capacity * MAX_RESERVED_SHARE);
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
+++ b/src/main/java/org/fieldtrestle/scheduling/SelectivePreemption.java
@@ -38,7 +38,8 @@
    * @param waitedS the time in seconds for which the task has waited
    */
   public double score(double remainingS, double waitedS) {
-    return operatorSettings.remainingWeight() / Math.max(operatorSettings.floorS(), remainingS)
+    return operatorSettings.remainingWeight()
+            / Math.max(operatorSettings.remainingTimeFloorS(), remainingS)
         + operatorSettings.waitingWeight() * Math.max(0, waitedS);
   }
 
@@ -136,7 +137,7 @@
     List<RunningTask<U>> victims = new ArrayList<>();
     for (RunningTask<U> candidate : running) {
       if ((waiting.priority().isHigherThan(candidate.priority()) || candidate.reclaimable())
-          && waiting.score() > candidate.score() + operatorSettings.margin()
+          && waiting.score() > candidate.score() + operatorSettings.preemptionMargin()
           && isEarlyInRun(candidate.elapsedS(), candidate.estimateS())) {
         victims.add(candidate);
       }
@@ -149,6 +150,6 @@
    * Whether a task has run for so small a share of its estimated run time that it may be preempted.
    */
   boolean isEarlyInRun(double elapsedS, double estimateS) {
-    return elapsedS <= operatorSettings.victimShare() * estimateS;
+    return elapsedS <= operatorSettings.maxVictimRunShare() * estimateS;
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -90,8 +90,9 @@
               selectivePreemption.score(spec.estimateS(), waitedS(range, nowMs)),
               range.waiting()));
     } else {
+
       // A task of the gang was lost, and the others cannot continue without it.
-      List.copyOf(range.placed().values()).forEach(task -> executor.stop(task, spec.saveS()));
+      List.copyOf(range.placed().values()).forEach(task -> executor.stop(task, spec.saveTimeS()));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -60,13 +60,13 @@
   public KeyValueClient(Reactor reactor, Http.Caller caller, Settings settings) {
     this.reactor = reactor;
     this.caller = caller;
-    this.address = settings.stateAddress();
+    this.address = settings.keyValueStoreAddress();
     this.timeoutMs = Math.round(UserProtocol.POLL_TIMEOUT_MS * TIMEOUT_SHARE);
     this.queue =
         new RequestQueue(
             reactor,
-            settings.share(settings.state().rps()) * REQUESTS_USED_SHARE,
-            settings.share(settings.state().writeRps()) * CHANGES_USED_SHARE);
+            settings.equalShare(settings.storeLimits().requestsPerS()) * REQUESTS_USED_SHARE,
+            settings.equalShare(settings.storeLimits().changesPerS()) * CHANGES_USED_SHARE);
   }
 
   /** Returns for how long the store has been unavailable, in milliseconds; 0 while it answers. */
@@ -245,7 +245,7 @@
       return new LeaseGrant.Refused(answer.status());
     }
     try {
-      long lease = KeyValueProtocol.readLease(answer.body());
+      long lease = KeyValueProtocol.readLeaseId(answer.body());
       return lease == NO_LEASE ? new LeaseGrant.Failed() : new LeaseGrant.Granted(lease);
     } catch (MalformedJsonException e) {
       return new LeaseGrant.Failed();
--- a/src/main/java/org/fieldtrestle/state/StoreFollower.java
+++ b/src/main/java/org/fieldtrestle/state/StoreFollower.java
@@ -61,9 +61,10 @@
     this.watchIntervalMs =
         Math.round(
             Math.max(
-                WATCH_INTERVAL_MS_AT_ONE_RPS / settings.share(settings.state().rps()),
-                WATCH_COST_MS / (settings.limits().cpuShare() * WATCH_CPU_SHARE)));
-    this.watchWaitMs = settings.stateLeaseMs() / WATCH_WAITS_PER_LEASE;
+                WATCH_INTERVAL_MS_AT_ONE_RPS
+                    / settings.equalShare(settings.storeLimits().requestsPerS()),
+                WATCH_COST_MS / (settings.processLimits().cpuShare() * WATCH_CPU_SHARE)));
+    this.watchWaitMs = settings.controllerLeaseMs() / WATCH_WAITS_PER_LEASE;
   }
 
   /** Starts to follow the store; this never ends. */
@@ -115,7 +116,7 @@
         cache.apply(entry);
         lastKey = entry.key();
       }
-      if (page.more() && !page.entries().isEmpty()) {
+      if (page.hasMore() && !page.entries().isEmpty()) {
         nextPage();
       } else {
         finish();
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -75,7 +75,7 @@
     assertTrue(
         begunEpochs.stream().noneMatch(epoch -> epoch < otherLeadersEpoch),
         begunEpochs + " before " + otherLeadersEpoch);
-    network.runFor(settings.stateLeaseMs());
+    network.runFor(settings.controllerLeaseMs());
     assertEquals(
         stateCache.version(StateKeys.shard(LABEL)),
         begunEpochs.get(begunEpochs.size() - 1),
--- a/src/test/java/org/fieldtrestle/protocol/ProtocolCompatibilityTest.java
+++ b/src/test/java/org/fieldtrestle/protocol/ProtocolCompatibilityTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Peer frames and messages are byte for byte those of the version before. */
+/** Peer frames and messages are byte for byte the same as those of the previous version. */
 class ProtocolCompatibilityTest {
   private static final long SENT_WALL_MS = 1_790_000_000_123L;
   private static final TaskId TASK = new TaskId("job-000412", 4);
@@ -109,9 +109,10 @@
   }
 
   private static void putCloudMessages(Map<String, String> written) {
-    written.put("cloud-rent", text(CloudProtocol.writeRental("req-1", "g8", "a", true, 3)));
+    written.put("cloud-rent", text(CloudProtocol.writeRentalRequest("req-1", "g8", "a", true, 3)));
     written.put(
-        "cloud-return", text(CloudProtocol.writeReturn(List.of("host-000001", "host-000002"))));
+        "cloud-return",
+        text(CloudProtocol.writeReturnRequest(List.of("host-000001", "host-000002"))));
     written.put("cloud-list-path", CloudProtocol.listPath(""));
     written.put("cloud-list-path-after", CloudProtocol.listPath("host-000002"));
   }
