--- a/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
@@ -15,7 +15,7 @@
       List.of(
           CoincidingFaults::refuseOneThenAllDuringCancellations,
           CoincidingFaults::executeTransactionsLate,
-          CoincidingFaults::muteMachines,
+          CoincidingFaults::blockHeartbeatsOfMachines,
           CoincidingFaults::freezeBeforeSending,
           CoincidingFaults::cancelWhileMachinesHang,
           CoincidingFaults::cancelJobsAsTheyEnd,
@@ -55,12 +55,12 @@
     time.after(30_000, () -> cluster.store.delayCommits(0));
   }
 
-  private void muteMachines() {
+  private void blockHeartbeatsOfMachines() {
     long ms = time.between(5000, 50_000);
     cluster.faults.note(ms);
     for (SimulatedWorker machine : cluster.machines()) {
       if (time.chance(0.4)) {
-        machine.faults.mute(ms);
+        machine.faults.blockHeartbeats(ms);
       }
     }
   }
--- a/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
@@ -208,7 +208,7 @@
     restart.from().die();
     next.startForFormerLeader(task, 1);
     // It reports the task, but cannot be told to stop it until its lease has expired.
-    next.faults.deafen(60_000);
+    next.faults.blockIncoming(60_000);
     submit(cluster, "job-2", 10, 100_000); // takes what looks like room there
     cluster.time.runUntil(45_000);
     assertTrue(next.holds(task), "it has begun");
--- a/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
@@ -150,7 +150,9 @@
           int half = machines.size() / 2;
           assertTrue(half > 1);
           machines.subList(0, half).forEach(machine -> machine.faults.hang(cluster.leaseMs - 4000));
-          machines.subList(half, machines.size()).forEach(machine -> machine.faults.deafen(40_000));
+          machines
+              .subList(half, machines.size())
+              .forEach(machine -> machine.faults.blockIncoming(40_000));
           cluster.faults.kill(leader, 70_000);
           cluster.runFor(50_000);
           assertLeadersChanged(cluster, before);
--- a/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
@@ -131,13 +131,13 @@
           // Most of them, so that it looks like a cut; the others have room for what is lost.
           List<SimulatedWorker> all = cluster.machines();
           List<SimulatedWorker> mute = all.subList(0, all.size() * 2 / 3);
-          mute.forEach(machine -> machine.faults.mute(ms));
+          mute.forEach(machine -> machine.faults.blockHeartbeats(ms));
           jobs.addAll(submit(cluster, 3, 4, 10_000));
           cluster.runFor(1500);
           jobs.subList(0, 3).forEach(cluster.users::cancel);
           cluster.runFor(4000);
           assertTrue(
-              mute.stream().anyMatch(machine -> machine.commandsWhileMute() > 0),
+              mute.stream().anyMatch(machine -> machine.commandsWhileHeartbeatsBlocked() > 0),
               "commands reached a mute machine");
           cluster.runFor(ms);
         });
--- a/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
@@ -32,7 +32,7 @@
           RandomFaults::cutControllerFromWorkers,
           RandomFaults::cutControllersFromEachOther,
           RandomFaults::slowStore,
-          RandomFaults::deafenMachine,
+          RandomFaults::blockMessagesToMachine,
           RandomFaults::restartNewLeadersAgainAndAgain,
           RandomFaults::freezeController,
           RandomFaults::partitionZonesAmidRestarts,
@@ -184,8 +184,8 @@
     machine.ifPresent(one -> one.faults.hang(time.between(5000, 40_000)));
   }
 
-  private void deafenMachine() {
-    machine.ifPresent(one -> one.faults.deafen(time.between(5000, 70_000)));
+  private void blockMessagesToMachine() {
+    machine.ifPresent(one -> one.faults.blockIncoming(time.between(5000, 70_000)));
   }
 
   private void failTasksOfMachine() {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
@@ -39,7 +39,7 @@
   private long token;
   private long leaseFromMs;
   private int lateCommands;
-  private int commandsWhileMute;
+  private int commandsWhileHeartbeatsBlocked;
 
   SimulatedWorker(
       SimulatedCluster cluster, String id, String address, String type, String zone, boolean spot) {
@@ -113,7 +113,7 @@
 
   /** Runs something just after the machine stops hanging. */
   void afterHanging(Runnable work) {
-    time.after(faults.hangsForMs() + 1, this::isAlive, work);
+    time.after(faults.remainingHangMs() + 1, this::isAlive, work);
   }
 
   // ---- figures
@@ -142,8 +142,8 @@
   boolean hasRoom(double cpus) {
     return isAlive()
         && !faults.isHanging()
-        && !faults.isDeaf()
-        && !faults.isMute()
+        && !faults.isIncomingBlocked()
+        && !faults.areHeartbeatsBlocked()
         && tasks.usedCpus() + cpus <= SimulatedCloud.CPUS + ROUNDING_CPUS;
   }
 
@@ -153,8 +153,8 @@
   }
 
   /** How many direct commands it executed while it was mute. */
-  int commandsWhileMute() {
-    return commandsWhileMute;
+  int commandsWhileHeartbeatsBlocked() {
+    return commandsWhileHeartbeatsBlocked;
   }
 
   // ---- lease
@@ -233,7 +233,7 @@
   }
 
   private void handle(Http.Request request, Consumer<Http.Response> reply, long sentAtMs) {
-    if (faults.isDeaf()) {
+    if (faults.isIncomingBlocked()) {
       return;
     }
     if (faults.isHanging()) {
@@ -263,7 +263,7 @@
     if (late) {
       cluster.onLateCommandExecuted();
     }
-    commandsWhileMute += faults.isMute() ? 1 : 0;
+    commandsWhileHeartbeatsBlocked += faults.areHeartbeatsBlocked() ? 1 : 0;
     tasks.execute(body.path("orders"), sentAtMs);
     reply.accept(new Http.Response(200, status()));
   }
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaults.java
@@ -3,12 +3,12 @@
 /** The faults of one simulated machine. */
 final class WorkerFaults {
   private final SimulatedTime time;
-  private boolean failsTasks;
-  private int slowness = 1;
-  private long hangsUntilMs;
-  private long deafUntilMs;
-  private long muteUntilMs;
-  private String unreachableLabel = "";
+  private boolean failingTasks;
+  private int slowdownFactor = 1;
+  private long hangUntilMs;
+  private long incomingBlockedUntilMs;
+  private long heartbeatsBlockedUntilMs;
+  private String unreachableController = "";
   private long unreachableUntilMs;
 
   WorkerFaults(SimulatedTime time) {
@@ -17,62 +17,63 @@
 
   /** The machine stands still for a while; what reaches it is taken in afterwards. */
   void hang(long ms) {
-    hangsUntilMs = time.now() + ms;
+    hangUntilMs = time.now() + ms;
   }
 
   boolean isHanging() {
-    return time.now() < hangsUntilMs;
+    return time.now() < hangUntilMs;
   }
 
   /** For how long the machine goes on hanging. */
-  long hangsForMs() {
-    return hangsUntilMs - time.now();
+  long remainingHangMs() {
+    return hangUntilMs - time.now();
   }
 
   /** For a while the machine's heartbeats leave, but nothing reaches it. */
-  void deafen(long ms) {
-    deafUntilMs = time.now() + ms;
+  void blockIncoming(long ms) {
+    incomingBlockedUntilMs = time.now() + ms;
   }
 
-  boolean isDeaf() {
-    return time.now() < deafUntilMs;
+  boolean isIncomingBlocked() {
+    return time.now() < incomingBlockedUntilMs;
   }
 
   /** For a while the machine reaches no controller, while direct commands reach it. */
-  void mute(long ms) {
-    muteUntilMs = time.now() + ms;
+  void blockHeartbeats(long ms) {
+    heartbeatsBlockedUntilMs = time.now() + ms;
   }
 
-  boolean isMute() {
-    return time.now() < muteUntilMs;
+  boolean areHeartbeatsBlocked() {
+    return time.now() < heartbeatsBlockedUntilMs;
   }
 
   /** For a while the machine does not reach one controller, which still reaches it. */
   void disconnect(String label, long ms) {
-    unreachableLabel = label;
+    unreachableController = label;
     unreachableUntilMs = time.now() + ms;
   }
 
   /** Whether the machine's heartbeats reach a controller. */
-  boolean reaches(String label) {
-    return !isMute() && !(label.equals(unreachableLabel) && time.now() < unreachableUntilMs);
+  boolean canReach(String label) {
+    return !areHeartbeatsBlocked()
+        && !(label.equals(unreachableController) && time.now() < unreachableUntilMs);
   }
 
   /** From now on all tasks on the machine fail. */
   void failTasks() {
-    failsTasks = true;
+    failingTasks = true;
   }
 
-  boolean failsTasks() {
-    return failsTasks;
+  boolean isFailingTasks() {
+    return failingTasks;
   }
 
   /** From now on tasks on the machine take so many times longer. */
   void slowDown(int factor) {
-    slowness = factor;
+    slowdownFactor = factor;
   }
 
-  int slowness() {
-    return slowness;
+  int slowdownFactor() {
+    return slowdownFactor;
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -26,7 +26,7 @@
     submit(cluster, "job-1", 600, 20_000);
     cluster.time.runUntil(60_000);
     String deaf = cluster.cloud.machines.firstKey();
-    cluster.cloud.machines.get(deaf).faults.deafen(600_000);
+    cluster.cloud.machines.get(deaf).faults.blockIncoming(600_000);
     cluster.time.runUntil(165_000);
     assertFalse(cluster.cloud.machines.containsKey(deaf), "its heartbeats prove nothing");
     cluster.time.runUntil(400_000);
@@ -40,7 +40,7 @@
     submit(cluster, "job-1", 8, 300_000);
     cluster.time.runUntil(30_000);
     assertTrue(cluster.invariants.starts() > 0);
-    cluster.cloud.machines.values().forEach(machine -> machine.faults.deafen(120_000));
+    cluster.cloud.machines.values().forEach(machine -> machine.faults.blockIncoming(120_000));
     cluster.users.cancel(cluster.jobs.get("job-1"));
     cluster.time.runUntil(200_000);
     assertNoViolations(cluster);
--- a/src/test/java/org/fieldtrestle/simulation/WorkerHeartbeats.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerHeartbeats.java
@@ -90,7 +90,7 @@
     Sent sent = new Sent(time.now(), worker.incarnation());
     String label = target();
     lastBody = worker.status();
-    if (!worker.faults.reaches(label)) {
+    if (!worker.faults.canReach(label)) {
       receiveAfter(1, new Http.NotSent("timeout"), sent, sent.atMs());
       return;
     }
@@ -104,7 +104,7 @@
         TIMEOUT_MS,
         outcome -> {
           long receivedAtMs = time.now();
-          if (worker.faults.isDeaf()) {
+          if (worker.faults.isIncomingBlocked()) {
             long leftMs = sent.atMs() + TIMEOUT_MS - time.now();
             receiveAfter(leftMs, new Http.Unknown("timeout"), sent, receivedAtMs);
           } else {
--- a/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
@@ -179,10 +179,10 @@
     if (cluster.hasResult(name)) {
       return 0;
     }
-    if (worker.faults.failsTasks() || job.failing()) {
+    if (worker.faults.isFailingTasks() || job.failing()) {
       return FAILS_AFTER_MS;
     }
-    return worker.faults.slowness()
+    return worker.faults.slowdownFactor()
         * (1 + (long) job.unevenness() * SimulatedJob.indexOf(name))
         * time.between(job.runMs() * 3 / 4, job.runMs() * 5 / 4);
   }
@@ -192,7 +192,7 @@
       return;
     }
     Task task = tasks.get(name);
-    if (job.failing() || (worker.faults.failsTasks() && !cluster.hasResult(name))) {
+    if (job.failing() || (worker.faults.isFailingTasks() && !cluster.hasResult(name))) {
       exit(name, task, "error");
     } else {
       cluster.addResult(name);
