--- a/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
@@ -46,7 +46,7 @@
   // ---- events at workers
 
   /** A task starts on a machine. */
-  void started(String task, SimulatedWorker machine) {
+  void taskStarted(String task, SimulatedWorker machine) {
     SimulatedJob job = cluster.jobs.get(SimulatedJob.idOf(task));
     starts++;
     startsByMachine.merge(machine.id, 1, Integer::sum);
@@ -57,12 +57,12 @@
   }
 
   /** A worker executes a command, sent at a time, to start a task. */
-  void startOrdered(String task, long sentAtMs) {
+  void startCommandExecuted(String task, long sentAtMs) {
     cancellationInvariants.onStartOrdered(task, sentAtMs);
   }
 
   /** A task has stopped on a machine. */
-  void left(String task, String machine) {
+  void taskStopped(String task, String machine) {
     SimulatedJob job = cluster.jobs.get(SimulatedJob.idOf(task));
     progressInvariants.onMoved(job.id());
     violations.trace(task + " leaves " + machine);
@@ -73,12 +73,12 @@
   // ---- events at users
 
   /** A user was told that a job is accepted. */
-  void accepted(String jobId) {
+  void jobAccepted(String jobId) {
     answerInvariants.onAccepted(jobId);
   }
 
   /** A user was told something of a job, in answer to a request sent at a time. */
-  void told(String jobId, int status, String stage, long askedAtMs) {
+  void answerReceived(String jobId, int status, String stage, long askedAtMs) {
     answerInvariants.onTold(jobId, status, stage, askedAtMs);
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
@@ -47,11 +47,11 @@
   @Test
   void taskOnTwoMachinesAtATimeIsAViolation() {
     job("job-1", j -> {});
-    cluster.invariants.started("job-1/0", machine("host-1", "big", "a", false));
-    cluster.invariants.left("job-1/0", "host-1");
-    cluster.invariants.started("job-1/0", machine("host-2", "big", "a", false));
+    cluster.invariants.taskStarted("job-1/0", machine("host-1", "big", "a", false));
+    cluster.invariants.taskStopped("job-1/0", "host-1");
+    cluster.invariants.taskStarted("job-1/0", machine("host-2", "big", "a", false));
     assertEquals(0, cluster.invariants.violations().size(), "one after the other is fine");
-    cluster.invariants.started("job-1/0", machine("host-3", "big", "a", false));
+    cluster.invariants.taskStarted("job-1/0", machine("host-3", "big", "a", false));
     only("ran_twice");
   }
 
@@ -59,39 +59,39 @@
   void teamBeyondItsQuotaIsAViolation() {
     job("job-1", j -> j.team("limited"));
     for (int i = 0; i < 10; i++) {
-      cluster.invariants.started("job-1/" + i, machine("host-" + i, "big", "a", false));
+      cluster.invariants.taskStarted("job-1/" + i, machine("host-" + i, "big", "a", false));
     }
     assertEquals(0, cluster.invariants.violations().size(), "40 CPUs are allowed");
-    cluster.invariants.started("job-1/10", machine("host-10", "big", "a", false));
+    cluster.invariants.taskStarted("job-1/10", machine("host-10", "big", "a", false));
     only("quota");
   }
 
   @Test
   void taskOnAnotherMachineTypeIsAViolation() {
     job("job-1", j -> j.type("odd"));
-    cluster.invariants.started("job-1/0", machine("host-1", "big", "a", true));
+    cluster.invariants.taskStarted("job-1/0", machine("host-1", "big", "a", true));
     only("wrong_place");
   }
 
   @Test
   void taskOnASpotMachineThatItsJobExcludesIsAViolation() {
     job("job-2", j -> j.spot(false));
-    cluster.invariants.started("job-2/0", machine("host-2", "big", "a", true));
+    cluster.invariants.taskStarted("job-2/0", machine("host-2", "big", "a", true));
     only("wrong_place");
   }
 
   @Test
   void taskInAnotherZoneIsAViolation() {
     job("job-3", j -> j.zone("b"));
-    cluster.invariants.started("job-3/0", machine("host-3", "big", "a", true));
+    cluster.invariants.taskStarted("job-3/0", machine("host-3", "big", "a", true));
     only("wrong_place");
   }
 
   @Test
   void tasksInTwoZonesOfAJobBoundToOneIsAViolation() {
     job("job-4", j -> j.oneZone(true));
-    cluster.invariants.started("job-4/0", machine("host-4", "big", "a", true));
-    cluster.invariants.started("job-4/1", machine("host-5", "big", "b", true));
+    cluster.invariants.taskStarted("job-4/0", machine("host-4", "big", "a", true));
+    cluster.invariants.taskStarted("job-4/1", machine("host-5", "big", "b", true));
     only("wrong_place");
   }
 
@@ -99,10 +99,10 @@
   void moreThanHalfOfASpreadJobInOneZoneIsAViolation() {
     job("job-5", j -> j.spread(true));
     for (int i = 0; i < 6; i++) {
-      cluster.invariants.started("job-5/" + i, machine("host-1" + i, "big", "a", true));
+      cluster.invariants.taskStarted("job-5/" + i, machine("host-1" + i, "big", "a", true));
     }
     assertEquals(0, cluster.invariants.violations().size(), "half of twelve");
-    cluster.invariants.started("job-5/6", machine("host-17", "big", "a", true));
+    cluster.invariants.taskStarted("job-5/6", machine("host-17", "big", "a", true));
     only("wrong_place");
   }
 
@@ -110,8 +110,8 @@
   void taskThatOutlivesItsCancellationIsAViolation() {
     SimulatedJob job = job("job-1", j -> {});
     cluster.users.noteCancellation(job.id());
-    cluster.invariants.started("job-1/0", machine("host-1", "big", "a", false));
-    cluster.invariants.told("job-1", 200, "cancelled", 0);
+    cluster.invariants.taskStarted("job-1/0", machine("host-1", "big", "a", false));
+    cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
     cluster.time.runUntil(cluster.cancelMs - 1000);
     assertTrue(
         cluster.invariants.violations().stream().noneMatch(b -> b.startsWith("ran_cancelled")));
@@ -122,23 +122,23 @@
 
   @Test
   void acceptedJobThatIsNotFoundIsAViolation() {
-    cluster.invariants.accepted("job-1");
-    cluster.invariants.told("job-1", 404, "", 0);
+    cluster.invariants.jobAccepted("job-1");
+    cluster.invariants.answerReceived("job-1", 404, "", 0);
     only("forgotten");
   }
 
   @Test
   void jobThatNobodySubmittedIsAViolationOnceItIsFound() {
-    cluster.invariants.told("job-7", 404, "", 0);
+    cluster.invariants.answerReceived("job-7", 404, "", 0);
     assertEquals(0, cluster.invariants.violations().size(), "nobody submitted it");
-    cluster.invariants.told("job-7", 200, "queued", 0);
+    cluster.invariants.answerReceived("job-7", 200, "queued", 0);
     only("invented");
   }
 
   @Test
   void jobThatIsDoneWithoutResultsIsAViolation() {
     job("job-1", j -> j.tasks(1));
-    cluster.invariants.told("job-1", 200, "done", 0);
+    cluster.invariants.answerReceived("job-1", 200, "done", 0);
     only("not_done");
   }
 
@@ -146,16 +146,16 @@
   void doneJobThatRunsAgainIsAViolation() {
     job("job-1", j -> j.tasks(1));
     cluster.addResult("job-1/0");
-    cluster.invariants.told("job-1", 200, "done", 0);
+    cluster.invariants.answerReceived("job-1", 200, "done", 0);
     cluster.time.runUntil(10);
-    cluster.invariants.told("job-1", 200, "running", 5);
+    cluster.invariants.answerReceived("job-1", 200, "running", 5);
     only("went_back");
   }
 
   @Test
   void cancellationThatNobodyAskedForIsAViolation() {
     job("job-2", j -> {});
-    cluster.invariants.told("job-2", 200, "cancelled", 0);
+    cluster.invariants.answerReceived("job-2", 200, "cancelled", 0);
     only("went_back");
   }
 
@@ -165,12 +165,12 @@
     cluster.users.noteCancellation(job.id());
     SimulatedWorker machine = machine("host-1", "big", "a", false);
     machine.faults.hang(cluster.cancelMs + 5000);
-    cluster.invariants.started("job-1/0", machine);
-    cluster.invariants.told("job-1", 200, "cancelled", 0);
-    cluster.invariants.left("job-1/0", "host-1");
+    cluster.invariants.taskStarted("job-1/0", machine);
+    cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
+    cluster.invariants.taskStopped("job-1/0", "host-1");
     cluster.time.runUntil(cluster.cancelMs + 6000);
     assertEquals(List.of(), cluster.invariants.violations(), "gone in time");
-    cluster.invariants.started("job-1/0", machine);
+    cluster.invariants.taskStarted("job-1/0", machine);
     assertTrue(
         cluster.invariants.violations().stream().anyMatch(b -> b.startsWith("ran_cancelled")));
   }
@@ -180,16 +180,16 @@
     SimulatedJob job = known("job-1", j -> {});
     cluster.users.noteCancellation(job.id());
     cluster.time.runUntil(1000);
-    cluster.invariants.told("job-1", 200, "cancelled", 0);
-    cluster.invariants.startOrdered("job-1/0", 1001);
+    cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
+    cluster.invariants.startCommandExecuted("job-1/0", 1001);
     assertEquals(0, cluster.invariants.violations().size(), "it may have been on its way");
     assertEquals(1, cluster.invariants.startsOrderedAfterCancellation());
     cluster.time.runUntil(4000);
-    cluster.invariants.startOrdered("job-1/1", 4000);
+    cluster.invariants.startCommandExecuted("job-1/1", 4000);
     only("started_cancelled");
     cluster.invariants.clearViolations();
     cluster.faults.note(60_000);
-    cluster.invariants.startOrdered("job-1/2", 4000);
+    cluster.invariants.startCommandExecuted("job-1/2", 4000);
     assertEquals(
         0, cluster.invariants.violations().size(), "not every controller can have heard of it");
   }
@@ -197,21 +197,21 @@
   @Test
   void acceptedUnsatisfiableJobIsAViolation() {
     cluster.users.submitUnsatisfiable("job-1", new byte[0], 400);
-    cluster.invariants.accepted("job-1");
+    cluster.invariants.jobAccepted("job-1");
     only("accepted_hopeless");
   }
 
   @Test
   void jobWithoutAnswersForLongIsAViolation() {
     known("job-1", j -> {});
-    cluster.invariants.accepted("job-1");
+    cluster.invariants.jobAccepted("job-1");
     cluster.faults.note(20_000);
-    cluster.invariants.told("job-1", 503, "", 0);
+    cluster.invariants.answerReceived("job-1", 503, "", 0);
     cluster.time.runUntil(94_000);
-    cluster.invariants.told("job-1", 503, "", 0);
+    cluster.invariants.answerReceived("job-1", 503, "", 0);
     assertEquals(0, cluster.invariants.violations().size(), "not 75 s after the faults yet");
     cluster.time.runUntil(96_000);
-    cluster.invariants.told("job-1", 0, "", 0);
+    cluster.invariants.answerReceived("job-1", 0, "", 0);
     only("forgotten");
   }
 
@@ -225,13 +225,13 @@
               j.cpus(16);
               j.zone("b");
             });
-    cluster.invariants.accepted(job.id());
+    cluster.invariants.jobAccepted(job.id());
     cluster.labels().forEach(label -> cluster.faults.kill(label, 1_000_000)); // nobody takes it up
     machine("host-1", "big", "a", false).boot();
     cluster.time.runUntil(100_000);
     assertEquals(0, cluster.invariants.violations().size(), "no machine of its zone");
     machine("host-2", "big", "b", false).boot();
-    cluster.invariants.started("job-1/0", machine("host-3", "big", "b", false));
+    cluster.invariants.taskStarted("job-1/0", machine("host-3", "big", "b", false));
     cluster.time.runUntil(185_000);
     assertEquals(0, cluster.invariants.violations().size(), "not for 90 s yet");
     cluster.time.runUntil(195_000);
@@ -249,8 +249,8 @@
       int tasks = i + 1;
       known("job-" + i, j -> j.tasks(tasks));
     }
-    cluster.invariants.started("job-3/0", machine("host-1", "big", "a", false));
-    cluster.invariants.told("job-0", 200, "running", 0);
+    cluster.invariants.taskStarted("job-3/0", machine("host-1", "big", "a", false));
+    cluster.invariants.answerReceived("job-0", 200, "running", 0);
     cluster.invariants.checkEndOfDay();
     assertTrue(
         cluster.invariants.violations().stream().anyMatch(b -> b.contains("team open: 0 of 4")));
@@ -263,7 +263,7 @@
       for (int task = 0; task <= i; task++) {
         cluster.addResult("job-" + i + "/" + task);
       }
-      cluster.invariants.told("job-" + i, 200, "done", 0);
+      cluster.invariants.answerReceived("job-" + i, 200, "done", 0);
     }
     cluster.invariants.checkEndOfDay();
     assertEquals(List.of(), cluster.invariants.violations(), "three of four, with the largest");
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
@@ -75,7 +75,7 @@
         answer -> {
           int status = answer.status();
           if (isAccepted(answer)) {
-            cluster.invariants.accepted(id);
+            cluster.invariants.jobAccepted(id);
           } else if (status < 429 && status != expectedStatus && status > 0) {
             cluster.invariants.report("hopeless " + id + " gets " + status);
           }
@@ -92,7 +92,7 @@
         SUBMIT_TIMEOUT_MS,
         answer -> {
           if (isAccepted(answer)) {
-            cluster.invariants.accepted(job.id());
+            cluster.invariants.jobAccepted(job.id());
           }
           answered.accept(answer);
         });
@@ -111,7 +111,7 @@
         job,
         answer -> {
           if (isAccepted(answer)) {
-            cluster.invariants.accepted(job.id());
+            cluster.invariants.jobAccepted(job.id());
             poll(job);
             if (retries > 0 || time.chance(REPEATED_SUBMISSIONS)) {
               time.after(time.between(1000, 60_000), () -> submitAgain(job));
@@ -134,7 +134,7 @@
             cluster.invariants.report(
                 "forgotten: repeated " + job.id() + " gets " + answer.status());
           } else if (answer.status() == 200) {
-            cluster.invariants.told(job.id(), 200, stage(answer), askedAtMs);
+            cluster.invariants.answerReceived(job.id(), 200, stage(answer), askedAtMs);
           }
         });
   }
@@ -169,7 +169,7 @@
         JOBS + "/" + id,
         Http.Response.EMPTY,
         QUERY_TIMEOUT_MS,
-        answer -> cluster.invariants.told(id, answer.status(), stage(answer), askedAtMs));
+        answer -> cluster.invariants.answerReceived(id, answer.status(), stage(answer), askedAtMs));
   }
 
   /** What one controller answers about a job within two seconds; 0: nothing. */
@@ -215,7 +215,7 @@
     cancelled.add(job.id());
     return answer -> {
       if (answer.status() == 200) {
-        cluster.invariants.told(job.id(), 200, stage(answer), askedAtMs);
+        cluster.invariants.answerReceived(job.id(), 200, stage(answer), askedAtMs);
       } else {
         time.after(RETRY_MS, retry);
       }
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -88,7 +88,7 @@
     if (!accepted.add(job.id())) {
       return;
     }
-    cluster.invariants.accepted(job.id());
+    cluster.invariants.jobAccepted(job.id());
     time.after(USER_ASKS_EVERY_MS, () -> ask(job, anyReady()));
     for (String label : cluster.labels()) {
       time.after(time.between(0, 300), () -> repeat(job, label));
@@ -181,7 +181,7 @@
         ended.add(job.id());
       }
     }
-    cluster.invariants.told(job.id(), response.status(), stage, asked);
+    cluster.invariants.answerReceived(job.id(), response.status(), stage, asked);
   }
 
   private String anyReady() {
--- a/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
@@ -93,7 +93,7 @@
   private void leave(String name, Task task) {
     if (task.running) {
       task.running = false;
-      cluster.invariants.left(name, worker.id);
+      cluster.invariants.taskStopped(name, worker.id);
     }
   }
 
@@ -105,7 +105,7 @@
       Task task = tasks.get(name);
       switch (command.path("order").asText()) {
         case "start" -> {
-          cluster.invariants.startOrdered(name, sentAtMs);
+          cluster.invariants.startCommandExecuted(name, sentAtMs);
           startUnlessHeld(name, attempt, task);
         }
         case "stop" -> {
@@ -167,7 +167,7 @@
     images.add(job.image());
     task.state = "running";
     task.running = true;
-    cluster.invariants.started(name, worker);
+    cluster.invariants.taskStarted(name, worker);
     time.after(
         runMs(name, job),
         worker::isAlive,
