--- a/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
@@ -11,8 +11,8 @@
   private final SimulatedCluster cluster;
   private final Violations violations;
   private final Map<String, Long> confirmedAtMs = new HashMap<>();
-  private int startsOrdered;
-  private long lastStartOrderedAfterMs;
+  private int startCommands;
+  private long latestStartCommandAfterMs;
 
   CancellationInvariants(SimulatedCluster cluster, Violations violations) {
     this.cluster = cluster;
@@ -42,14 +42,14 @@
    * hearing of the cancellation, none may send such a command some time after its confirmation. (A
    * lost answer of the key-value store does: a watch waits for it until its time-out.)
    */
-  void onStartOrdered(String task, long sentAtMs) {
+  void onStartCommand(String task, long sentAtMs) {
     Long confirmed = confirmedAtMs.get(SimulatedJob.idOf(task));
     if (confirmed == null || sentAtMs <= confirmed) {
       return;
     }
     long afterMs = sentAtMs - confirmed;
-    startsOrdered++;
-    lastStartOrderedAfterMs = Math.max(lastStartOrderedAfterMs, afterMs);
+    startCommands++;
+    latestStartCommandAfterMs = Math.max(latestStartCommandAfterMs, afterMs);
     if (afterMs > KNOWN_WITHIN_MS
         && confirmed > cluster.faults.endMs()
         && !cluster.network.losesAnswers()) {
@@ -58,12 +58,12 @@
   }
 
   /** How many starts of tasks were ordered after the cancellation of their job was confirmed. */
-  int startsOrdered() {
-    return startsOrdered;
+  int startCommands() {
+    return startCommands;
   }
 
   /** How long after a confirmation the latest of these was sent; 0 if there was none. */
-  long lastStartOrderedAfterMs() {
-    return lastStartOrderedAfterMs;
+  long latestStartCommandAfterMs() {
+    return latestStartCommandAfterMs;
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -90,10 +90,10 @@
   private static void addFailures(
       SimulatedCluster cluster, List<SimulatedJob> cancelled, int offsetMs, List<String> failed) {
     List<String> violations = cluster.invariants.violations();
-    long lastStartMs = cluster.invariants.lastStartOrderedAfterCancellationMs();
+    long lastStartMs = cluster.invariants.latestStartCommandAfterCancellationMs();
     LOG.atInfo()
         .addKeyValue("offsetMs", offsetMs)
-        .addKeyValue("startsOrdered", cluster.invariants.startsOrderedAfterCancellation())
+        .addKeyValue("startsOrdered", cluster.invariants.startCommandsAfterCancellation())
         .addKeyValue("lastAfterMs", lastStartMs)
         .addKeyValue("violations", violations.stream().limit(5).toList())
         .log("sweep step is over");
--- a/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
@@ -80,7 +80,7 @@
   private static void assertNoneStarted(SimulatedCluster cluster, SimulatedJob job) {
     assertEquals(0, cluster.invariants.runningTasksOf(job.id()));
     assertEquals(
-        0, cluster.invariants.startsOrderedAfterCancellation(), "started after the confirmation");
+        0, cluster.invariants.startCommandsAfterCancellation(), "started after the confirmation");
   }
 
   private static void run(SimulatedCluster cluster, long ms) {
@@ -227,12 +227,12 @@
           assertEquals(
               "cancelled", cluster.invariants.lastStageOf(job.id()), "before the late answer");
           assertEquals(List.of(), answers, "the submission is not answered yet");
-          int onTheirWay = cluster.invariants.startsOrderedAfterCancellation();
+          int onTheirWay = cluster.invariants.startCommandsAfterCancellation();
           run(cluster, 30_000);
           assertEquals(0, cluster.invariants.runningTasksOf(job.id()));
           assertEquals(
               onTheirWay,
-              cluster.invariants.startsOrderedAfterCancellation(),
+              cluster.invariants.startCommandsAfterCancellation(),
               "no further start is ordered");
           assertEquals(List.of(200), answers, "as known already, not as accepted just now");
         });
--- a/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
@@ -58,7 +58,7 @@
 
   /** A worker executes a command, sent at a time, to start a task. */
   void startCommandExecuted(String task, long sentAtMs) {
-    cancellationInvariants.onStartOrdered(task, sentAtMs);
+    cancellationInvariants.onStartCommand(task, sentAtMs);
   }
 
   /** A task has stopped on a machine. */
@@ -113,8 +113,8 @@
   }
 
   /** Whether any task of a job has ever started. */
-  boolean hasBegun(String jobId) {
-    return progressInvariants.hasBegun(jobId);
+  boolean hasStarted(String jobId) {
+    return progressInvariants.hasStarted(jobId);
   }
 
   /** For how long there have been faults so far. */
@@ -147,12 +147,12 @@
   }
 
   /** How many starts of tasks were ordered after the cancellation of their job was confirmed. */
-  int startsOrderedAfterCancellation() {
-    return cancellationInvariants.startsOrdered();
+  int startCommandsAfterCancellation() {
+    return cancellationInvariants.startCommands();
   }
 
   /** How long after a confirmation the latest of these was sent; 0 if there was none. */
-  long lastStartOrderedAfterCancellationMs() {
-    return cancellationInvariants.lastStartOrderedAfterMs();
+  long latestStartCommandAfterCancellationMs() {
+    return cancellationInvariants.latestStartCommandAfterMs();
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
@@ -183,7 +183,7 @@
     cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
     cluster.invariants.startCommandExecuted("job-1/0", 1001);
     assertEquals(0, cluster.invariants.violations().size(), "it may have been on its way");
-    assertEquals(1, cluster.invariants.startsOrderedAfterCancellation());
+    assertEquals(1, cluster.invariants.startCommandsAfterCancellation());
     cluster.time.runUntil(4000);
     cluster.invariants.startCommandExecuted("job-1/1", 4000);
     only("started_cancelled");
--- a/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
@@ -34,7 +34,7 @@
     cluster.time.after(20_000, () -> submit(cluster, "job-900", 60, 20_000));
     cluster.time.runUntil(60_000 + 240_000);
     assertNoViolations(cluster);
-    assertTrue(cluster.invariants.hasBegun("job-900"), "a burst does not keep it from beginning");
+    assertTrue(cluster.invariants.hasStarted("job-900"), "a burst does not keep it from beginning");
   }
 
   @Test
@@ -47,7 +47,7 @@
     cluster.time.runUntil(150_000);
     assertNoViolations(cluster);
     assertEquals(16, cluster.invariants.starts(), "nobody was stopped and started again");
-    assertFalse(cluster.invariants.hasBegun("job-2"), "it waits for room");
+    assertFalse(cluster.invariants.hasStarted("job-2"), "it waits for room");
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
@@ -46,7 +46,7 @@
     return faultsSoFarMs;
   }
 
-  boolean hasBegun(String jobId) {
+  boolean hasStarted(String jobId) {
     return begunAfterMs.containsKey(jobId);
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -258,8 +258,8 @@
   }
 
   /** How long after a confirmed cancellation the latest start was ordered; 0 where none was. */
-  public long latestStartAfterCancellationMs() {
-    return cluster.invariants.lastStartOrderedAfterCancellationMs();
+  public long latestStartCommandAfterCancellationMs() {
+    return cluster.invariants.latestStartCommandAfterCancellationMs();
   }
 
   /** The jobs whose users have not been told of their end. */
--- a/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
@@ -75,7 +75,7 @@
 
   /** A controller that may act so long after a confirmation has to know of it, whatever failed. */
   private void addLateStarts(List<String> broken) {
-    long latest = cluster.latestStartAfterCancellationMs();
+    long latest = cluster.latestStartCommandAfterCancellationMs();
     boolean stoodStill =
         placements.values().stream().anyMatch(one -> one.fault() == Fault.CONTROLLER_FROZEN);
     if (!stoodStill && latest > cluster.cancelMs() - cluster.workerLeaseMs()) {
