--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -44,7 +44,9 @@
 
   @Test
   void cancelledTasksStayStoppedWhenTheStoreRefusesOneController() {
-    sweep((cluster, ms) -> cluster.faults.refuse("trestle-" + cluster.time.between(0, 2), ms));
+    sweep(
+        (cluster, ms) ->
+            cluster.faults.refuseStoreRequests("trestle-" + cluster.time.between(0, 2), ms));
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
@@ -13,7 +13,7 @@
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
-  private final Map<String, Long> refusedUntilMs = new HashMap<>();
+  private final Map<String, Long> storeRefusedUntilMs = new HashMap<>();
 
   /** Until when what a controller sends and receives is lost, by its label and the link. */
   private final Map<String, Long> disconnectedUntilMs = new HashMap<>();
@@ -75,12 +75,12 @@
   }
 
   /** For a while the key-value store refuses all that one controller asks. */
-  void refuse(String label, long ms) {
-    refusedUntilMs.put(label, time.now() + ms);
+  void refuseStoreRequests(String label, long ms) {
+    storeRefusedUntilMs.put(label, time.now() + ms);
   }
 
   /** For how long the key-value store goes on refusing a controller; 0 if it does not. */
-  long refusedForMs(String label) {
-    return Math.max(0, refusedUntilMs.getOrDefault(label, 0L) - time.now());
+  long remainingStoreRefusalMs(String label) {
+    return Math.max(0, storeRefusedUntilMs.getOrDefault(label, 0L) - time.now());
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
@@ -44,7 +44,7 @@
 
   private void refuseOneThenAllDuringCancellations() {
     cluster.faults.note(cluster.cancelMs + 20_000);
-    cluster.faults.refuse(label, 14_000);
+    cluster.faults.refuseStoreRequests(label, 14_000);
     time.after(500, () -> cancelRunning(4, 0));
     time.after(2000, () -> cluster.store.outage(cluster.cancelMs + 12_000));
   }
--- a/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
@@ -42,7 +42,7 @@
   void controllerIsNotReadyWhileTheStoreRefusesItAlone() {
     SimulatedCluster cluster = startCluster(12);
     cluster.time.runUntil(10_000);
-    cluster.faults.refuse("trestle-1", 60_000);
+    cluster.faults.refuseStoreRequests("trestle-1", 60_000);
     cluster.time.runUntil(16_000);
     assertFalse(cluster.isReady("trestle-1"), "users are better off elsewhere");
     assertTrue(cluster.isReady("trestle-0") && cluster.isReady("trestle-2"));
--- a/src/test/java/org/fieldtrestle/simulation/FaultContainmentTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FaultContainmentTest.java
@@ -128,7 +128,7 @@
                     job.runMs(number == 1 || number == 3 ? 120_000 : 20_000);
                   }));
     }
-    cluster.time.after(25_000, () -> cluster.faults.refuse("trestle-0", 70_000));
+    cluster.time.after(25_000, () -> cluster.faults.refuseStoreRequests("trestle-0", 70_000));
     cluster.time.after(30_000, () -> cluster.users.cancel(cluster.jobs.get("job-1")));
     cluster.time.after(40_000, () -> cluster.users.cancel(cluster.jobs.get("job-3")));
     cluster.time.runUntil(400_000);
--- a/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
@@ -88,7 +88,7 @@
           maybeLosePeers(cluster, leader);
           cluster.network.slow(ClusterLayout.STORE_ADDRESS, 300, 10_000);
           cluster.runFor(8000);
-          cluster.faults.refuse(leader, 16_000);
+          cluster.faults.refuseStoreRequests(leader, 16_000);
           cluster.runFor(300);
           cancelElsewhere(cluster, leader, jobs.subList(0, 3), 4000);
           cluster.store.outage(cluster.cancelMs + 12_000);
@@ -119,7 +119,7 @@
           String leader = cluster.leaderOf(jobs.get(0));
           cluster.faults.note(cluster.cancelMs + 20_000);
           maybeLosePeers(cluster, leader);
-          cluster.faults.refuse(leader, 14_000);
+          cluster.faults.refuseStoreRequests(leader, 14_000);
           cluster.runFor(300);
           assertTrue(runningTasks(cluster, jobs) > 0, "they run");
           cancelElsewhere(cluster, leader, jobs.subList(0, 5), 1200);
--- a/src/test/java/org/fieldtrestle/simulation/ProductionFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionFaults.java
@@ -57,7 +57,7 @@
 
   private void refuseController() {
     cluster.faults.note(70_000);
-    cluster.faults.refuse(label, 70_000);
+    cluster.faults.refuseStoreRequests(label, 70_000);
   }
 
   private void leaveControllerItsWorkersOnly() {
--- a/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
@@ -95,7 +95,7 @@
   private void refuseController() {
     long ms = time.between(5000, 70_000);
     cluster.faults.note(ms);
-    cluster.faults.refuse(label, ms);
+    cluster.faults.refuseStoreRequests(label, ms);
   }
 
   private void leaveControllerItsWorkersOnly() {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
@@ -28,7 +28,7 @@
       Consumer<Http.Outcome> done) {
     String label = controller.label();
     Link link = link(address);
-    if (link == Link.STORE && cluster.faults.refusedForMs(label) > 0) {
+    if (link == Link.STORE && cluster.faults.remainingStoreRefusalMs(label) > 0) {
       complete(REFUSAL_MS, new Http.Answer(503, Http.Response.EMPTY), done);
       return;
     }
@@ -73,7 +73,7 @@
       Consumer<Http.Outcome> done) {
     String label = controller.label();
     // Open watches wait as they would in an outage.
-    long refusedMs = path.startsWith("/watch") ? cluster.faults.refusedForMs(label) : 0;
+    long refusedMs = path.startsWith("/watch") ? cluster.faults.remainingStoreRefusalMs(label) : 0;
     long delayMs = cluster.messages().beforeAnswer(label, link, path, body);
     if (link == Link.STORE && delayMs == MessageObserver.PROMPT) {
       delayMs = cluster.storeAnswers().delayMs(label, path, body);
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -176,7 +176,7 @@
   /** For a while the key-value store refuses one controller. */
   public void refuseController(String controller, long ms) {
     cluster.faults.note(ms);
-    cluster.faults.refuse(controller, ms);
+    cluster.faults.refuseStoreRequests(controller, ms);
   }
 
   /** For a while a controller reaches neither the key-value store nor its peers. */
