--- a/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
@@ -34,7 +34,7 @@
 
   private static void assertAllJobsEnd(SimulatedCluster cluster, String where) {
     for (long endMs = cluster.time.now() + JOBS_END_WITHIN_MS;
-        cluster.time.now() < endMs && !isOver(cluster); ) {
+        cluster.time.now() < endMs && !areJobsAndFaultsOver(cluster); ) {
       cluster.runFor(5000);
     }
     cluster.invariants.checkEndOfDay();
@@ -44,7 +44,7 @@
         .forEach(job -> assertTrue(hasEnded(cluster, job), job.id() + " ends; " + where));
   }
 
-  private static boolean isOver(SimulatedCluster cluster) {
+  private static boolean areJobsAndFaultsOver(SimulatedCluster cluster) {
     return cluster.time.now() > cluster.faults.endMs() + cluster.cancelMs
         && cluster.jobs.values().stream()
             .allMatch(job -> job.unsatisfiable() || hasEnded(cluster, job));
@@ -72,13 +72,13 @@
   }
 
   /** Another controller than the given one. */
-  static String other(SimulatedCluster cluster, String label) {
+  static String otherController(SimulatedCluster cluster, String label) {
     List<String> labels = cluster.labels();
     return labels.get((labels.indexOf(label) + 1) % labels.size());
   }
 
   /** The last heartbeat of each machine, by its name. */
-  static Map<String, byte[]> heartbeats(SimulatedCluster cluster) {
+  static Map<String, byte[]> lastHeartbeats(SimulatedCluster cluster) {
     Map<String, byte[]> heartbeats = new HashMap<>();
     cluster.machines().forEach(machine -> heartbeats.put(machine.id, machine.lastHeartbeat()));
     return heartbeats;
@@ -94,16 +94,16 @@
   }
 
   /** Half of the time other controllers' notices of a cancellation do not reach the leader. */
-  static void maybeLosePeers(SimulatedCluster cluster, String leader) {
+  static void maybeDisconnectPeers(SimulatedCluster cluster, String leader) {
     if (cluster.time.chance(0.5)) {
       cluster.faults.disconnect(leader, cluster.cancelMs + 30_000, Link.PEERS);
     }
   }
 
   /** Cancels jobs at another controller than their leader and waits for its confirmation. */
-  static void cancelElsewhere(
+  static void cancelAtOtherController(
       SimulatedCluster cluster, String leader, List<SimulatedJob> jobs, long ms) {
-    jobs.forEach(job -> cluster.users.cancelAt(other(cluster, leader), job));
+    jobs.forEach(job -> cluster.users.cancelAt(otherController(cluster, leader), job));
     cluster.runFor(ms);
     for (SimulatedJob job : jobs) {
       assertEquals(
--- a/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
@@ -2,8 +2,8 @@
 
 import static org.fieldtrestle.simulation.ConcurrentFailures.assertLeadersChanged;
 import static org.fieldtrestle.simulation.ConcurrentFailures.forEachDeployment;
-import static org.fieldtrestle.simulation.ConcurrentFailures.heartbeats;
-import static org.fieldtrestle.simulation.ConcurrentFailures.other;
+import static org.fieldtrestle.simulation.ConcurrentFailures.lastHeartbeats;
+import static org.fieldtrestle.simulation.ConcurrentFailures.otherController;
 import static org.fieldtrestle.simulation.ConcurrentFailures.runningTasks;
 import static org.fieldtrestle.simulation.ConcurrentFailures.submit;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -27,7 +27,7 @@
             cluster.faults.note(80_000);
             cluster.faults.kill(label, cluster.leaseMs + 24_000);
             cluster.runFor(12_000);
-            cluster.faults.kill(other(cluster, label), 300);
+            cluster.faults.kill(otherController(cluster, label), 300);
             cluster.runFor(cluster.leaseMs + 8000);
             assertLeadersChanged(cluster, before);
           }
@@ -79,7 +79,7 @@
             cluster.faults.kill(label, cluster.time.between(50, 900));
             if (i == 4 || i == 9) {
               cluster.users.cancel(jobs.get(i / 2));
-              cluster.faults.disconnect(other(cluster, label), 12_000, Link.WORKERS);
+              cluster.faults.disconnect(otherController(cluster, label), 12_000, Link.WORKERS);
             }
             cluster.runFor(10_000);
             changes += before.equals(cluster.store.shardEpochs()) ? 0 : 1;
@@ -117,7 +117,7 @@
           List<SimulatedJob> jobs = submit(cluster, 6, 6, 20_000);
           cluster.runFor(30_000);
           String leader = cluster.leaderOf(jobs.get(0));
-          Map<String, byte[]> held = heartbeats(cluster);
+          Map<String, byte[]> held = lastHeartbeats(cluster);
           List<Long> before = cluster.store.shardEpochs();
           cluster.faults.note(90_000);
           cluster.faults.kill(leader, 80_000);
@@ -179,7 +179,7 @@
           cluster.users.cancel(jobs.get(2));
           cluster.runFor(30_000);
           assertLeadersChanged(cluster, before);
-          cluster.faults.kill(other(cluster, leader), 400);
+          cluster.faults.kill(otherController(cluster, leader), 400);
           submit(cluster, 2, 5, 10_000, job -> job.team("limited"));
           cluster.runFor(45_000);
         });
--- a/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
@@ -1,7 +1,7 @@
 package org.fieldtrestle.simulation;
 
 import static org.fieldtrestle.simulation.ConcurrentFailures.forEachDeployment;
-import static org.fieldtrestle.simulation.ConcurrentFailures.heartbeats;
+import static org.fieldtrestle.simulation.ConcurrentFailures.lastHeartbeats;
 import static org.fieldtrestle.simulation.ConcurrentFailures.submit;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -98,7 +98,7 @@
           for (int i = 0; i < 270; i++) {
             cluster.runFor(500);
             if (i % 6 == 0) {
-              old.add(heartbeats(cluster));
+              old.add(lastHeartbeats(cluster));
             }
             if (i == 72) {
               cluster.faults.kill("trestle-1", 500);
--- a/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
@@ -1,9 +1,9 @@
 package org.fieldtrestle.simulation;
 
 import static org.fieldtrestle.simulation.ConcurrentFailures.assertLeadersChanged;
-import static org.fieldtrestle.simulation.ConcurrentFailures.cancelElsewhere;
+import static org.fieldtrestle.simulation.ConcurrentFailures.cancelAtOtherController;
 import static org.fieldtrestle.simulation.ConcurrentFailures.forEachDeployment;
-import static org.fieldtrestle.simulation.ConcurrentFailures.maybeLosePeers;
+import static org.fieldtrestle.simulation.ConcurrentFailures.maybeDisconnectPeers;
 import static org.fieldtrestle.simulation.ConcurrentFailures.runningTasks;
 import static org.fieldtrestle.simulation.ConcurrentFailures.submit;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -33,14 +33,14 @@
           cluster.faults.disconnect(leader, 90_000, Link.STORE, Link.PEERS);
           cluster.runFor(3000);
           assertTrue(runningTasks(cluster, jobs) > 0, "they run");
-          cancelElsewhere(cluster, leader, jobs.subList(0, 2), 1500);
+          cancelAtOtherController(cluster, leader, jobs.subList(0, 2), 1500);
           cluster.runFor(3000);
           long told = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
           assertTrue(
               cluster.heartbeatAnsweredAtMs(leader) > told, "the old one still answers workers");
           cluster.runFor(35_000);
           assertLeadersChanged(cluster, before);
-          cancelElsewhere(cluster, leader, jobs.subList(2, 4), 1500);
+          cancelAtOtherController(cluster, leader, jobs.subList(2, 4), 1500);
           cluster.runFor(50_000);
         });
   }
@@ -85,12 +85,12 @@
           cluster.runFor(45_000);
           String leader = cluster.leaderOf(jobs.get(0));
           cluster.faults.note(120_000);
-          maybeLosePeers(cluster, leader);
+          maybeDisconnectPeers(cluster, leader);
           cluster.network.slow(ClusterLayout.STORE_ADDRESS, 300, 10_000);
           cluster.runFor(8000);
           cluster.faults.refuseStoreRequests(leader, 16_000);
           cluster.runFor(300);
-          cancelElsewhere(cluster, leader, jobs.subList(0, 3), 4000);
+          cancelAtOtherController(cluster, leader, jobs.subList(0, 3), 4000);
           cluster.store.outage(cluster.cancelMs + 12_000);
           for (int i = 0; i < 30; i++) {
             cluster.users.ask(jobs.get(i % 5).id());
@@ -118,11 +118,11 @@
           cluster.runFor(45_000);
           String leader = cluster.leaderOf(jobs.get(0));
           cluster.faults.note(cluster.cancelMs + 20_000);
-          maybeLosePeers(cluster, leader);
+          maybeDisconnectPeers(cluster, leader);
           cluster.faults.refuseStoreRequests(leader, 14_000);
           cluster.runFor(300);
           assertTrue(runningTasks(cluster, jobs) > 0, "they run");
-          cancelElsewhere(cluster, leader, jobs.subList(0, 5), 1200);
+          cancelAtOtherController(cluster, leader, jobs.subList(0, 5), 1200);
           cluster.store.outage(cluster.cancelMs + 12_000);
           long told = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
           cluster.runFor(8000);
