--- a/src/test/java/org/fieldtrestle/simulation/AnswerInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/AnswerInvariants.java
@@ -56,9 +56,9 @@
   }
 
   /** Checks an answer about a job to a request that was sent at a time. */
-  void onTold(String jobId, int status, String stage, long askedAtMs) {
+  void onTold(String jobId, int status, String stage, long sentAtMs) {
     switch (status) {
-      case 200 -> onStage(jobId, stage, askedAtMs);
+      case 200 -> onStage(jobId, stage, sentAtMs);
       case 404 -> onNotFound(jobId);
       default -> onUnanswered(jobId);
     }
@@ -82,7 +82,7 @@
     }
   }
 
-  private void onStage(String jobId, String stage, long askedAtMs) {
+  private void onStage(String jobId, String stage, long sentAtMs) {
     unansweredSinceMs.remove(jobId);
     if (!cluster.jobs.containsKey(jobId)) {
       violations.add("invented", jobId);
@@ -90,7 +90,7 @@
     }
     accepted.add(jobId);
     String before = lastStages.get(jobId);
-    boolean askedBeforeEnd = endedAtMs.containsKey(jobId) && askedAtMs < endedAtMs.get(jobId);
+    boolean askedBeforeEnd = endedAtMs.containsKey(jobId) && sentAtMs < endedAtMs.get(jobId);
     if (askedBeforeEnd && !stage.equals(before)) {
       return;
     }
--- a/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
@@ -37,7 +37,7 @@
         cluster.time.now() < endMs && !areJobsAndFaultsOver(cluster); ) {
       cluster.runFor(5000);
     }
-    cluster.invariants.checkEndOfDay();
+    cluster.invariants.checkFinalProgress();
     assertEquals(List.of(), cluster.invariants.violations(), where);
     cluster.jobs.values().stream()
         .filter(job -> !job.unsatisfiable())
--- a/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
@@ -78,8 +78,8 @@
   }
 
   /** A user was told something of a job, in answer to a request sent at a time. */
-  void answerReceived(String jobId, int status, String stage, long askedAtMs) {
-    answerInvariants.onTold(jobId, status, stage, askedAtMs);
+  void answerReceived(String jobId, int status, String stage, long sentAtMs) {
+    answerInvariants.onTold(jobId, status, stage, sentAtMs);
   }
 
   // ---- checks by time
@@ -92,8 +92,8 @@
   }
 
   /** Checks what has to hold once a day is over. */
-  void checkEndOfDay() {
-    progressInvariants.checkEndOfDay();
+  void checkFinalProgress() {
+    progressInvariants.checkFinalProgress();
   }
 
   // ---- figures
--- a/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
@@ -251,7 +251,7 @@
     }
     cluster.invariants.taskStarted("job-3/0", machine("host-1", "big", "a", false));
     cluster.invariants.answerReceived("job-0", 200, "running", 0);
-    cluster.invariants.checkEndOfDay();
+    cluster.invariants.checkFinalProgress();
     assertTrue(
         cluster.invariants.violations().stream().anyMatch(b -> b.contains("team open: 0 of 4")));
     assertTrue(
@@ -265,12 +265,12 @@
       }
       cluster.invariants.answerReceived("job-" + i, 200, "done", 0);
     }
-    cluster.invariants.checkEndOfDay();
+    cluster.invariants.checkFinalProgress();
     assertEquals(List.of(), cluster.invariants.violations(), "three of four, with the largest");
     known("job-9", j -> j.tasks(12));
     cluster.time.runUntil(250_000);
     cluster.invariants.clearViolations();
-    cluster.invariants.checkEndOfDay();
+    cluster.invariants.checkFinalProgress();
     assertTrue(
         cluster.invariants.violations().stream()
             .anyMatch(b -> b.contains("job-9 is of the largest and began after 250000 ms")));
--- a/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
@@ -74,18 +74,18 @@
         .addKeyValue("seed", seed)
         .addKeyValue("machines", MACHINES)
         .addKeyValue("faults", kinds)
-        .addKeyValue("longestUnanswered", answers.longest())
-        .addKeyValue("endedJobs", answers.ended())
-        .addKeyValue("acceptedJobs", answers.accepted())
-        .addKeyValue("answersByStatus", answers.statuses())
+        .addKeyValue("longestUnanswered", answers.longestUnanswered())
+        .addKeyValue("endedJobs", answers.endedJobs())
+        .addKeyValue("acceptedJobs", answers.acceptedJobs())
+        .addKeyValue("answersByStatus", answers.answersByStatus())
         .addKeyValue("refusedForLimits", cluster.store.refusedForLimits())
         .addKeyValue("tooLargeAnswers", cluster.network.tooLargeAnswers())
         .addKeyValue("violations", cluster.invariants.violations().stream().limit(5).toList())
         .log("day is over");
     assertEquals(List.of(), cluster.invariants.violations(), "seed " + seed + ", faults " + kinds);
     assertTrue(
-        answers.longest().ms() < UserAnswerLog.FORGOTTEN_MS,
-        "seed " + seed + ", faults " + kinds + ": " + answers.longest());
+        answers.longestUnanswered().ms() < UserAnswerLog.MAX_UNANSWERED_MS,
+        "seed " + seed + ", faults " + kinds + ": " + answers.longestUnanswered());
   }
 
   /** Arrays that fill most of the fleet, and single tasks four a second, some called off. */
--- a/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
@@ -136,7 +136,7 @@
    * Checks the end of a day: at least half of each team's and class's jobs are done, likewise of
    * the largest (a tenth of all, one at least), which also begin within four minutes, faults aside.
    */
-  void checkEndOfDay() {
+  void checkFinalProgress() {
     Map<String, List<SimulatedJob>> groups = new HashMap<>();
     List<SimulatedJob> all = new ArrayList<>();
     for (SimulatedJob job : cluster.jobs.values()) {
--- a/src/test/java/org/fieldtrestle/simulation/RandomHistoriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomHistoriesTest.java
@@ -123,7 +123,7 @@
   }
 
   private static void assertEnds(SimulatedCluster cluster, List<SimulatedJob> jobs) {
-    cluster.invariants.checkEndOfDay();
+    cluster.invariants.checkFinalProgress();
     assertEquals(List.of(), cluster.invariants.violations());
     assertTrue(cluster.invariants.starts() > 0, "something ran");
     for (SimulatedJob job : jobs) {
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -180,13 +180,13 @@
   }
 
   /** For a while a controller reaches neither the key-value store nor its peers. */
-  public void cutFromStateAndPeers(String controller, long ms) {
+  public void disconnectFromStoreAndPeers(String controller, long ms) {
     cluster.faults.note(ms);
     cluster.faults.disconnect(controller, ms, Link.STORE, Link.PEERS);
   }
 
   /** For a while a controller and all workers do not reach each other. */
-  public void cutFromWorkers(String controller, long ms) {
+  public void disconnectFromWorkers(String controller, long ms) {
     cluster.faults.note(ms);
     cluster.faults.disconnect(controller, ms, Link.WORKERS);
   }
@@ -263,7 +263,7 @@
   }
 
   /** The jobs whose users have not been told of their end. */
-  public List<String> unended() {
+  public List<String> unfinishedJobs() {
     return cluster.jobs.keySet().stream()
         .filter(id -> !cluster.invariants.hasEnded(id))
         .sorted()
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -19,111 +19,111 @@
  */
 final class UserAnswerLog {
   /** A job that cannot be asked about for so long counts as forgotten, once all faults are over. */
-  static final long FORGOTTEN_MS = 75_000;
+  static final long MAX_UNANSWERED_MS = 75_000;
 
-  private static final long USER_ASKS_EVERY_MS = 5000;
-  private static final long USER_WAITS_MS = 2000;
-  private static final long USER_WAITS_TO_SUBMIT_MS = 5000;
-  private static final long EVERYWHERE_EVERY_MS = 20_000;
+  private static final long QUERY_INTERVAL_MS = 5000;
+  private static final long QUERY_TIMEOUT_MS = 2000;
+  private static final long SUBMISSION_TIMEOUT_MS = 5000;
+  private static final long QUERY_INTERVAL_PER_CONTROLLER_MS = 20_000;
 
   /** The longest spell of a job without an answer. */
   record Spell(String job, long ms, long endedAtMs) {}
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
-  private final Set<String> accepted = new HashSet<>();
+  private final Set<String> acceptedJobs = new HashSet<>();
 
   /** When the first of the questions about a job was asked that have had no answer since. */
   private final Map<String, Long> unansweredSinceMs = new HashMap<>();
 
-  private final Set<String> ended = new HashSet<>();
-  private final Map<Integer, Integer> statuses = new HashMap<>();
-  private Spell longest = new Spell("", 0, 0);
+  private final Set<String> endedJobs = new HashSet<>();
+  private final Map<Integer, Integer> answersByStatus = new HashMap<>();
+  private Spell longestUnanswered = new Spell("", 0, 0);
 
   UserAnswerLog(SimulatedCluster cluster) {
     this.cluster = cluster;
     this.time = cluster.time;
   }
 
-  Spell longest() {
-    return longest;
+  Spell longestUnanswered() {
+    return longestUnanswered;
   }
 
   /** How many questions got each status; 0 stands for those without an answer. */
-  Map<Integer, Integer> statuses() {
-    return statuses;
+  Map<Integer, Integer> answersByStatus() {
+    return answersByStatus;
   }
 
   /** How many jobs have been told to be done or cancelled. */
-  int ended() {
-    return ended.size();
+  int endedJobs() {
+    return endedJobs.size();
   }
 
-  int accepted() {
-    return accepted.size();
+  int acceptedJobs() {
+    return acceptedJobs.size();
   }
 
   /** Submits a job until it is accepted, then asks about it. */
   void submit(SimulatedJob job) {
-    submit(job, anyReady());
+    submit(job, anyReadyController());
   }
 
   private void submit(SimulatedJob job, String label) {
-    post(
+    sendPost(
         label,
         "/v2/runs",
         job.body(),
         response -> {
           if (response.status() == 201 || response.status() == 200) {
-            accepted(job);
+            onAccepted(job);
           } else if (response.status() == 400 || response.status() == 422) {
             cluster.invariants.report("refused " + job.id() + " with " + response.status());
           } else {
-            time.after(1000, () -> submit(job, anyReady()));
+            time.after(1000, () -> submit(job, anyReadyController()));
           }
         });
   }
 
-  private void accepted(SimulatedJob job) {
-    if (!accepted.add(job.id())) {
+  private void onAccepted(SimulatedJob job) {
+    if (!acceptedJobs.add(job.id())) {
       return;
     }
     cluster.invariants.jobAccepted(job.id());
-    time.after(USER_ASKS_EVERY_MS, () -> ask(job, anyReady()));
+    time.after(QUERY_INTERVAL_MS, () -> poll(job, anyReadyController()));
     for (String label : cluster.labels()) {
-      time.after(time.between(0, 300), () -> repeat(job, label));
-      time.after(time.between(5000, 120_000), () -> repeat(job, label));
-      time.after(time.between(0, EVERYWHERE_EVERY_MS), () -> askAt(job, label));
+      time.after(time.between(0, 300), () -> repeatSubmission(job, label));
+      time.after(time.between(5000, 120_000), () -> repeatSubmission(job, label));
+      time.after(time.between(0, QUERY_INTERVAL_PER_CONTROLLER_MS), () -> pollAt(job, label));
     }
   }
 
   /** Calls a job off, again and again until that is confirmed. */
   void cancel(SimulatedJob job) {
     cluster.users.noteCancellation(job.id());
-    post(
-        anyReady(),
+    sendPost(
+        anyReadyController(),
         "/v2/runs/" + job.id() + "/abort",
         Http.Response.EMPTY,
         response -> {
           if (response.status() == 200) {
-            told(job, response, time.now());
+            onAnswer(job, response, time.now());
           } else {
             time.after(1000, () -> cancel(job));
           }
         });
   }
 
-  private void repeat(SimulatedJob job, String label) {
-    long asked = time.now();
-    post(
+  private void repeatSubmission(SimulatedJob job, String label) {
+    long sentAtMs = time.now();
+    sendPost(
         label,
         "/v2/runs",
         job.body(),
         response -> {
           if (response.status() == 200) {
-            told(job, response, asked);
+            onAnswer(job, response, sentAtMs);
           } else if (response.status() == 0 || response.status() >= 429) {
-            time.after(USER_ASKS_EVERY_MS, () -> repeat(job, label));
+            time.after(QUERY_INTERVAL_MS, () -> repeatSubmission(job, label));
           } else {
             cluster.invariants.report(
                 "forgotten: repeated " + job.id() + " gets " + response.status());
@@ -132,86 +132,88 @@
   }
 
   /** A user's question; the next goes to the same controller while that holds the connection. */
-  private void ask(SimulatedJob job, String label) {
-    long asked = time.now();
-    question(
+  private void poll(SimulatedJob job, String label) {
+    long sentAtMs = time.now();
+    sendQuery(
         label,
         job,
         response -> {
-          told(job, response, asked);
-          if (!ended.contains(job.id())) {
-            boolean stays = response.status() > 0 && !response.close() && cluster.isReady(label);
-            time.after(USER_ASKS_EVERY_MS, () -> ask(job, stays ? label : anyReady()));
+          onAnswer(job, response, sentAtMs);
+          if (!endedJobs.contains(job.id())) {
+            boolean keepsConnection =
+                response.status() > 0 && !response.close() && cluster.isReady(label);
+            time.after(
+                QUERY_INTERVAL_MS, () -> poll(job, keepsConnection ? label : anyReadyController()));
           }
         });
   }
 
   /** Asks at one controller whatever the user heard, at last once more after the job's end. */
-  private void askAt(SimulatedJob job, String label) {
-    long asked = time.now();
-    boolean lastTime = ended.contains(job.id());
-    question(
+  private void pollAt(SimulatedJob job, String label) {
+    long sentAtMs = time.now();
+    boolean afterEnd = endedJobs.contains(job.id());
+    sendQuery(
         label,
         job,
         response -> {
-          told(job, response, asked);
+          onAnswer(job, response, sentAtMs);
           if (response.status() != 200) {
-            time.after(USER_ASKS_EVERY_MS, () -> askAt(job, label));
-          } else if (!lastTime) {
-            time.after(EVERYWHERE_EVERY_MS, () -> askAt(job, label));
+            time.after(QUERY_INTERVAL_MS, () -> pollAt(job, label));
+          } else if (!afterEnd) {
+            time.after(QUERY_INTERVAL_PER_CONTROLLER_MS, () -> pollAt(job, label));
           }
         });
   }
 
-  private static String stage(Http.Response response) {
+  private static String stageOf(Http.Response response) {
     return Json.parseOrEmpty(response.body()).path("stage").asText();
   }
 
-  private void told(SimulatedJob job, Http.Response response, long asked) {
-    statuses.merge(response.status(), 1, Integer::sum);
-    long since = unansweredSinceMs.computeIfAbsent(job.id(), id -> asked);
-    long calmSpell = time.now() - Math.max(since, cluster.faults.endMs());
-    if (calmSpell > longest.ms()) {
-      longest = new Spell(job.id(), calmSpell, time.now());
+  private void onAnswer(SimulatedJob job, Http.Response response, long sentAtMs) {
+    answersByStatus.merge(response.status(), 1, Integer::sum);
+    long sinceMs = unansweredSinceMs.computeIfAbsent(job.id(), id -> sentAtMs);
+    long faultFreeMs = time.now() - Math.max(sinceMs, cluster.faults.endMs());
+    if (faultFreeMs > longestUnanswered.ms()) {
+      longestUnanswered = new Spell(job.id(), faultFreeMs, time.now());
     }
-    String stage = stage(response);
+    String stage = stageOf(response);
     if (response.status() == 200) {
       unansweredSinceMs.remove(job.id());
       if (stage.equals("done") || stage.equals("cancelled")) {
-        ended.add(job.id());
+        endedJobs.add(job.id());
       }
     }
-    cluster.invariants.answerReceived(job.id(), response.status(), stage, asked);
+    cluster.invariants.answerReceived(job.id(), response.status(), stage, sentAtMs);
   }
 
-  private String anyReady() {
+  private String anyReadyController() {
     List<String> ready = cluster.labels().stream().filter(cluster::isReady).toList();
-    List<String> from = ready.isEmpty() ? cluster.labels() : ready;
-    return from.get((int) time.between(0, from.size() - 1));
+    List<String> candidates = ready.isEmpty() ? cluster.labels() : ready;
+    return candidates.get((int) time.between(0, candidates.size() - 1));
   }
 
   /** A submission or a cancellation. */
-  private void post(String label, String path, byte[] body, Consumer<Http.Response> done) {
-    request(label, "POST", path, body, USER_WAITS_TO_SUBMIT_MS, done);
+  private void sendPost(String label, String path, byte[] body, Consumer<Http.Response> done) {
+    sendRequest(label, "POST", path, body, SUBMISSION_TIMEOUT_MS, done);
   }
 
-  private void question(String label, SimulatedJob job, Consumer<Http.Response> done) {
-    request(label, "GET", "/v2/runs/" + job.id(), Http.Response.EMPTY, USER_WAITS_MS, done);
+  private void sendQuery(String label, SimulatedJob job, Consumer<Http.Response> done) {
+    sendRequest(label, "GET", "/v2/runs/" + job.id(), Http.Response.EMPTY, QUERY_TIMEOUT_MS, done);
   }
 
   /** A request whose answer counts only within some time; status 0 stands for none. */
-  private void request(
+  private void sendRequest(
       String label,
       String method,
       String path,
       byte[] body,
-      long withinMs,
+      long timeoutMs,
       Consumer<Http.Response> done) {
-    Consumer<Http.Response> once = FaultyNetwork.once(done);
-    Http.Response none = new Http.Response(0, Http.Response.EMPTY);
-    time.after(withinMs, () -> once.accept(none));
+    Consumer<Http.Response> onFirstOutcome = FaultyNetwork.once(done);
+    Http.Response noAnswer = new Http.Response(0, Http.Response.EMPTY);
+    time.after(timeoutMs, () -> onFirstOutcome.accept(noAnswer));
     if (!cluster.network.serves(ClusterLayout.address(label))) {
-      time.after(1, () -> once.accept(none));
+      time.after(1, () -> onFirstOutcome.accept(noAnswer));
       return;
     }
     time.after(
@@ -222,6 +224,6 @@
                 method,
                 path,
                 body,
-                response -> time.after(time.between(1, 3), () -> once.accept(response))));
+                response -> time.after(time.between(1, 3), () -> onFirstOutcome.accept(response))));
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/search/Fault.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Fault.java
@@ -75,8 +75,8 @@
       case TRANSACTIONS_LATE -> cluster.executeTransactionsLate(MOMENT_MS);
       case STATE_OUTAGE, STATE_OUTAGE_LOSING_ANSWERS -> cluster.storeOutage(lengthMs);
       case CONTROLLER_REFUSED -> cluster.refuseController(controller, lengthMs);
-      case CONTROLLER_CUT_OFF -> cluster.cutFromStateAndPeers(controller, lengthMs);
-      case CONTROLLER_WITHOUT_WORKERS -> cluster.cutFromWorkers(controller, lengthMs);
+      case CONTROLLER_CUT_OFF -> cluster.disconnectFromStoreAndPeers(controller, lengthMs);
+      case CONTROLLER_WITHOUT_WORKERS -> cluster.disconnectFromWorkers(controller, lengthMs);
       case WATCHES_LOST -> cluster.noteFault(lengthMs);
       case STATE_SLOW -> cluster.slowStore(lengthMs);
       case CONTROLLER_FROZEN -> cluster.freeze(controller, lengthMs);
--- a/src/test/java/org/fieldtrestle/simulation/search/Violation.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Finding.java
@@ -17,7 +17,7 @@
  * @param faultSteps the steps before which the faults were placed, for the reader
  * @param broken what was broken, for the reader
  */
-record Violation(
+record Finding(
     int version,
     String scenario,
     long seed,
@@ -32,10 +32,10 @@
           .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES)
           .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
 
-  static Violation of(Scenario scenario, long seed, List<FaultPlacement> placements) {
+  static Finding of(Scenario scenario, long seed, List<FaultPlacement> placements) {
     ScenarioRun run = new ScenarioRun(scenario, seed, placements);
     ScenarioRun.Result result = run.play();
-    return new Violation(
+    return new Finding(
         VERSION,
         scenario.printedName(),
         seed,
@@ -53,10 +53,10 @@
     Files.write(file, MAPPER.writeValueAsBytes(this));
   }
 
-  static Violation read(Path file) throws InvalidInputException {
-    Violation finding;
+  static Finding read(Path file) throws InvalidInputException {
+    Finding finding;
     try {
-      finding = MAPPER.readValue(Files.readAllBytes(file), Violation.class);
+      finding = MAPPER.readValue(Files.readAllBytes(file), Finding.class);
     } catch (JsonProcessingException e) {
       throw new InvalidInputException(file + " is no finding: " + e.getOriginalMessage());
     } catch (IOException e) {
--- a/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
@@ -58,8 +58,8 @@
         cluster.runUntil(cluster.nowMs() + CHECK_INTERVAL_MS);
       }
       broken.addAll(cluster.violations());
-      if (broken.isEmpty() && !cluster.unended().isEmpty()) {
-        broken.add("never ended: " + cluster.unended());
+      if (broken.isEmpty() && !cluster.unfinishedJobs().isEmpty()) {
+        broken.add("never ended: " + cluster.unfinishedJobs());
       }
       addLateStarts(broken);
     } catch (SteppedCluster.StepLimitExceeded e) {
@@ -69,7 +69,7 @@
   }
 
   private boolean over() {
-    return cluster.unended().isEmpty()
+    return cluster.unfinishedJobs().isEmpty()
         && cluster.nowMs() > cluster.faultsEndMs() + cluster.cancelMs();
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/search/Search.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Search.java
@@ -40,7 +40,7 @@
    * @param possible how many single placements there are
    * @param findings made as short as they could be made
    */
-  record Report(int possible, int runs, long steps, List<Violation> findings) {}
+  record Report(int possible, int runs, long steps, List<Finding> findings) {}
 
   private final Plan plan;
   private final IntConsumer progress;
@@ -62,7 +62,7 @@
     ScenarioRun.Result undisturbed =
         new ScenarioRun(plan.scenario(), plan.seed(), List.of()).play();
     if (undisturbed.failed()) {
-      Violation finding = Violation.of(plan.scenario(), plan.seed(), List.of());
+      Finding finding = Finding.of(plan.scenario(), plan.seed(), List.of());
       return new Report(0, 1, undisturbed.stepCount(), List.of(finding));
     }
     List<FaultPlacement> all = placements(undisturbed.steps());
@@ -128,13 +128,13 @@
         results.add(threads.submit(() -> playOne(placements)));
       }
       long steps = 0;
-      List<Violation> findings = new ArrayList<>();
+      List<Finding> findings = new ArrayList<>();
       for (int i = 0; i < runs.size(); i++) {
         ScenarioRun.Result result = get(results.get(i));
         steps += result.stepCount();
         if (result.failed()) {
           List<FaultPlacement> shorter = shorten(runs.get(i));
-          findings.add(Violation.of(plan.scenario(), plan.seed(), shorter));
+          findings.add(Finding.of(plan.scenario(), plan.seed(), shorter));
         }
       }
       return new Report(possible, runs.size() + 1, steps, findings);
--- a/src/test/java/org/fieldtrestle/simulation/search/SearchMain.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/SearchMain.java
@@ -40,7 +40,7 @@
       int runs,
       long steps,
       double seconds,
-      List<Violation> findings) {}
+      List<Finding> findings) {}
 
   @Option(names = "--scenario", description = "by name; all of them by default")
   private List<String> scenarios = List.of();
@@ -99,7 +99,7 @@
   @Override
   public Integer call() throws InvalidInputException, IOException, InterruptedException {
     if (replay != null) {
-      ScenarioRun.Result result = Violation.read(replay).replay();
+      ScenarioRun.Result result = Finding.read(replay).replay();
       out.println(result.failed() ? "broken: " + result.broken() : "no rule broken");
       return result.failed() ? RULE_BROKEN : NOTHING_FOUND;
     }
@@ -174,7 +174,7 @@
         found.findings());
   }
 
-  private void print(Scenario scenario, Violation finding, int number) throws IOException {
+  private void print(Scenario scenario, Finding finding, int number) throws IOException {
     out.println("  " + finding.placements());
     finding.faultSteps().forEach(step -> out.println("    before " + step));
     finding.broken().stream().limit(3).forEach(one -> out.println("    broken: " + one));
--- a/src/test/java/org/fieldtrestle/simulation/search/SearchTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/SearchTest.java
@@ -96,11 +96,11 @@
   void violationIsReadAsItWasWrittenAndPlayedAgain(@TempDir Path directory) throws Exception {
     FaultPlacement fault =
         new FaultPlacement(steps(Scenario.END).get(0).number(), Fault.MESSAGE_LOST, 0);
-    Violation finding = Violation.of(Scenario.END, SEED, List.of(fault));
+    Finding finding = Finding.of(Scenario.END, SEED, List.of(fault));
     Path file = directory.resolve("finding.json");
     finding.write(file);
-    assertEquals(finding, Violation.read(file));
-    assertFalse(Violation.read(file).replay().failed());
+    assertEquals(finding, Finding.read(file));
+    assertFalse(Finding.read(file).replay().failed());
     assertEquals(SearchMain.NOTHING_FOUND, search("--replay", file.toString()));
     assertTrue(printed.toString(StandardCharsets.UTF_8).contains("no rule broken"));
   }
@@ -121,7 +121,7 @@
     assertRefused("--nonsense", "--nonsense");
     assertRefused("cannot read", "--replay", directory.resolve("none").toString());
     Path file = directory.resolve("finding.json");
-    Violation.of(Scenario.END, SEED, List.of()).write(file);
+    Finding.of(Scenario.END, SEED, List.of()).write(file);
     String whole = Files.readString(file);
     Files.writeString(file, whole.substring(0, whole.length() / 2));
     assertRefused("is no finding", "--replay", file.toString());
