--- a/src/test/java/org/fieldtrestle/simulation/AnswerInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/AnswerInvariants.java
@@ -6,17 +6,17 @@
 import java.util.Set;
 
 /**
- * Users are told what is so: no accepted job is forgotten, none ends twice or differently, and a
- * job that is done has the results of all its tasks.
+ * Checks that the answers to users are true: no accepted job is forgotten, no job leaves a final
+ * stage, and a job that is reported as done has the results of all its tasks.
  */
 final class AnswerInvariants {
-  /** An accepted job without an answer for longer than this counts as forgotten. */
+  /** An accepted job counts as forgotten if users get no answer about it for longer than this. */
   private static final long MAX_UNANSWERED_MS = 75_000;
 
   private final SimulatedCluster cluster;
   private final Violations violations;
   private final CancellationInvariants cancellations;
-  private final Set<String> accepted = new HashSet<>();
+  private final Set<String> acceptedJobs = new HashSet<>();
   private final Map<String, String> lastStages = new HashMap<>();
   private final Map<String, Long> endedAtMs = new HashMap<>();
   private final Map<String, Long> unansweredSinceMs = new HashMap<>();
@@ -33,30 +33,36 @@
     return "done".equals(stage) || "cancelled".equals(stage);
   }
 
-  Set<String> accepted() {
-    return accepted;
+  Set<String> acceptedJobs() {
+    return acceptedJobs;
   }
 
   void onAccepted(String jobId) {
-    accepted.add(jobId);
+    acceptedJobs.add(jobId);
     SimulatedJob job = cluster.jobs.get(jobId);
     if (job != null && job.unsatisfiable()) {
       violations.add("accepted_hopeless", jobId);
     }
   }
 
-  /** The stage that a user was told last; null: none yet. */
+  /** Returns the stage that users were told last, or null if they were told none yet. */
   String lastStage(String jobId) {
     return lastStages.get(jobId);
   }
 
-  /** How many jobs users were told to be done. */
+  /** Returns the number of jobs that users were told are done. */
   int doneJobs() {
     return doneJobs;
   }
 
-  /** Checks an answer about a job to a request that was sent at a time. */
-  void onTold(String jobId, int status, String stage, long sentAtMs) {
+  /**
+   * Checks an answer to a request about a job.
+   *
+   * @param status the HTTP status, or 0 if there was no answer
+   * @param stage the stage of the job according to the answer
+   * @param sentAtMs when the user sent the request
+   */
+  void onAnswer(String jobId, int status, String stage, long sentAtMs) {
     switch (status) {
       case 200 -> onStage(jobId, stage, sentAtMs);
       case 404 -> onNotFound(jobId);
@@ -65,13 +71,13 @@
   }
 
   private void onNotFound(String jobId) {
-    if (accepted.contains(jobId)) {
+    if (acceptedJobs.contains(jobId)) {
       violations.add("forgotten", jobId);
     }
   }
 
   private void onUnanswered(String jobId) {
-    if (!accepted.contains(jobId)) {
+    if (!acceptedJobs.contains(jobId)) {
       return;
     }
     long nowMs = cluster.time.now();
@@ -88,19 +94,19 @@
       violations.add("invented", jobId);
       return;
     }
-    accepted.add(jobId);
-    String before = lastStages.get(jobId);
-    boolean askedBeforeEnd = endedAtMs.containsKey(jobId) && sentAtMs < endedAtMs.get(jobId);
-    if (askedBeforeEnd && !stage.equals(before)) {
+    acceptedJobs.add(jobId);
+    String previousStage = lastStages.get(jobId);
+    boolean sentBeforeEnd = endedAtMs.containsKey(jobId) && sentAtMs < endedAtMs.get(jobId);
+    if (sentBeforeEnd && !stage.equals(previousStage)) {
       return;
     }
-    if (isFinal(before) && !before.equals(stage)) {
-      violations.add("went_back", jobId + " was " + before + " and is " + stage);
+    if (isFinal(previousStage) && !previousStage.equals(stage)) {
+      violations.add("went_back", jobId + " was " + previousStage + " and is " + stage);
     }
     if (stage.equals("cancelled")) {
       onCancelled(jobId);
     }
-    if (stage.equals("done") && !"done".equals(before)) {
+    if (stage.equals("done") && !"done".equals(previousStage)) {
       onDone(cluster.jobs.get(jobId));
     }
     lastStages.put(jobId, stage);
--- a/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
@@ -3,9 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Tasks of a cancelled job stop in time, and no start of one is ordered much later. */
+/**
+ * Checks that the tasks of a cancelled job stop within the limit, and that no controller commands a
+ * start of one long after the cancellation was confirmed.
+ */
 final class CancellationInvariants {
-  /** Within this time every controller that nothing keeps from it hears of a cancellation. */
+  /** Every controller that no fault hinders learns of a confirmed cancellation within this time. */
   private static final long KNOWN_WITHIN_MS = 1000;
 
   private final SimulatedCluster cluster;
@@ -19,50 +22,58 @@
     this.violations = violations;
   }
 
-  /** A user was told that a job is cancelled. */
+  /** Called when a user was told that a job is cancelled. */
   void onConfirmed(String jobId) {
     confirmedAtMs.putIfAbsent(jobId, cluster.time.now());
   }
 
-  /** When the cancellation of a job was first confirmed to a user; -1: never. */
+  /** Returns when the cancellation of a job was first confirmed to a user, or -1 if it was not. */
   long confirmedAtMs(String jobId) {
     return confirmedAtMs.getOrDefault(jobId, -1L);
   }
 
-  /** Checks that a task that is on a machine now may still be there. */
+  /** Checks that a task that is running now may still run. */
   void checkStopped(String task) {
-    Long confirmed = confirmedAtMs.get(SimulatedJob.idOf(task));
-    if (confirmed != null && cluster.time.now() - confirmed > cluster.cancelMs) {
-      violations.add("ran_cancelled", task + " " + (cluster.time.now() - confirmed) + " ms after");
+    Long jobConfirmedAtMs = confirmedAtMs.get(SimulatedJob.idOf(task));
+    if (jobConfirmedAtMs != null && cluster.time.now() - jobConfirmedAtMs > cluster.cancelMs) {
+      violations.add(
+          "ran_cancelled", task + " " + (cluster.time.now() - jobConfirmedAtMs) + " ms after");
     }
   }
 
   /**
-   * Checks a command to start a task that a worker executes. Unless a fault keeps controllers from
-   * hearing of the cancellation, none may send such a command some time after its confirmation. (A
-   * lost answer of the key-value store does: a watch waits for it until its time-out.)
+   * Checks a command to start a task that a worker executes. Once {@link #KNOWN_WITHIN_MS} have
+   * passed since the confirmation of a cancellation, no controller may send such a command unless a
+   * fault keeps it from learning of the cancellation. Losing an answer of the key-value store is
+   * such a fault, since a watch waits for the lost answer until its time-out.
    */
   void onStartCommand(String task, long sentAtMs) {
-    Long confirmed = confirmedAtMs.get(SimulatedJob.idOf(task));
-    if (confirmed == null || sentAtMs <= confirmed) {
+    Long jobConfirmedAtMs = confirmedAtMs.get(SimulatedJob.idOf(task));
+    if (jobConfirmedAtMs == null || sentAtMs <= jobConfirmedAtMs) {
       return;
     }
-    long afterMs = sentAtMs - confirmed;
+    long afterMs = sentAtMs - jobConfirmedAtMs;
     startCommands++;
     latestStartCommandAfterMs = Math.max(latestStartCommandAfterMs, afterMs);
     if (afterMs > KNOWN_WITHIN_MS
-        && confirmed > cluster.faults.endMs()
+        && jobConfirmedAtMs > cluster.faults.endMs()
         && !cluster.network.losesAnswers()) {
       violations.add("started_cancelled", task + " " + afterMs + " ms after");
     }
   }
 
-  /** How many starts of tasks were ordered after the cancellation of their job was confirmed. */
+  /**
+   * Returns how many start commands that workers executed were sent after the cancellation of the
+   * job was confirmed.
+   */
   int startCommands() {
     return startCommands;
   }
 
-  /** How long after a confirmation the latest of these was sent; 0 if there was none. */
+  /**
+   * Returns the longest time between a confirmed cancellation and a later start command, or 0 if
+   * there was no such command.
+   */
   long latestStartCommandAfterMs() {
     return latestStartCommandAfterMs;
   }
--- a/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
@@ -4,18 +4,20 @@
 import java.util.Map;
 
 /**
- * Faults of controllers, and until when the faults that tests injected last. Faults of the network,
- * the key-value store, the cloud and single workers are injected there.
+ * Injects faults of controllers, and records when the faults that tests inject end. Faults of the
+ * network, the key-value store, the cloud and single workers are injected at their own classes.
  */
 final class ClusterFaults {
-  /** How long after the freeze of its sending a controller stands still altogether. */
-  private static final long DECIDES_FOR_MS = 100;
+  /**
+   * How long a controller still makes decisions after its messages are held back, until it freezes.
+   */
+  private static final long DECISION_TIME_MS = 100;
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
   private final Map<String, Long> storeRefusedUntilMs = new HashMap<>();
 
-  /** Until when what a controller sends and receives is lost, by its label and the link. */
+  /** Until when all messages of a controller over a link are lost, by its label and the link. */
   private final Map<String, Long> disconnectedUntilMs = new HashMap<>();
 
   private long endMs;
@@ -25,48 +27,48 @@
     this.time = cluster.time;
   }
 
-  /** Notes that a fault lasts for some time, which the invariants allow for. */
-  void note(long forMs) {
-    endMs = Math.max(endMs, time.now() + forMs);
+  /** Records that a fault lasts for this time, for which the invariant checks then allow. */
+  void note(long durationMs) {
+    endMs = Math.max(endMs, time.now() + durationMs);
   }
 
-  /** When the last noted fault ends. */
+  /** Returns when the last of the recorded faults ends. */
   long endMs() {
     return endMs;
   }
 
-  /** Ends a controller process; another one starts after some time. */
-  void kill(String label, long backAfterMs) {
+  /** Ends a controller process, and starts a new one after the given time. */
+  void kill(String label, long restartAfterMs) {
     if (!cluster.controller(label).stop()) {
       return;
     }
     cluster.network.stop(ClusterLayout.address(label));
-    time.after(backAfterMs, () -> cluster.start(label));
+    time.after(restartAfterMs, () -> cluster.start(label));
   }
 
-  /** A controller does nothing for a while; then everything that waits reaches it at once. */
-  void freeze(String label, long ms) {
-    cluster.controller(label).freeze(ms);
+  /** Freezes a controller for a time; then everything that has waited reaches it at once. */
+  void freeze(String label, long durationMs) {
+    cluster.controller(label).freeze(durationMs);
   }
 
   /**
-   * A controller stands still between deciding and sending: what it decides within the next tenth
-   * of a second leaves only once it goes on.
+   * Freezes a controller between its decisions and the sending of their messages: the messages that
+   * it decides to send within the next 100 ms leave only when the freeze ends.
    */
-  void freezeBeforeSending(String label, long ms) {
-    cluster.controller(label).holdMessages(ms);
-    time.after(DECIDES_FOR_MS, () -> freeze(label, ms - DECIDES_FOR_MS));
+  void freezeBeforeSending(String label, long durationMs) {
+    cluster.controller(label).holdMessages(durationMs);
+    time.after(DECISION_TIME_MS, () -> freeze(label, durationMs - DECISION_TIME_MS));
   }
 
-  /** From now on each turn of a controller's event loop takes some time. */
+  /** Makes each turn of a controller's event loop take this time from now on. */
   void slowDown(String label, long turnMs) {
     cluster.controller(label).slowDown(turnMs);
   }
 
-  /** For a while a controller and what is behind some links do not reach each other. */
-  void disconnect(String label, long ms, Link... links) {
+  /** Cuts off a controller from everything behind the given links for a time. */
+  void disconnect(String label, long durationMs, Link... links) {
     for (Link link : links) {
-      disconnectedUntilMs.put(label + " " + link, time.now() + ms);
+      disconnectedUntilMs.put(label + " " + link, time.now() + durationMs);
     }
   }
 
@@ -74,12 +76,12 @@
     return time.now() < disconnectedUntilMs.getOrDefault(label + " " + link, 0L);
   }
 
-  /** For a while the key-value store refuses all that one controller asks. */
-  void refuseStoreRequests(String label, long ms) {
-    storeRefusedUntilMs.put(label, time.now() + ms);
+  /** Makes the key-value store refuse all requests of one controller for a time. */
+  void refuseStoreRequests(String label, long durationMs) {
+    storeRefusedUntilMs.put(label, time.now() + durationMs);
   }
 
-  /** For how long the key-value store goes on refusing a controller; 0 if it does not. */
+  /** Returns how much longer the key-value store refuses a controller; 0 if it does not. */
   long remainingStoreRefusalMs(String label) {
     return Math.max(0, storeRefusedUntilMs.getOrDefault(label, 0L) - time.now());
   }
--- a/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * What tests of concurrent failures have in common. Such a test shows that its failures coincided;
- * afterwards the invariants have held and all jobs end.
+ * Helper methods for tests of concurrent failures. Such a test shows that its failures coincide,
+ * and that the invariants hold and all jobs end nevertheless.
  */
 final class ConcurrentFailures {
   private static final int SEEDS = 3;
@@ -20,7 +20,7 @@
 
   private ConcurrentFailures() {}
 
-  /** Plays failures on clusters of each kind, and checks that all jobs end afterwards. */
+  /** Simulates failures on clusters of each kind, and checks that all jobs end afterwards. */
   static void forEachDeployment(int machines, Consumer<SimulatedCluster> failures) {
     for (Deployment deployment : Deployment.smallOfEachKind()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
@@ -32,16 +32,16 @@
     }
   }
 
-  private static void assertAllJobsEnd(SimulatedCluster cluster, String where) {
+  private static void assertAllJobsEnd(SimulatedCluster cluster, String message) {
     for (long endMs = cluster.time.now() + JOBS_END_WITHIN_MS;
         cluster.time.now() < endMs && !areJobsAndFaultsOver(cluster); ) {
       cluster.runFor(5000);
     }
     cluster.invariants.checkFinalProgress();
-    assertEquals(List.of(), cluster.invariants.violations(), where);
+    assertEquals(List.of(), cluster.invariants.violations(), message);
     cluster.jobs.values().stream()
         .filter(job -> !job.unsatisfiable())
-        .forEach(job -> assertTrue(hasEnded(cluster, job), job.id() + " ends; " + where));
+        .forEach(job -> assertTrue(hasEnded(cluster, job), job.id() + " ends; " + message));
   }
 
   private static boolean areJobsAndFaultsOver(SimulatedCluster cluster) {
@@ -60,24 +60,24 @@
 
   /** Submits jobs with consecutive identifiers. */
   static List<SimulatedJob> submit(
-      SimulatedCluster cluster, int jobs, int tasks, long runMs, Consumer<SimulatedJob> shape) {
-    List<SimulatedJob> all = new ArrayList<>();
+      SimulatedCluster cluster, int jobs, int tasks, long runMs, Consumer<SimulatedJob> customize) {
+    List<SimulatedJob> submitted = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
-      all.add(
+      submitted.add(
           cluster.users.submit(
               "job-" + (cluster.jobs.size() + 1),
-              job -> shape.accept(job.tasks(tasks).runMs(runMs))));
+              job -> customize.accept(job.tasks(tasks).runMs(runMs))));
     }
-    return all;
+    return submitted;
   }
 
-  /** Another controller than the given one. */
+  /** Returns the label of another controller than the given one. */
   static String otherController(SimulatedCluster cluster, String label) {
     List<String> labels = cluster.labels();
     return labels.get((labels.indexOf(label) + 1) % labels.size());
   }
 
-  /** The last heartbeat of each machine, by its name. */
+  /** Returns the last heartbeat of each machine by its id. */
   static Map<String, byte[]> lastHeartbeats(SimulatedCluster cluster) {
     Map<String, byte[]> heartbeats = new HashMap<>();
     cluster.machines().forEach(machine -> heartbeats.put(machine.id, machine.lastHeartbeat()));
@@ -85,26 +85,28 @@
   }
 
   static void assertLeadersChanged(SimulatedCluster cluster, List<Long> epochsBefore) {
-    assertNotEquals(epochsBefore, cluster.store.shardEpochs(), "a shard has changed hands");
+    assertNotEquals(epochsBefore, cluster.store.shardEpochs(), "a shard has a new leader");
   }
 
-  /** How many tasks of these jobs are on machines. */
+  /** Returns how many tasks of these jobs are running. */
   static int runningTasks(SimulatedCluster cluster, List<SimulatedJob> jobs) {
     return jobs.stream().mapToInt(job -> cluster.invariants.runningTasksOf(job.id())).sum();
   }
 
-  /** Half of the time other controllers' notices of a cancellation do not reach the leader. */
+  /** In half of the runs, keeps notices of cancellations by other controllers from the leader. */
   static void maybeDisconnectPeers(SimulatedCluster cluster, String leader) {
     if (cluster.time.chance(0.5)) {
       cluster.faults.disconnect(leader, cluster.cancelMs + 30_000, Link.PEERS);
     }
   }
 
-  /** Cancels jobs at another controller than their leader and waits for its confirmation. */
+  /**
+   * Cancels jobs at another controller than their leader, and expects confirmation within a time.
+   */
   static void cancelAtOtherController(
-      SimulatedCluster cluster, String leader, List<SimulatedJob> jobs, long ms) {
+      SimulatedCluster cluster, String leader, List<SimulatedJob> jobs, long timeoutMs) {
     jobs.forEach(job -> cluster.users.cancelAt(otherController(cluster, leader), job));
-    cluster.runFor(ms);
+    cluster.runFor(timeoutMs);
     for (SimulatedJob job : jobs) {
       assertEquals(
           "cancelled", cluster.invariants.lastStageOf(job.id()), "confirmed by another controller");
--- a/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * Checks a simulated history for the rules of the protocol, as users and workers see it. Users,
- * workers and the cluster tell it of each event; it knows nothing of the controllers.
+ * Checks the rules of the protocol on a simulated history, as users and workers observe it. The
+ * simulated users, workers and cluster report each event to the checker, which does not look into
+ * the controllers.
  */
 final class InvariantChecker {
   private final SimulatedCluster cluster;
@@ -29,7 +30,7 @@
     progressInvariants = new ProgressInvariants(cluster, violations, placements, answerInvariants);
   }
 
-  /** The violations so far, in the order in which they were found. */
+  /** Returns the violations found so far, in the order in which they were found. */
   List<String> violations() {
     return violations.all();
   }
@@ -38,14 +39,14 @@
     violations.clear();
   }
 
-  /** Adds a violation that a user found. */
+  /** Adds a violation that a simulated user found. */
   void report(String what) {
     violations.report(what);
   }
 
-  // ---- events at workers
+  // ---- events of workers
 
-  /** A task starts on a machine. */
+  /** Called when a task starts on a machine. */
   void taskStarted(String task, SimulatedWorker machine) {
     SimulatedJob job = cluster.jobs.get(SimulatedJob.idOf(task));
     starts++;
@@ -56,49 +57,55 @@
     cancellationInvariants.checkStopped(task);
   }
 
-  /** A worker executes a command, sent at a time, to start a task. */
+  /** Called when a worker executes a command to start a task. */
   void startCommandExecuted(String task, long sentAtMs) {
     cancellationInvariants.onStartCommand(task, sentAtMs);
   }
 
-  /** A task has stopped on a machine. */
+  /** Called when a task has stopped on a machine. */
   void taskStopped(String task, String machine) {
     SimulatedJob job = cluster.jobs.get(SimulatedJob.idOf(task));
-    progressInvariants.onMoved(job.id());
-    violations.trace(task + " leaves " + machine);
+    progressInvariants.onTaskChange(job.id());
+    violations.trace(task + " stops on " + machine);
     cancellationInvariants.checkStopped(task);
     placements.remove(job, task, machine);
   }
 
-  // ---- events at users
+  // ---- events of users
 
-  /** A user was told that a job is accepted. */
+  /** Called when a user was told that a job is accepted. */
   void jobAccepted(String jobId) {
     answerInvariants.onAccepted(jobId);
   }
 
-  /** A user was told something of a job, in answer to a request sent at a time. */
+  /**
+   * Called when a user received an answer about a job.
+   *
+   * @param status the HTTP status, or 0 if there was no answer
+   * @param stage the stage of the job according to the answer
+   * @param sentAtMs when the user sent the request
+   */
   void answerReceived(String jobId, int status, String stage, long sentAtMs) {
-    answerInvariants.onTold(jobId, status, stage, sentAtMs);
+    answerInvariants.onAnswer(jobId, status, stage, sentAtMs);
   }
 
-  // ---- checks by time
+  // ---- checks of durations and of the end
 
-  /** Checks what may last for a limited time only; called periodically. */
+  /** Checks the conditions that may last only for a limited time. Called periodically. */
   void checkDurations() {
     progressInvariants.countFaults();
     placements.forEachTask(cancellationInvariants::checkStopped);
     progressInvariants.checkWaiting();
   }
 
-  /** Checks what has to hold once a day is over. */
+  /** Checks what has to hold at the end of a simulated history. */
   void checkFinalProgress() {
     progressInvariants.checkFinalProgress();
   }
 
-  // ---- figures
+  // ---- statistics
 
-  /** How many times tasks started. */
+  /** Returns how many times tasks started. */
   int starts() {
     return starts;
   }
@@ -107,9 +114,9 @@
     return startsByMachine.getOrDefault(machine, 0);
   }
 
-  /** How many tasks of a job are on machines. */
+  /** Returns how many tasks of a job are running. */
   int runningTasksOf(String jobId) {
-    return placements.countOf(jobId);
+    return placements.taskCount(jobId);
   }
 
   /** Whether any task of a job has ever started. */
@@ -117,16 +124,16 @@
     return progressInvariants.hasStarted(jobId);
   }
 
-  /** For how long there have been faults so far. */
+  /** Returns the total time during which there have been faults. */
   long faultsSoFarMs() {
     return progressInvariants.faultsSoFarMs();
   }
 
   boolean isAccepted(String jobId) {
-    return answerInvariants.accepted().contains(jobId);
+    return answerInvariants.acceptedJobs().contains(jobId);
   }
 
-  /** The stage that a user was told last; null: none yet. */
+  /** Returns the stage that users were told last, or null if they were told none yet. */
   String lastStageOf(String jobId) {
     return answerInvariants.lastStage(jobId);
   }
@@ -136,22 +143,28 @@
     return AnswerInvariants.isFinal(lastStageOf(jobId));
   }
 
-  /** How many jobs users were told to be done. */
+  /** Returns the number of jobs that users were told are done. */
   int doneJobs() {
     return answerInvariants.doneJobs();
   }
 
-  /** When the cancellation of a job was first confirmed to a user; -1: never. */
+  /** Returns when the cancellation of a job was first confirmed to a user, or -1 if it was not. */
   long cancellationConfirmedAtMs(String jobId) {
     return cancellationInvariants.confirmedAtMs(jobId);
   }
 
-  /** How many starts of tasks were ordered after the cancellation of their job was confirmed. */
+  /**
+   * Returns how many start commands that workers executed were sent after the cancellation of the
+   * job was confirmed.
+   */
   int startCommandsAfterCancellation() {
     return cancellationInvariants.startCommands();
   }
 
-  /** How long after a confirmation the latest of these was sent; 0 if there was none. */
+  /**
+   * Returns the longest time between a confirmed cancellation and a later start command, or 0 if
+   * there was no such command.
+   */
   long latestStartCommandAfterCancellationMs() {
     return cancellationInvariants.latestStartCommandAfterMs();
   }
--- a/src/test/java/org/fieldtrestle/simulation/PlacementInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/PlacementInvariants.java
@@ -3,7 +3,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A task is on one machine at a time, on one that its job allows, within its team's quota. */
+/**
+ * Checks that a task runs on one machine at a time, on a machine that its job allows, and within
+ * the quota of its team.
+ */
 final class PlacementInvariants {
   private static final double ROUNDING_CPUS = 1e-6;
 
@@ -15,19 +18,19 @@
     this.placements = placements;
   }
 
-  /** Whether so many CPUs are more than a team's quota. */
+  /** Whether this number of CPUs exceeds the quota of a team. */
   static boolean exceedsQuota(String team, double cpus) {
     return cpus > ClusterLayout.quotaCpus(team) + ROUNDING_CPUS;
   }
 
-  /** Whether a machine has the type and the zone that a job asks for. */
+  /** Whether the type, the zone and the kind (spot or not) of a machine meet the needs of a job. */
   static boolean allows(SimulatedJob job, SimulatedWorker machine) {
     return (job.type() == null || job.type().equals(machine.type))
         && (job.zone() == null || job.zone().equals(machine.zone))
         && (job.spot() || !machine.spot);
   }
 
-  /** Checks a start and notes it. */
+  /** Checks the start of a task and records its placement. */
   void onStarted(SimulatedJob job, String task, SimulatedWorker machine) {
     Set<String> machines = placements.machinesOf(job, task);
     if (!machines.isEmpty()) {
@@ -45,12 +48,12 @@
   }
 
   private void checkZones(SimulatedJob job, String task) {
-    Map<String, Integer> counts = placements.countsByZone(job);
-    if (job.oneZone() && counts.size() > 1) {
-      violations.add("wrong_place", task + " is in a second zone: " + counts);
+    Map<String, Integer> tasksByZone = placements.countsByZone(job);
+    if (job.oneZone() && tasksByZone.size() > 1) {
+      violations.add("wrong_place", task + " is in a second zone: " + tasksByZone);
     }
-    if (job.spread() && counts.values().stream().anyMatch(n -> n > job.zoneLimit())) {
-      violations.add("wrong_place", task + " is one too many in its zone: " + counts);
+    if (job.spread() && tasksByZone.values().stream().anyMatch(tasks -> tasks > job.zoneLimit())) {
+      violations.add("wrong_place", task + " is one too many in its zone: " + tasksByZone);
     }
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/ProductionFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionFaults.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Faults of a production size: they concern whole controllers, the store or half of a fleet. */
+/** Faults of production scale: they affect whole controllers, the store or half of the machines. */
 final class ProductionFaults {
-  /** The order decides which fault a random number stands for. */
+  /** The order determines which fault a random number selects. */
   private static final List<Consumer<ProductionFaults>> FAULTS =
       List.of(
           ProductionFaults::restartAllControllers,
           ProductionFaults::killAllControllersButOne,
           ProductionFaults::storeOutage,
-          ProductionFaults::refuseController,
-          ProductionFaults::leaveControllerItsWorkersOnly,
+          ProductionFaults::refuseStoreRequests,
+          ProductionFaults::disconnectControllerFromStoreAndPeers,
           ProductionFaults::slowStore,
           ProductionFaults::loseHalfOfTheMachines,
           ProductionFaults::freezeController,
@@ -20,6 +20,8 @@
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
+
+  /** The label of the controller that the fault affects. */
   private final String label;
 
   private ProductionFaults(SimulatedCluster cluster) {
@@ -28,26 +30,28 @@
     this.label = cluster.labels().get((int) time.between(0, cluster.labels().size() - 1));
   }
 
-  /** Draws a kind of fault. */
+  /** Draws a kind of fault at random. */
   static int drawKind(SimulatedTime time) {
     return (int) time.between(0, FAULTS.size() - 1);
   }
 
-  /** Injects a fault of a kind now. */
+  /** Injects a fault of the given kind now. */
   static void inject(SimulatedCluster cluster, int kind) {
     FAULTS.get(kind).accept(new ProductionFaults(cluster));
   }
 
   private void restartAllControllers() {
     cluster.faults.note(20_000);
-    cluster.labels().forEach(one -> cluster.faults.kill(one, time.between(3000, 8000)));
+    cluster
+        .labels()
+        .forEach(controller -> cluster.faults.kill(controller, time.between(3000, 8000)));
   }
 
   private void killAllControllersButOne() {
     cluster.faults.note(60_000);
     cluster.labels().stream()
-        .filter(one -> !one.equals(label))
-        .forEach(one -> cluster.faults.kill(one, 50_000));
+        .filter(controller -> !controller.equals(label))
+        .forEach(controller -> cluster.faults.kill(controller, 50_000));
   }
 
   private void storeOutage() {
@@ -55,12 +59,12 @@
     cluster.store.outage(60_000);
   }
 
-  private void refuseController() {
+  private void refuseStoreRequests() {
     cluster.faults.note(70_000);
     cluster.faults.refuseStoreRequests(label, 70_000);
   }
 
-  private void leaveControllerItsWorkersOnly() {
+  private void disconnectControllerFromStoreAndPeers() {
     cluster.faults.note(70_000);
     cluster.faults.disconnect(label, 70_000, Link.STORE, Link.PEERS);
   }
--- a/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
@@ -8,25 +8,29 @@
 import java.util.Set;
 
 /**
- * Jobs begin, do not wait for long while there is room for them, and are mostly done in the end.
+ * Checks that jobs start, that no job waits for long while a machine has room for one of its tasks,
+ * and that most jobs are done in the end.
  */
 final class ProgressInvariants {
-  private static final long MAX_WAIT_BESIDE_ROOM_MS = 90_000;
-  private static final long LARGEST_BEGIN_WITHIN_MS = 240_000;
+  private static final long MAX_WAIT_DESPITE_ROOM_MS = 90_000;
+  private static final long MAX_START_DELAY_OF_LARGEST_MS = 240_000;
 
   private final SimulatedCluster cluster;
   private final Violations violations;
   private final TaskPlacements placements;
   private final AnswerInvariants answers;
 
-  /** When a task of a job last started or left a machine. */
-  private final Map<String, Long> lastMoveAtMs = new HashMap<>();
+  /** When a task of a job last started or stopped, by job. */
+  private final Map<String, Long> lastChangeAtMs = new HashMap<>();
 
-  /** Since when a task of a job has waited beside room for it. */
-  private final Map<String, Long> besideRoomSinceMs = new HashMap<>();
+  /** Since when a task of a job has waited although a machine has room for it, by job. */
+  private final Map<String, Long> waitsDespiteRoomSinceMs = new HashMap<>();
 
-  /** How long after its submission, faults aside, the first task of a job started. */
-  private final Map<String, Long> begunAfterMs = new HashMap<>();
+  /**
+   * How long after the submission the first task of a job started, by job. The time during which
+   * there were faults does not count.
+   */
+  private final Map<String, Long> startDelaysMs = new HashMap<>();
 
   private long faultsSoFarMs;
 
@@ -41,44 +45,44 @@
     this.answers = answers;
   }
 
-  /** For how long there have been faults so far. */
+  /** Returns the total time during which there have been faults. */
   long faultsSoFarMs() {
     return faultsSoFarMs;
   }
 
   boolean hasStarted(String jobId) {
-    return begunAfterMs.containsKey(jobId);
+    return startDelaysMs.containsKey(jobId);
   }
 
   void onStarted(SimulatedJob job) {
-    begunAfterMs.putIfAbsent(job.id(), waitedMs(job));
-    onMoved(job.id());
+    startDelaysMs.putIfAbsent(job.id(), waitedMs(job));
+    onTaskChange(job.id());
   }
 
-  /** A task of the job started or left a machine. */
-  void onMoved(String jobId) {
-    lastMoveAtMs.put(jobId, cluster.time.now());
+  /** Called when a task of the job has started or stopped. */
+  void onTaskChange(String jobId) {
+    lastChangeAtMs.put(jobId, cluster.time.now());
   }
 
-  /** How long ago a job was submitted, faults aside. */
+  /** Returns the time since the submission of a job, without the time of faults since then. */
   private long waitedMs(SimulatedJob job) {
     return cluster.time.now() - job.submittedAtMs() - (faultsSoFarMs - job.faultsBeforeMs());
   }
 
-  /** Counts the time since the last check if there were faults. */
+  /** Adds the time since the last check to the time of faults if faults still last. */
   void countFaults() {
     faultsSoFarMs +=
         cluster.time.now() < cluster.faults.endMs() ? SimulatedCluster.CHECK_INTERVAL_MS : 0;
   }
 
-  /** Checks that no job has waited for too long beside room for one of its tasks. */
+  /** Checks that no job has waited for too long while a machine has room for one of its tasks. */
   void checkWaiting() {
-    Set<String> held = new HashSet<>();
-    cluster.cloud.machines.values().forEach(machine -> machine.addTasksTo(held));
-    for (String jobId : answers.accepted()) {
+    Set<String> heldTasks = new HashSet<>();
+    cluster.cloud.machines.values().forEach(machine -> machine.addTasksTo(heldTasks));
+    for (String jobId : answers.acceptedJobs()) {
       SimulatedJob job = cluster.jobs.get(jobId);
-      if (job == null || job.unsatisfiable() || !waitsBesideRoom(job, held)) {
-        besideRoomSinceMs.remove(jobId);
+      if (job == null || job.unsatisfiable() || !waitsDespiteRoom(job, heldTasks)) {
+        waitsDespiteRoomSinceMs.remove(jobId);
       } else {
         checkWaiting(jobId);
       }
@@ -87,37 +91,37 @@
 
   private void checkWaiting(String jobId) {
     long nowMs = cluster.time.now();
-    long sinceMs = besideRoomSinceMs.computeIfAbsent(jobId, id -> nowMs);
+    long sinceMs = waitsDespiteRoomSinceMs.computeIfAbsent(jobId, id -> nowMs);
     sinceMs = Math.max(sinceMs, cluster.faults.endMs());
-    sinceMs = Math.max(sinceMs, lastMoveAtMs.getOrDefault(jobId, 0L));
-    if (nowMs - sinceMs > MAX_WAIT_BESIDE_ROOM_MS) {
+    sinceMs = Math.max(sinceMs, lastChangeAtMs.getOrDefault(jobId, 0L));
+    if (nowMs - sinceMs > MAX_WAIT_DESPITE_ROOM_MS) {
       violations.add("waits", jobId + " for " + (nowMs - sinceMs) + " ms though there is room");
-      besideRoomSinceMs.remove(jobId);
-      lastMoveAtMs.put(jobId, nowMs);
+      waitsDespiteRoomSinceMs.remove(jobId);
+      lastChangeAtMs.put(jobId, nowMs);
     }
   }
 
-  /** Whether a task of the job is nowhere though a machine that fits has room for it. */
-  private boolean waitsBesideRoom(SimulatedJob job, Set<String> held) {
+  /** Whether a task of the job is on no machine although a suitable machine has room for it. */
+  private boolean waitsDespiteRoom(SimulatedJob job, Set<String> heldTasks) {
     if (job.failing()
         || AnswerInvariants.isFinal(answers.lastStage(job.id()))
         || cluster.users.hasCancelled(job.id())
-        || !hasWaitingTask(job, held)
+        || !hasWaitingTask(job, heldTasks)
         || PlacementInvariants.exceedsQuota(
             job.team(), placements.usedCpus(job.team()) + job.cpus())) {
       return false;
     }
-    Map<String, Integer> counts = placements.countsByZone(job);
+    Map<String, Integer> tasksByZone = placements.countsByZone(job);
     return cluster.cloud.machines.values().stream()
-        .anyMatch(machine -> hasRoomFor(job, machine, counts));
+        .anyMatch(machine -> hasRoomFor(job, machine, tasksByZone));
   }
 
-  private boolean hasWaitingTask(SimulatedJob job, Set<String> held) {
+  private boolean hasWaitingTask(SimulatedJob job, Set<String> heldTasks) {
     for (int i = 0; i < job.tasks(); i++) {
       String task = job.task(i);
       if (placements.machinesOf(job, task).isEmpty()
           && !cluster.hasResult(task)
-          && !held.contains(task)) {
+          && !heldTasks.contains(task)) {
         return true;
       }
     }
@@ -125,16 +129,17 @@
   }
 
   private static boolean hasRoomFor(
-      SimulatedJob job, SimulatedWorker machine, Map<String, Integer> counts) {
+      SimulatedJob job, SimulatedWorker machine, Map<String, Integer> tasksByZone) {
     return machine.hasRoom(job.cpus())
         && PlacementInvariants.allows(job, machine)
-        && (!job.oneZone() || counts.isEmpty() || counts.containsKey(machine.zone))
-        && (!job.spread() || counts.getOrDefault(machine.zone, 0) < job.zoneLimit());
+        && (!job.oneZone() || tasksByZone.isEmpty() || tasksByZone.containsKey(machine.zone))
+        && (!job.spread() || tasksByZone.getOrDefault(machine.zone, 0) < job.zoneLimit());
   }
 
   /**
-   * Checks the end of a day: at least half of each team's and class's jobs are done, likewise of
-   * the largest (a tenth of all, one at least), which also begin within four minutes, faults aside.
+   * Checks the end of a simulated history: at least half of the jobs of each team and of each class
+   * are done, and at least half of the largest jobs (a tenth of all jobs, but at least one). Each
+   * of the largest jobs also has to start within four minutes, not counting the time of faults.
    */
   void checkFinalProgress() {
     Map<String, List<SimulatedJob>> groups = new HashMap<>();
@@ -150,7 +155,7 @@
     List<SimulatedJob> largest = all.subList(0, Math.min(all.size(), all.size() / 10 + 1));
     groups.put("largest", largest);
     groups.forEach(this::checkHalfDone);
-    largest.forEach(this::checkBegan);
+    largest.forEach(this::checkStartDelay);
   }
 
   private void checkHalfDone(String group, List<SimulatedJob> jobs) {
@@ -160,9 +165,9 @@
     }
   }
 
-  private void checkBegan(SimulatedJob job) {
-    long waitedMs = begunAfterMs.getOrDefault(job.id(), waitedMs(job));
-    if (waitedMs > LARGEST_BEGIN_WITHIN_MS) {
+  private void checkStartDelay(SimulatedJob job) {
+    long waitedMs = startDelaysMs.getOrDefault(job.id(), waitedMs(job));
+    if (waitedMs > MAX_START_DELAY_OF_LARGEST_MS) {
       violations.add(
           "unserved", job.id() + " is of the largest and began after " + waitedMs + " ms");
     }
--- a/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
@@ -6,42 +6,46 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Faults of one controller, one machine or the whole cluster, of which one is drawn at a time. */
+/** Faults of a controller, of a machine or of the whole cluster. One is drawn at random. */
 final class RandomFaults {
   private static final Logger LOG = LoggerFactory.getLogger(RandomFaults.class);
 
-  private static final long RESTART_MIN_MS = 3000;
-  private static final long RESTART_MAX_MS = 8000;
+  private static final long MIN_RESTART_MS = 3000;
+  private static final long MAX_RESTART_MS = 8000;
 
-  /** The order decides which fault a random number stands for. */
+  /** The order determines which fault a random number selects. */
   private static final List<Consumer<RandomFaults>> FAULTS =
       List.of(
           RandomFaults::restartController,
           RandomFaults::restartAllControllers,
-          RandomFaults::killControllerForLong,
-          RandomFaults::restartControllerAtOnce,
+          RandomFaults::killControllerForLongTime,
+          RandomFaults::restartControllerQuickly,
           RandomFaults::storeOutage,
           RandomFaults::partitionZones,
           RandomFaults::hangMachine,
           RandomFaults::loseMachine,
           RandomFaults::compactStore,
-          RandomFaults::refuseController,
+          RandomFaults::refuseStoreRequests,
           RandomFaults::reclaimSpotMachines,
-          RandomFaults::leaveControllerItsWorkersOnly,
+          RandomFaults::disconnectControllerFromStoreAndPeers,
           RandomFaults::isolateController,
-          RandomFaults::cutControllerFromWorkers,
-          RandomFaults::cutControllersFromEachOther,
+          RandomFaults::disconnectControllerFromWorkers,
+          RandomFaults::disconnectControllersFromEachOther,
           RandomFaults::slowStore,
           RandomFaults::blockMessagesToMachine,
-          RandomFaults::restartNewLeadersAgainAndAgain,
+          RandomFaults::restartNewLeadersRepeatedly,
           RandomFaults::freezeController,
-          RandomFaults::partitionZonesAmidRestarts,
+          RandomFaults::endPartitionsDuringRestarts,
           RandomFaults::failTasksOfMachine);
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
   private final List<SimulatedWorker> machines;
+
+  /** The machine that the fault affects; empty if there are no machines. */
   private final Optional<SimulatedWorker> machine;
+
+  /** The label of the controller that the fault affects. */
   private final String label;
 
   private RandomFaults(SimulatedCluster cluster) {
@@ -55,16 +59,16 @@
     this.label = cluster.labels().get((int) time.between(0, cluster.labels().size() - 1));
   }
 
-  /** Injects a fault now. */
+  /** Injects a randomly drawn fault now. */
   static void inject(SimulatedCluster cluster) {
     RandomFaults faults = new RandomFaults(cluster);
     int kind = (int) cluster.time.between(0, FAULTS.size() - 1);
     LOG.debug(
-        "{} ms: fault {} {} {}",
+        "{} ms: injecting fault {}, controller {}, machine {}",
         cluster.time.now(),
         kind,
         faults.label,
-        faults.machine.map(machine -> machine.id).orElse(""));
+        faults.machine.map(worker -> worker.id).orElse(""));
     FAULTS.get(kind).accept(faults);
   }
 
@@ -72,33 +76,35 @@
 
   private void restartController() {
     cluster.faults.note(10_000);
-    cluster.faults.kill(label, time.between(RESTART_MIN_MS, RESTART_MAX_MS));
+    cluster.faults.kill(label, time.between(MIN_RESTART_MS, MAX_RESTART_MS));
   }
 
   private void restartAllControllers() {
     cluster.faults.note(10_000);
     cluster
         .labels()
-        .forEach(one -> cluster.faults.kill(one, time.between(RESTART_MIN_MS, RESTART_MAX_MS)));
+        .forEach(
+            controller ->
+                cluster.faults.kill(controller, time.between(MIN_RESTART_MS, MAX_RESTART_MS)));
   }
 
-  private void killControllerForLong() {
+  private void killControllerForLongTime() {
     cluster.faults.note(60_000);
     cluster.faults.kill(label, time.between(40_000, 60_000));
   }
 
-  private void restartControllerAtOnce() {
+  private void restartControllerQuickly() {
     cluster.faults.note(10_000);
     cluster.faults.kill(label, time.between(50, 300));
   }
 
-  private void refuseController() {
-    long ms = time.between(5000, 70_000);
-    cluster.faults.note(ms);
-    cluster.faults.refuseStoreRequests(label, ms);
+  private void refuseStoreRequests() {
+    long durationMs = time.between(5000, 70_000);
+    cluster.faults.note(durationMs);
+    cluster.faults.refuseStoreRequests(label, durationMs);
   }
 
-  private void leaveControllerItsWorkersOnly() {
+  private void disconnectControllerFromStoreAndPeers() {
     disconnectController(Link.STORE, Link.PEERS);
   }
 
@@ -106,23 +112,23 @@
     disconnectController(Link.STORE, Link.PEERS, Link.WORKERS, Link.CLOUD, Link.USERS);
   }
 
-  private void cutControllerFromWorkers() {
+  private void disconnectControllerFromWorkers() {
     disconnectController(Link.WORKERS);
   }
 
   private void disconnectController(Link... links) {
-    long ms = time.between(5000, 70_000);
-    cluster.faults.note(ms);
-    cluster.faults.disconnect(label, ms, links);
+    long durationMs = time.between(5000, 70_000);
+    cluster.faults.note(durationMs);
+    cluster.faults.disconnect(label, durationMs, links);
   }
 
-  private void cutControllersFromEachOther() {
-    for (String one : cluster.labels()) {
-      cluster.faults.disconnect(one, time.between(5000, 40_000), Link.PEERS);
+  private void disconnectControllersFromEachOther() {
+    for (String controller : cluster.labels()) {
+      cluster.faults.disconnect(controller, time.between(5000, 40_000), Link.PEERS);
     }
   }
 
-  private void restartNewLeadersAgainAndAgain() {
+  private void restartNewLeadersRepeatedly() {
     cluster.faults.note(70_000);
     cluster.faults.kill(label, 60_000);
     for (String other : cluster.labels()) {
@@ -139,17 +145,17 @@
   }
 
   private void freezeController() {
-    long ms = time.between(1000, 70_000);
-    cluster.faults.note(ms);
-    cluster.faults.freeze(label, ms);
+    long durationMs = time.between(1000, 70_000);
+    cluster.faults.note(durationMs);
+    cluster.faults.freeze(label, durationMs);
   }
 
   // ---- key-value store and network
 
   private void storeOutage() {
-    long ms = time.between(5000, 40_000);
-    cluster.faults.note(ms);
-    cluster.store.outage(ms);
+    long durationMs = time.between(5000, 40_000);
+    cluster.faults.note(durationMs);
+    cluster.store.outage(durationMs);
   }
 
   private void compactStore() {
@@ -162,45 +168,48 @@
   }
 
   private void partitionZones() {
-    long ms = time.between(5000, 40_000);
-    cluster.faults.note(ms);
-    cluster.network.partition("a", "b", ms);
+    long durationMs = time.between(5000, 40_000);
+    cluster.faults.note(durationMs);
+    cluster.network.partition("a", "b", durationMs);
   }
 
-  /** All packets held by a partition arrive at once while controllers restart. */
-  private void partitionZonesAmidRestarts() {
-    long ms = time.between(20_000, 60_000);
-    cluster.faults.note(ms + 10_000);
-    cluster.network.partition("a", "b", ms);
-    cluster.network.partition("b", ClusterLayout.REGIONAL, ms);
+  /** All messages that a partition has held back arrive at once while the controllers restart. */
+  private void endPartitionsDuringRestarts() {
+    long durationMs = time.between(20_000, 60_000);
+    cluster.faults.note(durationMs + 10_000);
+    cluster.network.partition("a", "b", durationMs);
+    cluster.network.partition("b", ClusterLayout.REGIONAL, durationMs);
     time.after(
-        ms - 500,
-        () -> cluster.labels().forEach(one -> cluster.faults.kill(one, time.between(50, 400))));
+        durationMs - 500,
+        () ->
+            cluster
+                .labels()
+                .forEach(controller -> cluster.faults.kill(controller, time.between(50, 400))));
   }
 
   // ---- machines
 
   private void hangMachine() {
-    machine.ifPresent(one -> one.faults.hang(time.between(5000, 40_000)));
+    machine.ifPresent(worker -> worker.faults.hang(time.between(5000, 40_000)));
   }
 
   private void blockMessagesToMachine() {
-    machine.ifPresent(one -> one.faults.blockIncoming(time.between(5000, 70_000)));
+    machine.ifPresent(worker -> worker.faults.blockIncoming(time.between(5000, 70_000)));
   }
 
   private void failTasksOfMachine() {
-    machine.ifPresent(one -> one.faults.failTasks());
+    machine.ifPresent(worker -> worker.faults.failTasks());
   }
 
   private void loseMachine() {
     machine.ifPresent(SimulatedWorker::die);
   }
 
-  /** The cloud takes many spot machines back without notice. */
+  /** The cloud reclaims many spot machines without notice. */
   private void reclaimSpotMachines() {
-    for (SimulatedWorker one : machines) {
-      if (one.spot && time.chance(0.6)) {
-        cluster.cloud.remove(one.id);
+    for (SimulatedWorker worker : machines) {
+      if (worker.spot && time.chance(0.6)) {
+        cluster.cloud.remove(worker.id);
       }
     }
   }
--- a/src/test/java/org/fieldtrestle/simulation/Scenarios.java
+++ b/src/test/java/org/fieldtrestle/simulation/Scenarios.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 
-/** Steps that tests on simulated clusters have in common. */
+/** Steps and assertions that tests of simulated clusters share. */
 final class Scenarios {
   private static final long SEED = 23;
 
@@ -20,7 +20,7 @@
     cluster.users.submit(id, job -> job.tasks(tasks).runMs(runMs));
   }
 
-  /** Submits equal jobs, whose identifiers count from {@code job-0}. */
+  /** Submits equal jobs with consecutive identifiers from {@code job-0}. */
   static void submitJobs(SimulatedCluster cluster, int count, int tasks, long runMs) {
     for (int i = 0; i < count; i++) {
       submit(cluster, "job-" + i, tasks, runMs);
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Checks that users were told that so many jobs from {@code job-0} on are done. */
+  /** Checks that users were told that this number of jobs, from {@code job-0} on, are done. */
   static void assertJobsDone(SimulatedCluster cluster, int count) {
     for (int i = 0; i < count; i++) {
       assertDone(cluster, "job-" + i);
--- a/src/test/java/org/fieldtrestle/simulation/StepObserver.java
+++ b/src/test/java/org/fieldtrestle/simulation/StepObserver.java
@@ -5,15 +5,20 @@
 import org.fieldtrestle.simulation.SteppedCluster.Step;
 import org.fieldtrestle.simulation.SteppedCluster.StepKind;
 
-/** Counts the messages of a cluster as steps, and asks a listener what becomes of each. */
+/**
+ * Counts the messages of a cluster as steps, and asks a listener for the effect on each message.
+ */
 final class StepObserver implements MessageObserver {
-  /** By how much a message is held back, within the time-out of a request to the store. */
+  /** How long a late message is held back; shorter than the timeout of a request to the store. */
   static final long LATE_MS = 1200;
 
-  /** Far more than any scenario has: a run that grows without bound is ended. */
+  /** Ends a run that grows without bound. Far more steps than any scenario has. */
   private static final int MAX_STEPS = 400_000;
 
-  /** The kinds of records that a transaction may write, the most telling first. */
+  /**
+   * The kinds of records that a transaction may write. A transaction that writes several kinds is
+   * named after the first of them in this list.
+   */
   private static final List<String> RECORD_KINDS =
       List.of("final", "master", "roster", "quota", "range", "job");
 
@@ -26,7 +31,7 @@
     this.listener = listener;
   }
 
-  /** How many steps there were so far. */
+  /** Returns the number of steps so far. */
   int count() {
     return count;
   }
@@ -67,7 +72,7 @@
     };
   }
 
-  /** The kind of a request to the store; of a transaction, what it is for. */
+  /** Returns the path of a request to the store, and for a transaction the kind of its records. */
   private static String detail(String path, byte[] body) {
     if (!path.equals("/commit")) {
       int end = path.indexOf('?');
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -4,21 +4,22 @@
 import java.util.List;
 
 /**
- * A simulated cluster whose messages are counted as steps. Before each step somebody is told of it,
- * who may decide what becomes of the message, or do something to the cluster at just this point.
+ * A simulated cluster whose messages are counted as steps. A {@link Listener} is called before each
+ * step; it decides the effect on the message, and may inject a fault into the cluster at this
+ * point.
  *
- * <p>The same seed, user actions and interventions give the same steps.
+ * <p>The same seed, user actions and faults give the same steps.
  */
 public final class SteppedCluster {
-  /** What a step is. */
+  /** What happens in a step. */
   public enum StepKind {
-    /** A controller sends a transaction, a watch, a lease request or a reading of a page. */
+    /** A controller sends the key-value store a transaction, a watch, a lease request or a read. */
     STORE_REQUEST,
-    /** The answer to one is about to reach the controller. */
+    /** The answer to a request to the key-value store is about to reach the controller. */
     STORE_ANSWER,
     /** A controller sends a direct command to a worker. */
     COMMAND,
-    /** The answer to one is about to reach the controller. */
+    /** The answer to a direct command is about to reach the controller. */
     COMMAND_ANSWER,
     /** A worker's heartbeat is about to reach a controller. */
     HEARTBEAT,
@@ -29,10 +30,12 @@
   }
 
   /**
-   * One message at one end of its way.
+   * A message that is sent or is about to be received.
    *
-   * @param number counts from 0
-   * @param detail what kind of request it is, as a path or as what a transaction writes
+   * @param number the number of the step, counted from 0
+   * @param atMs the simulated time
+   * @param controller the label of the controller that sends or receives the message
+   * @param detail the path of the request, and for a transaction the kind of its records
    */
   public record Step(int number, long atMs, String controller, StepKind kind, String detail) {
     @Override
@@ -41,26 +44,27 @@
     }
   }
 
-  /** What becomes of the message of a step. */
+  /** What happens to the message of a step. */
   public enum Effect {
-    /** It goes on. */
+    /** The message is delivered as usual. */
     NONE,
-    /** It is lost; its sender gives up after the usual time. */
+    /** The message is lost; its sender gives up after the usual timeout. */
     LOST,
-    /** It is held back within the time-out of a request to the key-value store. */
+    /** The message is held back for less than the timeout of a request to the key-value store. */
     LATE
   }
 
-  /** Told of each step before it takes place. */
+  /** Called before each step. */
   public interface Listener {
+    /** Returns what happens to the message of the step. */
     Effect before(Step step);
   }
 
   private final SimulatedCluster cluster;
-  private final StepObserver steps;
+  private final StepObserver observer;
 
   /**
-   * @param machines how many the cloud can give
+   * @param machines how many machines the cloud can rent out
    */
   public SteppedCluster(long seed, int machines, Listener listener) {
     this.cluster =
@@ -69,11 +73,11 @@
             .machines(machines)
             .deployment(Deployment.timberFleet())
             .start();
-    this.steps = new StepObserver(cluster.time, listener);
-    cluster.observeMessages(steps);
+    this.observer = new StepObserver(cluster.time, listener);
+    cluster.observeMessages(observer);
   }
 
-  /** A run that had more steps than any should have. */
+  /** Thrown when a run has more steps than any scenario needs. */
   public static final class StepLimitExceeded extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -82,51 +86,51 @@
     }
   }
 
-  // ---- time and figures
+  // ---- time and limits
 
-  /** Simulated time. */
+  /** Returns the simulated time. */
   public long nowMs() {
     return cluster.time.now();
   }
 
-  /** Runs the simulation until a time. */
-  public void runUntil(long ms) {
-    cluster.time.runUntil(ms);
+  /** Runs the simulation until a simulated time. */
+  public void runUntil(long timeMs) {
+    cluster.time.runUntil(timeMs);
   }
 
-  /** Does something at a time. */
-  public void at(long ms, Runnable action) {
-    cluster.time.after(ms - cluster.time.now(), action);
+  /** Schedules an action at a simulated time. */
+  public void at(long timeMs, Runnable action) {
+    cluster.time.after(timeMs - cluster.time.now(), action);
   }
 
-  /** How many steps there were so far. */
+  /** Returns the number of steps so far. */
   public int stepCount() {
-    return steps.count();
+    return observer.count();
   }
 
-  /** The workers' lease. */
+  /** Returns the length of the lease of a worker. */
   public long workerLeaseMs() {
     return cluster.leaseMs;
   }
 
-  /** How long after a cancellation tasks may run. */
+  /** Returns how long tasks may still run after a cancellation was confirmed. */
   public long cancelMs() {
     return cluster.cancelMs;
   }
 
-  /** The label of a controller. */
+  /** Returns the label of a controller by its number. */
   public static String controller(int number) {
     return ClusterLayout.LABELS.get(number % ClusterLayout.LABELS.size());
   }
 
   // ---- users
 
-  /** Submits a job of equal tasks, until it is accepted. */
+  /** Submits a job of equal tasks, and repeats the submission until the job is accepted. */
   public void submit(String id, int tasks, double cpus, long runMs) {
     submit(id, tasks, cpus, runMs, false);
   }
 
-  /** A job of which at most half may be in one zone. */
+  /** Submits a job of equal tasks of which at most half may run in the same zone. */
   public void submitSpread(String id, int tasks, double cpus, long runMs) {
     submit(id, tasks, cpus, runMs, true);
   }
@@ -142,14 +146,14 @@
         });
   }
 
-  /** The submission of a job that was accepted, repeated at some controller; else nothing. */
+  /** Repeats the submission of a job at some controller, if the job was accepted before. */
   public void submitAgain(String id) {
     if (cluster.invariants.isAccepted(id)) {
       cluster.users.submitAgain(cluster.jobs.get(id));
     }
   }
 
-  /** Cancels a job at any controller, until that is confirmed. */
+  /** Cancels a job at some controller, and repeats the request until it is confirmed. */
   public void cancel(String id) {
     cluster.users.cancel(cluster.jobs.get(id));
   }
@@ -160,74 +164,74 @@
     cluster.users.cancelAt(cluster.leaderOf(job), job);
   }
 
-  /** Asks about a job once. */
+  /** Queries a job once. */
   public void ask(String id) {
     cluster.users.ask(id);
   }
 
-  // ---- faults; each is noted, so that checks allow for its time
+  // ---- faults; each is recorded, so that the checks allow for its duration
 
-  /** For a while the key-value store answers nobody. */
-  public void storeOutage(long ms) {
-    cluster.faults.note(ms);
-    cluster.store.outage(ms);
+  /** Makes the key-value store unavailable for a time. */
+  public void storeOutage(long durationMs) {
+    cluster.faults.note(durationMs);
+    cluster.store.outage(durationMs);
   }
 
-  /** For a while the key-value store refuses one controller. */
-  public void refuseController(String controller, long ms) {
-    cluster.faults.note(ms);
-    cluster.faults.refuseStoreRequests(controller, ms);
+  /** Makes the key-value store refuse all requests of one controller for a time. */
+  public void refuseStoreRequests(String controller, long durationMs) {
+    cluster.faults.note(durationMs);
+    cluster.faults.refuseStoreRequests(controller, durationMs);
   }
 
-  /** For a while a controller reaches neither the key-value store nor its peers. */
-  public void disconnectFromStoreAndPeers(String controller, long ms) {
-    cluster.faults.note(ms);
-    cluster.faults.disconnect(controller, ms, Link.STORE, Link.PEERS);
+  /** Cuts off a controller from the key-value store and from the other controllers for a time. */
+  public void disconnectFromStoreAndPeers(String controller, long durationMs) {
+    cluster.faults.note(durationMs);
+    cluster.faults.disconnect(controller, durationMs, Link.STORE, Link.PEERS);
   }
 
-  /** For a while a controller and all workers do not reach each other. */
-  public void disconnectFromWorkers(String controller, long ms) {
-    cluster.faults.note(ms);
-    cluster.faults.disconnect(controller, ms, Link.WORKERS);
+  /** Cuts off a controller from all workers for a time. */
+  public void disconnectFromWorkers(String controller, long durationMs) {
+    cluster.faults.note(durationMs);
+    cluster.faults.disconnect(controller, durationMs, Link.WORKERS);
   }
 
-  /** For a while the key-value store is slow. */
-  public void slowStore(long ms) {
-    cluster.faults.note(ms);
-    cluster.network.slow(ClusterLayout.STORE_ADDRESS, StepObserver.LATE_MS / 2, ms);
+  /** Makes the key-value store slow for a time. */
+  public void slowStore(long durationMs) {
+    cluster.faults.note(durationMs);
+    cluster.network.slow(ClusterLayout.STORE_ADDRESS, StepObserver.LATE_MS / 2, durationMs);
   }
 
-  /** For a while transactions get no answer and are executed late. */
-  public void executeTransactionsLate(long ms) {
-    cluster.faults.note(ms + 12_000);
+  /** Makes transactions get no answer and be executed late for a time. */
+  public void executeTransactionsLate(long durationMs) {
+    cluster.faults.note(durationMs + 12_000);
     cluster.store.delayCommits(1);
-    cluster.time.after(ms, () -> cluster.store.delayCommits(0));
+    cluster.time.after(durationMs, () -> cluster.store.delayCommits(0));
   }
 
-  /** A controller stands still for a while. */
-  public void freeze(String controller, long ms) {
-    cluster.faults.note(ms);
-    cluster.faults.freeze(controller, ms);
+  /** Freezes a controller for a time. */
+  public void freeze(String controller, long durationMs) {
+    cluster.faults.note(durationMs);
+    cluster.faults.freeze(controller, durationMs);
   }
 
-  /** Ends a controller process; another one starts after some time. */
-  public void kill(String controller, long backAfterMs) {
-    cluster.faults.note(backAfterMs + 10_000);
-    cluster.faults.kill(controller, backAfterMs);
+  /** Ends a controller process, and starts a new one after the given time. */
+  public void kill(String controller, long restartAfterMs) {
+    cluster.faults.note(restartAfterMs + 10_000);
+    cluster.faults.kill(controller, restartAfterMs);
   }
 
-  /** Notes that messages were lost or late for a while. */
-  public void noteFault(long ms) {
-    cluster.faults.note(ms);
+  /** Records that messages are lost or late for a time. */
+  public void noteFault(long durationMs) {
+    cluster.faults.note(durationMs);
   }
 
-  /** The machines with tasks of a job hang for a while. */
-  public void hangMachinesOf(String job, long ms) {
-    cluster.faults.note(ms);
-    machinesOf(job).forEach(machine -> machine.faults.hang(ms));
+  /** Makes the machines that hold tasks of a job hang for a time. */
+  public void hangMachinesOf(String job, long durationMs) {
+    cluster.faults.note(durationMs);
+    machinesOf(job).forEach(machine -> machine.faults.hang(durationMs));
   }
 
-  /** The machines with tasks of a job are lost. */
+  /** Removes the machines that hold tasks of a job. */
   public void loseMachinesOf(String job) {
     machinesOf(job).forEach(machine -> cluster.cloud.remove(machine.id));
   }
@@ -245,24 +249,27 @@
     return machines;
   }
 
-  // ---- what users see
+  // ---- results
 
-  /** Until when faults that were noted go on. */
+  /** Returns when the last of the recorded faults ends. */
   public long faultsEndMs() {
     return cluster.faults.endMs();
   }
 
-  /** The rules broken so far, in the order in which they were. */
+  /** Returns the violations found so far, in the order in which they were found. */
   public List<String> violations() {
     return List.copyOf(cluster.invariants.violations());
   }
 
-  /** How long after a confirmed cancellation the latest start was ordered; 0 where none was. */
+  /**
+   * Returns the longest time between a confirmed cancellation and a later start command, or 0 if
+   * there was no such command.
+   */
   public long latestStartCommandAfterCancellationMs() {
     return cluster.invariants.latestStartCommandAfterCancellationMs();
   }
 
-  /** The jobs whose users have not been told of their end. */
+  /** Returns the jobs of which users were not told that they have ended. */
   public List<String> unfinishedJobs() {
     return cluster.jobs.keySet().stream()
         .filter(id -> !cluster.invariants.hasEnded(id))
--- a/src/test/java/org/fieldtrestle/simulation/TaskPlacements.java
+++ b/src/test/java/org/fieldtrestle/simulation/TaskPlacements.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The machines that each task is on, and the CPUs that each team uses. */
+/** The machines on which each task runs, and the CPUs that each team uses. */
 final class TaskPlacements {
   private final SimulatedCluster cluster;
 
-  /** The machines of each task, by job; without tasks that are nowhere. */
+  /** The machines of each running task, by job and task. */
   private final Map<String, Map<String, Set<String>>> machinesByTaskByJob = new HashMap<>();
 
   private final Map<String, Double> usedCpusByTeam = new HashMap<>();
@@ -30,17 +30,17 @@
   }
 
   void remove(SimulatedJob job, String task, String machine) {
-    Map<String, Set<String>> ofJob = machinesByTaskByJob.getOrDefault(job.id(), Map.of());
-    Set<String> machines = ofJob.getOrDefault(task, Set.of());
+    Map<String, Set<String>> machinesByTask = machinesByTaskByJob.getOrDefault(job.id(), Map.of());
+    Set<String> machines = machinesByTask.getOrDefault(task, Set.of());
     if (!machines.contains(machine)) {
       return;
     }
     machines.remove(machine);
     usedCpusByTeam.merge(job.team(), -job.cpus(), Double::sum);
     if (machines.isEmpty()) {
-      ofJob.remove(task);
+      machinesByTask.remove(task);
     }
-    if (ofJob.isEmpty()) {
+    if (machinesByTask.isEmpty()) {
       machinesByTaskByJob.remove(job.id());
     }
   }
@@ -49,7 +49,7 @@
     return machinesByTaskByJob.getOrDefault(job.id(), Map.of()).getOrDefault(task, Set.of());
   }
 
-  /** How many tasks of a job are in each zone. */
+  /** Returns the number of running tasks of a job in each zone. */
   Map<String, Integer> countsByZone(SimulatedJob job) {
     Map<String, Integer> counts = new HashMap<>();
     for (Set<String> machines : machinesByTaskByJob.getOrDefault(job.id(), Map.of()).values()) {
@@ -58,8 +58,8 @@
     return counts;
   }
 
-  /** How many tasks of a job are on machines. */
-  int countOf(String jobId) {
+  /** Returns the number of running tasks of a job; a task on two machines counts twice. */
+  int taskCount(String jobId) {
     int count = 0;
     for (Set<String> machines : machinesByTaskByJob.getOrDefault(jobId, Map.of()).values()) {
       count += machines.size();
@@ -71,8 +71,8 @@
     return usedCpusByTeam.getOrDefault(team, 0.0);
   }
 
-  /** Calls back with every task that is on a machine. */
+  /** Calls the action with each running task. */
   void forEachTask(Consumer<String> action) {
-    machinesByTaskByJob.values().forEach(ofJob -> ofJob.keySet().forEach(action));
+    machinesByTaskByJob.values().forEach(machinesByTask -> machinesByTask.keySet().forEach(action));
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -10,15 +10,15 @@
 import org.fieldtrestle.transport.Http;
 
 /**
- * Users who ask about every accepted job, and the longest spell for which one of them got no
- * answer.
+ * Simulates users who query every accepted job, and records the longest time for which users got no
+ * answer about a job.
  *
- * <p>A user keeps the connection to a controller for as long as that controller answers at all and
- * calls itself ready, as the load balancer moves no open connection. Questions at every controller
- * come on top, and repeated submissions at random ones.
+ * <p>A user keeps the connection to a controller as long as the controller answers and reports that
+ * it is ready, because the load balancer does not move open connections. In addition, each job is
+ * queried and submitted again at every controller.
  */
 final class UserAnswerLog {
-  /** A job that cannot be asked about for so long counts as forgotten, once all faults are over. */
+  /** A job counts as forgotten if, once all faults are over, users get no answer for this long. */
   static final long MAX_UNANSWERED_MS = 75_000;
 
   private static final long QUERY_INTERVAL_MS = 5000;
@@ -26,14 +26,18 @@
   private static final long SUBMISSION_TIMEOUT_MS = 5000;
   private static final long QUERY_INTERVAL_PER_CONTROLLER_MS = 20_000;
 
-  /** The longest spell of a job without an answer. */
+  /**
+   * A time during which users got no answer about a job.
+   *
+   * @param ms how long it lasted, counted from the end of the faults at the earliest
+   */
   record Spell(String job, long ms, long endedAtMs) {}
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
   private final Set<String> acceptedJobs = new HashSet<>();
 
-  /** When the first of the questions about a job was asked that have had no answer since. */
+  /** When the first query about a job since its last answer was sent, by job. */
   private final Map<String, Long> unansweredSinceMs = new HashMap<>();
 
   private final Set<String> endedJobs = new HashSet<>();
@@ -49,12 +53,12 @@
     return longestUnanswered;
   }
 
-  /** How many questions got each status; 0 stands for those without an answer. */
+  /** Returns the number of answers by status; 0 stands for requests without an answer. */
   Map<Integer, Integer> answersByStatus() {
     return answersByStatus;
   }
 
-  /** How many jobs have been told to be done or cancelled. */
+  /** Returns the number of jobs that users were told are done or cancelled. */
   int endedJobs() {
     return endedJobs.size();
   }
@@ -63,7 +67,7 @@
     return acceptedJobs.size();
   }
 
-  /** Submits a job until it is accepted, then asks about it. */
+  /** Submits a job until it is accepted, and then queries it. */
   void submit(SimulatedJob job) {
     submit(job, anyReadyController());
   }
@@ -97,7 +101,7 @@
     }
   }
 
-  /** Calls a job off, again and again until that is confirmed. */
+  /** Cancels a job, and repeats the request until the cancellation is confirmed. */
   void cancel(SimulatedJob job) {
     cluster.users.noteCancellation(job.id());
     sendPost(
@@ -131,7 +135,7 @@
         });
   }
 
-  /** A user's question; the next goes to the same controller while that holds the connection. */
+  /** Queries a job until it ends, at the same controller as long as its connection is kept. */
   private void poll(SimulatedJob job, String label) {
     long sentAtMs = time.now();
     sendQuery(
@@ -148,7 +152,10 @@
         });
   }
 
-  /** Asks at one controller whatever the user heard, at last once more after the job's end. */
+  /**
+   * Queries a job at one controller, whatever users were told elsewhere; for the last time after
+   * they were told of its end.
+   */
   private void pollAt(SimulatedJob job, String label) {
     long sentAtMs = time.now();
     boolean afterEnd = endedJobs.contains(job.id());
@@ -192,7 +199,7 @@
     return candidates.get((int) time.between(0, candidates.size() - 1));
   }
 
-  /** A submission or a cancellation. */
+  /** Sends a submission or a cancellation. */
   private void sendPost(String label, String path, byte[] body, Consumer<Http.Response> done) {
     sendRequest(label, "POST", path, body, SUBMISSION_TIMEOUT_MS, done);
   }
@@ -201,7 +208,7 @@
     sendRequest(label, "GET", "/v2/runs/" + job.id(), Http.Response.EMPTY, QUERY_TIMEOUT_MS, done);
   }
 
-  /** A request whose answer counts only within some time; status 0 stands for none. */
+  /** Sends a request; without an answer within the timeout, the callback gets the status 0. */
   private void sendRequest(
       String label,
       String method,
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaults.java
@@ -1,6 +1,6 @@
 package org.fieldtrestle.simulation;
 
-/** The faults of one simulated machine. */
+/** The faults that tests inject into one simulated machine. */
 final class WorkerFaults {
   private final SimulatedTime time;
   private boolean failingTasks;
@@ -15,51 +15,51 @@
     this.time = time;
   }
 
-  /** The machine stands still for a while; what reaches it is taken in afterwards. */
-  void hang(long ms) {
-    hangUntilMs = time.now() + ms;
+  /** Makes the machine hang for a time; it handles what arrives in the meantime afterwards. */
+  void hang(long durationMs) {
+    hangUntilMs = time.now() + durationMs;
   }
 
   boolean isHanging() {
     return time.now() < hangUntilMs;
   }
 
-  /** For how long the machine goes on hanging. */
+  /** Returns how much longer the machine hangs. */
   long remainingHangMs() {
     return hangUntilMs - time.now();
   }
 
-  /** For a while the machine's heartbeats leave, but nothing reaches it. */
-  void blockIncoming(long ms) {
-    incomingBlockedUntilMs = time.now() + ms;
+  /** Blocks everything that is sent to the machine for a time; its heartbeats still leave. */
+  void blockIncoming(long durationMs) {
+    incomingBlockedUntilMs = time.now() + durationMs;
   }
 
   boolean isIncomingBlocked() {
     return time.now() < incomingBlockedUntilMs;
   }
 
-  /** For a while the machine reaches no controller, while direct commands reach it. */
-  void blockHeartbeats(long ms) {
-    heartbeatsBlockedUntilMs = time.now() + ms;
+  /** Blocks the heartbeats of the machine for a time; direct commands still reach it. */
+  void blockHeartbeats(long durationMs) {
+    heartbeatsBlockedUntilMs = time.now() + durationMs;
   }
 
   boolean areHeartbeatsBlocked() {
     return time.now() < heartbeatsBlockedUntilMs;
   }
 
-  /** For a while the machine does not reach one controller, which still reaches it. */
-  void disconnect(String label, long ms) {
+  /** Blocks the heartbeats to one controller for a time; its commands still reach the machine. */
+  void disconnect(String label, long durationMs) {
     unreachableController = label;
-    unreachableUntilMs = time.now() + ms;
+    unreachableUntilMs = time.now() + durationMs;
   }
 
-  /** Whether the machine's heartbeats reach a controller. */
+  /** Whether the heartbeats of the machine reach a controller. */
   boolean canReach(String label) {
     return !areHeartbeatsBlocked()
         && !(label.equals(unreachableController) && time.now() < unreachableUntilMs);
   }
 
-  /** From now on all tasks on the machine fail. */
+  /** Makes all tasks on the machine fail from now on. */
   void failTasks() {
     failingTasks = true;
   }
@@ -68,7 +68,7 @@
     return failingTasks;
   }
 
-  /** From now on tasks on the machine take so many times longer. */
+  /** Makes tasks on the machine take longer by this factor from now on. */
   void slowDown(int factor) {
     slowdownFactor = factor;
   }
--- a/src/test/java/org/fieldtrestle/simulation/search/Fault.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Fault.java
@@ -74,7 +74,7 @@
       case MESSAGE_LOST, MESSAGE_LATE -> cluster.noteFault(MISSED_MS);
       case TRANSACTIONS_LATE -> cluster.executeTransactionsLate(MOMENT_MS);
       case STATE_OUTAGE, STATE_OUTAGE_LOSING_ANSWERS -> cluster.storeOutage(lengthMs);
-      case CONTROLLER_REFUSED -> cluster.refuseController(controller, lengthMs);
+      case CONTROLLER_REFUSED -> cluster.refuseStoreRequests(controller, lengthMs);
       case CONTROLLER_CUT_OFF -> cluster.disconnectFromStoreAndPeers(controller, lengthMs);
       case CONTROLLER_WITHOUT_WORKERS -> cluster.disconnectFromWorkers(controller, lengthMs);
       case WATCHES_LOST -> cluster.noteFault(lengthMs);
