--- a/src/test/java/org/fieldtrestle/simulation/search/Fault.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Fault.java
@@ -5,46 +5,49 @@
 import org.fieldtrestle.simulation.SteppedCluster.Step;
 import org.fieldtrestle.simulation.SteppedCluster.StepKind;
 
-/** What can be done to the cluster before a step. */
+/** The faults that a search can inject into the cluster before a step. */
 enum Fault {
   /** The message of the step is lost. */
   MESSAGE_LOST(false),
-  /** The message of the step is held back within its time-out. */
+  /** The message of the step is held back for less than its timeout. */
   MESSAGE_LATE(false),
-  /** Transactions sent within the next moment get no answer and are executed late. */
+  /** Transactions that are sent within {@link #MOMENT_MS} get no answer and are executed late. */
   TRANSACTIONS_LATE(false),
-  /** The key-value store refuses everybody. */
+  /** The key-value store is unavailable. */
   STATE_OUTAGE(true),
-  /** The key-value store refuses everybody, and its answers on their way to anybody are lost. */
+  /** The key-value store is unavailable, and its answers that are on their way are lost. */
   STATE_OUTAGE_LOSING_ANSWERS(true),
-  /** The key-value store refuses the controller of the step. */
+  /** The key-value store refuses all requests of the controller of the step. */
   CONTROLLER_REFUSED(true),
-  /** The controller reaches neither the key-value store nor the other controllers. */
+  /** The controller is cut off from the key-value store and from the other controllers. */
   CONTROLLER_CUT_OFF(true),
-  /** The controller and all workers do not reach each other. */
+  /** The controller cannot reach any worker, and no worker can reach the controller. */
   CONTROLLER_WITHOUT_WORKERS(true),
-  /** No watch of the controller is answered. */
+  /** All answers to watches of the controller are lost. */
   WATCHES_LOST(true),
   /** The key-value store is slow. */
   STATE_SLOW(true),
-  /** The controller stands still while its clocks run on. */
+  /** The controller freezes while its clocks run on. */
   CONTROLLER_FROZEN(true),
-  /** The controller ends, and is back after a while. */
+  /** The controller process ends, and a new one starts after the length of the fault. */
   CONTROLLER_ENDS(true),
-  /** The controller ends, and is back within a fraction of a second. */
+  /** The controller process ends, and a new one starts within a fraction of a second. */
   CONTROLLER_RESTARTS(false),
-  /** The machines with tasks of the scenario's first job hang. */
+  /** The machines that hold tasks of the first job of the scenario hang. */
   MACHINES_HANG(true),
-  /** The machines with tasks of the scenario's first job are lost. */
+  /** The machines that hold tasks of the first job of the scenario are lost. */
   MACHINES_LOST(false);
 
-  /** For how long answers on their way are lost, and transactions are executed late, in ms. */
+  /** How long answers that are on their way are lost, and transactions are executed late. */
   private static final long MOMENT_MS = 100;
 
-  /** A lost watch is given up after about so long, and nothing is heard by it until then, in ms. */
-  private static final long MISSED_MS = 12_000;
+  /**
+   * How long a lost message can affect a controller: about the time after which it gives up a lost
+   * watch. It receives no changes through the watch until then.
+   */
+  private static final long LOST_MESSAGE_EFFECT_MS = 12_000;
 
-  private static final long BACK_AT_ONCE_MS = 200;
+  private static final long QUICK_RESTART_MS = 200;
 
   private final boolean hasLength;
 
@@ -52,12 +55,12 @@
     this.hasLength = hasLength;
   }
 
-  /** Whether it goes on for a length of time that is to be chosen. */
+  /** Whether the search chooses how long the fault lasts. */
   boolean hasLength() {
     return hasLength;
   }
 
-  /** Whether placing it before a step of this kind makes sense. */
+  /** Whether the fault can have an effect before this step. */
   boolean appliesTo(Step step) {
     return switch (this) {
       case MESSAGE_LOST, MESSAGE_LATE -> step.kind() != StepKind.CLOUD_ANSWER;
@@ -67,11 +70,11 @@
     };
   }
 
-  /** Begins the fault before a step; returns what becomes of the step's own message. */
+  /** Begins the fault before a step, and returns what happens to the message of this step. */
   Effect inject(SteppedCluster cluster, Step step, long lengthMs) {
     String controller = step.controller();
     switch (this) {
-      case MESSAGE_LOST, MESSAGE_LATE -> cluster.noteFault(MISSED_MS);
+      case MESSAGE_LOST, MESSAGE_LATE -> cluster.noteFault(LOST_MESSAGE_EFFECT_MS);
       case TRANSACTIONS_LATE -> cluster.executeTransactionsLate(MOMENT_MS);
       case STATE_OUTAGE, STATE_OUTAGE_LOSING_ANSWERS -> cluster.storeOutage(lengthMs);
       case CONTROLLER_REFUSED -> cluster.refuseStoreRequests(controller, lengthMs);
@@ -81,7 +84,7 @@
       case STATE_SLOW -> cluster.slowStore(lengthMs);
       case CONTROLLER_FROZEN -> cluster.freeze(controller, lengthMs);
       case CONTROLLER_ENDS -> cluster.kill(controller, lengthMs);
-      case CONTROLLER_RESTARTS -> cluster.kill(controller, BACK_AT_ONCE_MS);
+      case CONTROLLER_RESTARTS -> cluster.kill(controller, QUICK_RESTART_MS);
       case MACHINES_HANG -> cluster.hangMachinesOf(Scenario.FIRST_JOB, lengthMs);
       case MACHINES_LOST -> cluster.loseMachinesOf(Scenario.FIRST_JOB);
     }
@@ -92,20 +95,25 @@
     };
   }
 
-  /** What becomes of a later message while the fault goes on, beyond what the cluster does. */
-  Effect effectOn(Step begun, Step later, long lengthMs) {
-    long since = later.atMs() - begun.atMs();
-    boolean answer = later.kind() == StepKind.STORE_ANSWER;
-    boolean lost =
+  /**
+   * Returns what happens to the message of a later step because of this fault, apart from what the
+   * cluster itself does to messages during the fault.
+   *
+   * @param firstStep the step before which the fault began
+   */
+  Effect effectOn(Step firstStep, Step laterStep, long lengthMs) {
+    long sinceMs = laterStep.atMs() - firstStep.atMs();
+    boolean isStoreAnswer = laterStep.kind() == StepKind.STORE_ANSWER;
+    boolean isLost =
         switch (this) {
-          case STATE_OUTAGE_LOSING_ANSWERS -> answer && since <= MOMENT_MS;
+          case STATE_OUTAGE_LOSING_ANSWERS -> isStoreAnswer && sinceMs <= MOMENT_MS;
           case WATCHES_LOST ->
-              answer
-                  && since <= lengthMs
-                  && later.controller().equals(begun.controller())
-                  && later.detail().equals("/watch");
+              isStoreAnswer
+                  && sinceMs <= lengthMs
+                  && laterStep.controller().equals(firstStep.controller())
+                  && laterStep.detail().equals("/watch");
           default -> false;
         };
-    return lost ? Effect.LOST : Effect.NONE;
+    return isLost ? Effect.LOST : Effect.NONE;
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/search/FaultPlacement.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/FaultPlacement.java
@@ -1,10 +1,10 @@
 package org.fieldtrestle.simulation.search;
 
 /**
- * A fault before a step of a run.
+ * A fault that is injected before a step of a run.
  *
  * @param step the number of the step, counted from 0
- * @param lengthMs for how long it goes on; 0 where the fault has no length
+ * @param lengthMs how long the fault lasts; 0 if it has no length
  */
 record FaultPlacement(int step, Fault fault, long lengthMs) {
   @Override
--- a/src/test/java/org/fieldtrestle/simulation/search/Finding.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Finding.java
@@ -10,12 +10,12 @@
 import java.util.List;
 
 /**
- * A run that broke a rule, as it is written to a file and played again from there.
+ * A run that violated an invariant. A finding can be written to a file and run again from there.
  *
- * @param version of this form of file
- * @param scenario its printed name
- * @param faultSteps the steps before which the faults were placed, for the reader
- * @param broken what was broken, for the reader
+ * @param version the version of the file format
+ * @param scenario the printed name of the scenario
+ * @param faultSteps the steps before which the faults were placed, as information for the reader
+ * @param broken the violations, as information for the reader
  */
 record Finding(
     int version,
@@ -33,20 +33,20 @@
           .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
 
   static Finding of(Scenario scenario, long seed, List<FaultPlacement> placements) {
-    ScenarioRun run = new ScenarioRun(scenario, seed, placements);
-    ScenarioRun.Result result = run.play();
+    ScenarioRun scenarioRun = new ScenarioRun(scenario, seed, placements);
+    ScenarioRun.Result result = scenarioRun.run();
     return new Finding(
         VERSION,
         scenario.printedName(),
         seed,
         placements,
-        run.faultSteps().stream().map(Object::toString).toList(),
-        result.broken());
+        scenarioRun.faultSteps().stream().map(Object::toString).toList(),
+        result.violations());
   }
 
-  /** Plays it again. */
+  /** Runs the scenario with the same seed and faults again. */
   ScenarioRun.Result replay() throws InvalidInputException {
-    return new ScenarioRun(Scenario.named(scenario), seed, placements).play();
+    return new ScenarioRun(Scenario.named(scenario), seed, placements).run();
   }
 
   void write(Path file) throws IOException {
@@ -58,13 +58,13 @@
     try {
       finding = MAPPER.readValue(Files.readAllBytes(file), Finding.class);
     } catch (JsonProcessingException e) {
-      throw new InvalidInputException(file + " is no finding: " + e.getOriginalMessage());
+      throw new InvalidInputException(file + " is not a finding: " + e.getOriginalMessage());
     } catch (IOException e) {
       throw new InvalidInputException("cannot read " + file);
     }
     if (finding.version() != VERSION) {
       throw new InvalidInputException(
-          file + " is of version " + finding.version() + ", not " + VERSION);
+          file + " has version " + finding.version() + ", expected " + VERSION);
     }
     Scenario.named(finding.scenario());
     return finding;
--- a/src/test/java/org/fieldtrestle/simulation/search/InvalidInputException.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/InvalidInputException.java
@@ -1,6 +1,6 @@
 package org.fieldtrestle.simulation.search;
 
-/** Something that was asked for cannot be; the message names it in one line. */
+/** Thrown if the input of the search is invalid; the message names the reason in one line. */
 final class InvalidInputException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/src/test/java/org/fieldtrestle/simulation/search/Scenario.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Scenario.java
@@ -4,13 +4,13 @@
 import java.util.Locale;
 import org.fieldtrestle.simulation.SteppedCluster;
 
-/** What users do in a run; faults are placed within a part of it. */
+/** A sequence of user actions for a run, with the period in which faults are placed. */
 enum Scenario {
-  /** Running jobs are cancelled, some where their tasks are led and some elsewhere. */
+  /** Running jobs are cancelled, some at the leader of most of their tasks and some elsewhere. */
   CANCEL(44_900, 46_200) {
     @Override
     void plan(SteppedCluster cluster) {
-      submitLong(cluster, 4);
+      submitLongJobs(cluster, 4);
       cluster.at(45_000, () -> cluster.cancelAtLeader(FIRST_JOB));
       cluster.at(45_040, () -> cluster.cancelAtLeader("job-2"));
       cluster.at(45_080, () -> cluster.cancel("job-3"));
@@ -18,7 +18,7 @@
     }
   },
 
-  /** Short jobs end one after the other, and some are cancelled just then. */
+  /** Short jobs end one after the other, and some are cancelled at that time. */
   END(30_000, 36_000) {
     @Override
     void plan(SteppedCluster cluster) {
@@ -32,28 +32,31 @@
     }
   },
 
-  /** Jobs are accepted on a running fleet, asked about, repeated and cancelled at once. */
+  /** While other jobs run, jobs are submitted, submitted again, queried and soon cancelled. */
   ACCEPT(44_900, 46_500) {
     @Override
     void plan(SteppedCluster cluster) {
-      submitLong(cluster, 2);
+      submitLongJobs(cluster, 2);
       for (int i = 11; i <= 14; i++) {
         String job = "job-" + i;
-        long at = 45_000 + (i - 11) * 150L;
-        cluster.at(at, () -> cluster.submit(job, 4, 4, 8000));
-        cluster.at(at + 60, () -> cluster.submitAgain(job));
-        cluster.at(at + 120, () -> cluster.ask(job));
+        long submittedAtMs = 45_000 + (i - 11) * 150L;
+        cluster.at(submittedAtMs, () -> cluster.submit(job, 4, 4, 8000));
+        cluster.at(submittedAtMs + 60, () -> cluster.submitAgain(job));
+        cluster.at(submittedAtMs + 120, () -> cluster.ask(job));
       }
       cluster.at(45_200, () -> cluster.cancel("job-11"));
       cluster.at(45_900, () -> cluster.cancel("job-13"));
     }
   },
 
-  /** A controller ends while jobs run and are cancelled; another takes its shard, it comes back. */
+  /**
+   * A controller process ends while jobs run, another controller takes over its shard, and the
+   * process is restarted. Jobs are cancelled before and after the restart.
+   */
   TAKE_OVER(66_000, 90_000) {
     @Override
     void plan(SteppedCluster cluster) {
-      submitLong(cluster, 4);
+      submitLongJobs(cluster, 4);
       cluster.at(40_000, () -> cluster.kill(SteppedCluster.controller(1), 45_000));
       cluster.at(68_000, () -> cluster.cancel(FIRST_JOB));
       cluster.at(86_000, () -> cluster.cancel("job-2"));
@@ -72,12 +75,12 @@
     this.faultsUntilMs = faultsUntilMs;
   }
 
-  /** Plans what users do; called at the beginning of a run. */
+  /** Schedules the user actions. Called at the beginning of a run. */
   abstract void plan(SteppedCluster cluster);
 
-  /** Whether faults are placed at this time. */
-  boolean placesFaultsAt(long ms) {
-    return ms >= faultsFromMs && ms <= faultsUntilMs;
+  /** Whether faults are placed before steps at this time. */
+  boolean placesFaultsAt(long timeMs) {
+    return timeMs >= faultsFromMs && timeMs <= faultsUntilMs;
   }
 
   long faultsUntilMs() {
@@ -88,7 +91,7 @@
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** The scenario of a printed name. */
+  /** Returns the scenario with this printed name. */
   static Scenario named(String name) throws InvalidInputException {
     for (Scenario scenario : values()) {
       if (scenario.printedName().equals(name)) {
@@ -98,15 +101,16 @@
     throw new InvalidInputException(
         "unknown scenario '"
             + name
-            + "', there are "
+            + "', known scenarios are "
             + Arrays.stream(values()).map(Scenario::printedName).toList());
   }
 
   /**
-   * Each task fills a machine, so that many machines send heartbeats within a moment. The first job
-   * is spread over the zones: its ranges are not handed on, and only its own record names them.
+   * Submits long jobs. Each task fills a machine, so that many machines send heartbeats within a
+   * short time. The first job is spread over the zones: its task ranges are not reassigned to other
+   * shards, and only the record of the job names them.
    */
-  private static void submitLong(SteppedCluster cluster, int jobs) {
+  private static void submitLongJobs(SteppedCluster cluster, int jobs) {
     cluster.at(1000, () -> cluster.submitSpread(FIRST_JOB, SPREAD_TASKS, 16, LONG_RUN_MS));
     for (int i = 2; i <= jobs; i++) {
       String job = "job-" + i;
--- a/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
@@ -10,12 +10,13 @@
 import org.fieldtrestle.simulation.SteppedCluster.Step;
 
 /**
- * One scenario with faults at some of its steps, played once. The same run gives the same steps.
+ * A single run of a scenario with faults before some of its steps. The same scenario, seed and
+ * faults give the same steps.
  */
 final class ScenarioRun {
   private static final int MACHINES = 40;
 
-  /** After the faults jobs have so long to end. */
+  /** Time limit for the end of all jobs, counted from the end of the faults. */
   private static final long ENDS_WITHIN_MS = 500_000;
 
   private static final long CHECK_INTERVAL_MS = 5000;
@@ -23,7 +24,7 @@
   private final Scenario scenario;
   private final long seed;
   private final Map<Integer, FaultPlacement> placements = new HashMap<>();
-  private final Map<FaultPlacement, Step> begun = new LinkedHashMap<>();
+  private final Map<FaultPlacement, Step> firstSteps = new LinkedHashMap<>();
   private final List<Step> steps = new ArrayList<>();
   private SteppedCluster cluster;
 
@@ -34,52 +35,60 @@
   }
 
   /**
-   * How a run ended.
+   * The result of a run.
    *
-   * @param broken the rules that were broken, empty where none was
+   * @param violations the violations of invariants that were found
    * @param steps the steps before which faults may be placed
-   * @param stepCount all steps
+   * @param stepCount the number of all steps
    */
-  record Result(List<String> broken, List<Step> steps, int stepCount) {
+  record Result(List<String> violations, List<Step> steps, int stepCount) {
     boolean failed() {
-      return !broken.isEmpty();
+      return !violations.isEmpty();
     }
   }
 
-  /** Plays it up to the end of all jobs, or until they should have ended. */
-  Result play() {
+  /**
+   * Runs the scenario until all jobs have ended, or until the time limit for their end has passed.
+   */
+  Result run() {
     cluster = new SteppedCluster(seed, MACHINES, this::before);
     scenario.plan(cluster);
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     try {
       cluster.runUntil(scenario.faultsUntilMs());
-      long end = cluster.faultsEndMs() + ENDS_WITHIN_MS;
-      while (!over() && cluster.nowMs() < end) {
+      long endMs = cluster.faultsEndMs() + ENDS_WITHIN_MS;
+      while (!isOver() && cluster.nowMs() < endMs) {
         cluster.runUntil(cluster.nowMs() + CHECK_INTERVAL_MS);
       }
-      broken.addAll(cluster.violations());
-      if (broken.isEmpty() && !cluster.unfinishedJobs().isEmpty()) {
-        broken.add("never ended: " + cluster.unfinishedJobs());
+      violations.addAll(cluster.violations());
+      if (violations.isEmpty() && !cluster.unfinishedJobs().isEmpty()) {
+        violations.add("never ended: " + cluster.unfinishedJobs());
       }
-      addLateStarts(broken);
+      addLateStarts(violations);
     } catch (SteppedCluster.StepLimitExceeded e) {
-      broken.add("not played out: " + e.getMessage());
+      violations.add("not played out: " + e.getMessage());
     }
-    return new Result(broken, steps, cluster.stepCount());
+    return new Result(violations, steps, cluster.stepCount());
   }
 
-  private boolean over() {
+  private boolean isOver() {
     return cluster.unfinishedJobs().isEmpty()
         && cluster.nowMs() > cluster.faultsEndMs() + cluster.cancelMs();
   }
 
-  /** A controller that may act so long after a confirmation has to know of it, whatever failed. */
-  private void addLateStarts(List<String> broken) {
-    long latest = cluster.latestStartCommandAfterCancellationMs();
-    boolean stoodStill =
-        placements.values().stream().anyMatch(one -> one.fault() == Fault.CONTROLLER_FROZEN);
-    if (!stoodStill && latest > cluster.cancelMs() - cluster.workerLeaseMs()) {
-      broken.add("started_cancelled: a start ordered " + latest + " ms after the confirmation");
+  /**
+   * Adds a violation if a start command was sent too long after a confirmed cancellation. Whatever
+   * failed, a controller that may still act this long after the confirmation has to know of it,
+   * unless it was frozen.
+   */
+  private void addLateStarts(List<String> violations) {
+    long latestMs = cluster.latestStartCommandAfterCancellationMs();
+    boolean wasFrozen =
+        placements.values().stream()
+            .anyMatch(placement -> placement.fault() == Fault.CONTROLLER_FROZEN);
+    if (!wasFrozen && latestMs > cluster.cancelMs() - cluster.workerLeaseMs()) {
+      violations.add(
+          "started_cancelled: a start ordered " + latestMs + " ms after the confirmation");
     }
   }
 
@@ -88,21 +97,21 @@
       steps.add(step);
     }
     Effect effect = Effect.NONE;
-    for (Map.Entry<FaultPlacement, Step> one : begun.entrySet()) {
-      FaultPlacement earlier = one.getKey();
-      Effect lasting = earlier.fault().effectOn(one.getValue(), step, earlier.lengthMs());
-      effect = lasting == Effect.NONE ? effect : lasting;
+    for (Map.Entry<FaultPlacement, Step> entry : firstSteps.entrySet()) {
+      FaultPlacement earlier = entry.getKey();
+      Effect lastingEffect = earlier.fault().effectOn(entry.getValue(), step, earlier.lengthMs());
+      effect = lastingEffect == Effect.NONE ? effect : lastingEffect;
     }
     FaultPlacement placement = placements.get(step.number());
     if (placement == null) {
       return effect;
     }
-    begun.put(placement, step);
-    Effect own = placement.fault().inject(cluster, step, placement.lengthMs());
-    return own == Effect.NONE ? effect : own;
+    firstSteps.put(placement, step);
+    Effect ownEffect = placement.fault().inject(cluster, step, placement.lengthMs());
+    return ownEffect == Effect.NONE ? effect : ownEffect;
   }
 
-  /** The steps before which faults were placed. */
+  /** Returns the steps before which faults were placed. */
   List<Step> faultSteps() {
     return steps.stream().filter(step -> placements.containsKey(step.number())).toList();
   }
--- a/src/test/java/org/fieldtrestle/simulation/search/Search.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Search.java
@@ -17,115 +17,122 @@
 import org.fieldtrestle.simulation.SteppedCluster.Step;
 
 /**
- * Plays a scenario once for every fault before every step, or a part of these, and again with two
- * faults. The same plan and sources give the same findings, on however many threads.
+ * Runs a scenario with every fault before every step, or with a part of these placements, and then
+ * with pairs of faults. The same plan and code give the same findings for any number of threads.
  */
 final class Search {
-  /** How much a fault outlasts a lease or a cancellation where it is to outlast it, in ms. */
-  private static final long BEYOND_MS = 3000;
+  /** How much shorter or longer a fault lasts than the limit that it is meant to test. */
+  private static final long MARGIN_MS = 3000;
 
   /**
-   * What is to be searched.
+   * What to search.
    *
-   * @param singles runs with one fault at the most
-   * @param pairs runs with two faults
-   * @param threads how many runs are played at once
+   * @param singles the maximum number of runs with one fault
+   * @param pairs the number of runs with two faults
+   * @param threads the number of runs that are executed at the same time
    */
   record Plan(
       Scenario scenario, List<Fault> faults, int singles, int pairs, long seed, int threads) {}
 
   /**
-   * What a search came to.
+   * The result of a search.
    *
-   * @param possible how many single placements there are
-   * @param findings made as short as they could be made
+   * @param possibleSingles the number of possible placements of a single fault
+   * @param runs the number of runs, without those that shorten findings
+   * @param steps the number of steps in the runs with faults, or in the run without faults if that
+   *     already failed
+   * @param findings the runs that violated an invariant, with their faults left out or shortened as
+   *     far as possible
    */
-  record Report(int possible, int runs, long steps, List<Finding> findings) {}
+  record Report(int possibleSingles, int runs, long steps, List<Finding> findings) {}
 
   private final Plan plan;
   private final IntConsumer progress;
-  private final AtomicInteger played = new AtomicInteger();
+  private final AtomicInteger completedRuns = new AtomicInteger();
 
-  /** Below and above a worker's lease, and above the time that a cancellation has, in ms. */
-  private final List<Long> lengths;
+  /** The lengths of faults: below and above a worker's lease, and above a cancellation's limit. */
+  private final List<Long> lengthsMs;
 
   /**
-   * @param progress told how many runs have been played, now and then
+   * @param progress called after each run with the number of completed runs, from any thread
    */
   Search(Plan plan, IntConsumer progress) {
     this.plan = plan;
     this.progress = progress;
-    this.lengths = lengths(plan.seed());
+    this.lengthsMs = lengthsMs(plan.seed());
   }
 
   Report search() throws InterruptedException {
-    ScenarioRun.Result undisturbed =
-        new ScenarioRun(plan.scenario(), plan.seed(), List.of()).play();
-    if (undisturbed.failed()) {
+    ScenarioRun.Result faultFreeRun =
+        new ScenarioRun(plan.scenario(), plan.seed(), List.of()).run();
+    if (faultFreeRun.failed()) {
       Finding finding = Finding.of(plan.scenario(), plan.seed(), List.of());
-      return new Report(0, 1, undisturbed.stepCount(), List.of(finding));
+      return new Report(0, 1, faultFreeRun.stepCount(), List.of(finding));
     }
-    List<FaultPlacement> all = placements(undisturbed.steps());
+    List<FaultPlacement> all = placements(faultFreeRun.steps());
     List<List<FaultPlacement>> runs = new ArrayList<>();
-    all.stream().limit(plan.singles()).forEach(one -> runs.add(List.of(one)));
+    all.stream().limit(plan.singles()).forEach(placement -> runs.add(List.of(placement)));
     runs.addAll(pairs(all));
-    return play(all.size(), runs);
+    return runAll(all.size(), runs);
   }
 
   /**
-   * All single placements: first those before steps of which there was none alike before, so that a
-   * small budget sees every kind of step; alike ones in an order that the seed decides.
+   * Returns all placements of a single fault. Those before the first step of its kind (the same
+   * controller, kind and detail) come first, then those before the second one, and so on, so that a
+   * few runs already cover every kind of step. Within each of these groups the seed determines the
+   * order.
    */
   private List<FaultPlacement> placements(List<Step> steps) {
-    Map<String, Integer> seen = new HashMap<>();
-    Map<FaultPlacement, Integer> rounds = new HashMap<>();
+    Map<String, Integer> occurrences = new HashMap<>();
+    Map<FaultPlacement, Integer> occurrenceByPlacement = new HashMap<>();
     List<FaultPlacement> all = new ArrayList<>();
     for (Step step : steps) {
-      String alike = step.controller() + step.kind() + step.detail();
-      int round = seen.merge(alike, 1, Integer::sum);
+      String stepKey = step.controller() + step.kind() + step.detail();
+      int occurrence = occurrences.merge(stepKey, 1, Integer::sum);
       for (Fault fault : plan.faults()) {
         if (!fault.appliesTo(step)) {
           continue;
         }
-        for (long length : fault.hasLength() ? lengths : List.of(0L)) {
-          FaultPlacement placement = new FaultPlacement(step.number(), fault, length);
-          rounds.put(placement, round);
+        for (long lengthMs : fault.hasLength() ? lengthsMs : List.of(0L)) {
+          FaultPlacement placement = new FaultPlacement(step.number(), fault, lengthMs);
+          occurrenceByPlacement.put(placement, occurrence);
           all.add(placement);
         }
       }
     }
     Collections.shuffle(all, new Random(plan.seed()));
-    all.sort(Comparator.comparing(rounds::get));
+    all.sort(Comparator.comparing(occurrenceByPlacement::get));
     return all;
   }
 
-  private static List<Long> lengths(long seed) {
-    SteppedCluster figures = new SteppedCluster(seed, 1, step -> SteppedCluster.Effect.NONE);
+  private static List<Long> lengthsMs(long seed) {
+    SteppedCluster cluster = new SteppedCluster(seed, 1, step -> SteppedCluster.Effect.NONE);
     return List.of(
-        figures.workerLeaseMs() - BEYOND_MS,
-        figures.workerLeaseMs() + BEYOND_MS,
-        figures.cancelMs() + BEYOND_MS);
+        cluster.workerLeaseMs() - MARGIN_MS,
+        cluster.workerLeaseMs() + MARGIN_MS,
+        cluster.cancelMs() + MARGIN_MS);
   }
 
   private List<List<FaultPlacement>> pairs(List<FaultPlacement> all) {
     Random random = new Random(plan.seed() + 1);
     List<List<FaultPlacement>> pairs = new ArrayList<>();
     while (pairs.size() < plan.pairs() && all.size() > 1) {
-      FaultPlacement one = all.get(random.nextInt(all.size()));
-      FaultPlacement other = all.get(random.nextInt(all.size()));
-      if (one.step() != other.step()) {
-        pairs.add(one.step() < other.step() ? List.of(one, other) : List.of(other, one));
+      FaultPlacement first = all.get(random.nextInt(all.size()));
+      FaultPlacement second = all.get(random.nextInt(all.size()));
+      if (first.step() != second.step()) {
+        pairs.add(first.step() < second.step() ? List.of(first, second) : List.of(second, first));
       }
     }
     return pairs;
   }
 
-  private Report play(int possible, List<List<FaultPlacement>> runs) throws InterruptedException {
-    ExecutorService threads = Executors.newFixedThreadPool(plan.threads());
+  private Report runAll(int possibleSingles, List<List<FaultPlacement>> runs)
+      throws InterruptedException {
+    ExecutorService executor = Executors.newFixedThreadPool(plan.threads());
     try {
       List<Future<ScenarioRun.Result>> results = new ArrayList<>();
       for (List<FaultPlacement> placements : runs) {
-        results.add(threads.submit(() -> playOne(placements)));
+        results.add(executor.submit(() -> runOne(placements)));
       }
       long steps = 0;
       List<Finding> findings = new ArrayList<>();
@@ -137,15 +144,15 @@
           findings.add(Finding.of(plan.scenario(), plan.seed(), shorter));
         }
       }
-      return new Report(possible, runs.size() + 1, steps, findings);
+      return new Report(possibleSingles, runs.size() + 1, steps, findings);
     } finally {
-      threads.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
-  private ScenarioRun.Result playOne(List<FaultPlacement> placements) {
-    ScenarioRun.Result result = new ScenarioRun(plan.scenario(), plan.seed(), placements).play();
-    progress.accept(played.incrementAndGet());
+  private ScenarioRun.Result runOne(List<FaultPlacement> placements) {
+    ScenarioRun.Result result = new ScenarioRun(plan.scenario(), plan.seed(), placements).run();
+    progress.accept(completedRuns.incrementAndGet());
     return result;
   }
 
@@ -154,24 +161,24 @@
     try {
       return future.get();
     } catch (ExecutionException e) {
-      throw new IllegalStateException("a run ended by a fault of its own", e.getCause());
+      throw new IllegalStateException("run failed with an exception", e.getCause());
     }
   }
 
-  /** Leaves out faults, and makes them shorter, for as long as a rule is still broken. */
+  /** Leaves out or shortens faults as far as the run still violates an invariant. */
   private List<FaultPlacement> shorten(List<FaultPlacement> failing) {
-    for (FaultPlacement one : failing) {
-      if (failing.size() > 1 && fails(List.of(one))) {
-        return shorten(List.of(one));
+    for (FaultPlacement placement : failing) {
+      if (failing.size() > 1 && fails(List.of(placement))) {
+        return shorten(List.of(placement));
       }
     }
     List<FaultPlacement> shortest = new ArrayList<>(failing);
     for (int i = 0; i < shortest.size(); i++) {
-      FaultPlacement one = shortest.get(i);
-      for (long length : one.fault().hasLength() ? lengths : List.<Long>of()) {
+      FaultPlacement placement = shortest.get(i);
+      for (long lengthMs : placement.fault().hasLength() ? lengthsMs : List.<Long>of()) {
         List<FaultPlacement> shorter = new ArrayList<>(shortest);
-        shorter.set(i, new FaultPlacement(one.step(), one.fault(), length));
-        if (length < one.lengthMs() && fails(shorter)) {
+        shorter.set(i, new FaultPlacement(placement.step(), placement.fault(), lengthMs));
+        if (lengthMs < placement.lengthMs() && fails(shorter)) {
           shortest = shorter;
           break;
         }
@@ -181,6 +188,6 @@
   }
 
   private boolean fails(List<FaultPlacement> placements) {
-    return new ScenarioRun(plan.scenario(), plan.seed(), placements).play().failed();
+    return new ScenarioRun(plan.scenario(), plan.seed(), placements).run().failed();
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/search/SearchMain.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/SearchMain.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 
 /**
- * The search as a command, a tool that is run by hand; {@code docs/search.md} describes it:
+ * The search as a command-line tool that is run by hand; {@code docs/search.md} describes it:
  *
  * <pre>
  * mvn -o -q -B test-compile exec:java -Dexec.classpathScope=test \
@@ -26,14 +26,14 @@
 @Command(
     name = "search",
     mixinStandardHelpOptions = true,
-    description = "Plays short scenarios with faults before each of their steps.")
+    description = "Runs short scenarios with faults before each of their steps.")
 public final class SearchMain implements Callable<Integer> {
   static final int NOTHING_FOUND = 0;
-  static final int RULE_BROKEN = 1;
-  static final int BAD_INPUT = 2;
-  private static final int PROGRESS_EVERY = 500;
+  static final int VIOLATION_FOUND = 1;
+  static final int INVALID_INPUT = 2;
+  private static final int PROGRESS_INTERVAL_RUNS = 500;
 
-  /** What was searched and found, as the report file has it. */
+  /** The result of the search of a scenario, as written to the report file. */
   record Summary(
       String scenario,
       int possibleSingles,
@@ -42,32 +42,36 @@
       double seconds,
       List<Finding> findings) {}
 
-  @Option(names = "--scenario", description = "by name; all of them by default")
+  @Option(
+      names = "--scenario",
+      description = "name of a scenario to search; all scenarios by default")
   private List<String> scenarios = List.of();
 
-  @Option(names = "--fault", description = "only these faults, by name; all of them by default")
+  @Option(names = "--fault", description = "name of a fault to inject; all faults by default")
   private List<String> faults = List.of();
 
-  @Option(names = "--singles", description = "runs with one fault for each scenario")
+  @Option(names = "--singles", description = "number of runs with one fault for each scenario")
   private int singles = 500;
 
-  @Option(names = "--pairs", description = "runs with two faults for each scenario")
+  @Option(names = "--pairs", description = "number of runs with two faults for each scenario")
   private int pairs;
 
-  @Option(names = "--seed", description = "of the cluster and of the order of runs")
+  @Option(names = "--seed", description = "seed of the cluster and of the order of runs")
   private long seed = 1;
 
-  @Option(names = "--threads", description = "runs that are played at once")
+  @Option(names = "--threads", description = "number of runs that are executed at the same time")
   private int threads = 4;
 
-  @Option(names = "--findings", description = "directory that a file for each finding goes to")
-  private Path directory;
+  @Option(
+      names = "--findings",
+      description = "directory to which a file for each finding is written")
+  private Path findingsDirectory;
 
-  @Option(names = "--report", description = "file for the whole report, as JSON")
-  private Path report;
+  @Option(names = "--report", description = "file to which the whole report is written as JSON")
+  private Path reportFile;
 
-  @Option(names = "--replay", description = "only plays a finding's file again")
-  private Path replay;
+  @Option(names = "--replay", description = "file of a finding to run again, without a search")
+  private Path replayedFile;
 
   private final PrintStream out;
 
@@ -75,18 +79,18 @@
     this.out = out;
   }
 
-  /** Runs the command; returns its exit status. */
+  /** Runs the command and returns its exit status. */
   static int run(PrintStream out, PrintStream err, String... arguments) {
     CommandLine command = new CommandLine(new SearchMain(out));
     command.setParameterExceptionHandler(
         (e, args) -> {
           err.println("search: " + e.getMessage());
-          return BAD_INPUT;
+          return INVALID_INPUT;
         });
     command.setExecutionExceptionHandler(
         (e, line, parsed) -> {
           err.println("search: " + e.getMessage());
-          return e instanceof InvalidInputException ? BAD_INPUT : RULE_BROKEN;
+          return e instanceof InvalidInputException ? INVALID_INPUT : VIOLATION_FOUND;
         });
     return command.execute(arguments);
   }
@@ -98,24 +102,25 @@
 
   @Override
   public Integer call() throws InvalidInputException, IOException, InterruptedException {
-    if (replay != null) {
-      ScenarioRun.Result result = Finding.read(replay).replay();
-      out.println(result.failed() ? "broken: " + result.broken() : "no rule broken");
-      return result.failed() ? RULE_BROKEN : NOTHING_FOUND;
+    if (replayedFile != null) {
+      ScenarioRun.Result result = Finding.read(replayedFile).replay();
+      out.println(result.failed() ? "broken: " + result.violations() : "no rule broken");
+      return result.failed() ? VIOLATION_FOUND : NOTHING_FOUND;
     }
     if (singles < 0 || pairs < 0 || singles + pairs == 0 || threads < 1) {
-      throw new InvalidInputException("a budget of nothing: --singles, --pairs or --threads");
+      throw new InvalidInputException(
+          "invalid budget: --singles, --pairs and --threads allow no run");
     }
     List<Summary> summaries = new ArrayList<>();
     for (Scenario scenario : chosenScenarios()) {
       summaries.add(search(scenario));
     }
-    if (report != null) {
+    if (reportFile != null) {
       ObjectMapper mapper = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-      mapper.writeValue(report.toFile(), summaries);
+      mapper.writeValue(reportFile.toFile(), summaries);
     }
-    boolean broken = summaries.stream().anyMatch(one -> !one.findings().isEmpty());
-    return broken ? RULE_BROKEN : NOTHING_FOUND;
+    boolean violated = summaries.stream().anyMatch(summary -> !summary.findings().isEmpty());
+    return violated ? VIOLATION_FOUND : NOTHING_FOUND;
   }
 
   private List<Scenario> chosenScenarios() throws InvalidInputException {
@@ -133,7 +138,7 @@
         chosen.add(Fault.valueOf(name.toUpperCase(Locale.ROOT).replace('-', '_')));
       } catch (IllegalArgumentException e) {
         throw new InvalidInputException(
-            "unknown fault '" + name + "', there are " + Arrays.toString(Fault.values()));
+            "unknown fault '" + name + "', known faults are " + Arrays.toString(Fault.values()));
       }
     }
     return chosen.isEmpty() ? List.of(Fault.values()) : chosen;
@@ -142,44 +147,46 @@
   private Summary search(Scenario scenario)
       throws InvalidInputException, IOException, InterruptedException {
     Search.Plan plan = new Search.Plan(scenario, chosenFaults(), singles, pairs, seed, threads);
-    long began = System.nanoTime();
+    long startedAtNs = System.nanoTime();
     Search search =
         new Search(
             plan,
-            played -> {
-              if (played % PROGRESS_EVERY == 0) {
-                out.println(scenario.printedName() + ": " + played + " runs");
+            completedRuns -> {
+              if (completedRuns % PROGRESS_INTERVAL_RUNS == 0) {
+                out.println(scenario.printedName() + ": " + completedRuns + " runs");
               }
             });
-    Search.Report found = search.search();
-    double seconds = (System.nanoTime() - began) / 1e9;
+    Search.Report report = search.search();
+    double seconds = (System.nanoTime() - startedAtNs) / 1e9;
     out.printf(
         Locale.ROOT,
         "%s: %d runs of %d single placements, %d steps, %.1f s, %d findings%n",
         scenario.printedName(),
-        found.runs(),
-        found.possible(),
-        found.steps(),
+        report.runs(),
+        report.possibleSingles(),
+        report.steps(),
         seconds,
-        found.findings().size());
-    for (int i = 0; i < found.findings().size(); i++) {
-      print(scenario, found.findings().get(i), i);
+        report.findings().size());
+    for (int i = 0; i < report.findings().size(); i++) {
+      print(scenario, report.findings().get(i), i);
     }
     return new Summary(
         scenario.printedName(),
-        found.possible(),
-        found.runs(),
-        found.steps(),
+        report.possibleSingles(),
+        report.runs(),
+        report.steps(),
         seconds,
-        found.findings());
+        report.findings());
   }
 
   private void print(Scenario scenario, Finding finding, int number) throws IOException {
     out.println("  " + finding.placements());
     finding.faultSteps().forEach(step -> out.println("    before " + step));
-    finding.broken().stream().limit(3).forEach(one -> out.println("    broken: " + one));
-    if (directory != null) {
-      finding.write(directory.resolve(scenario.printedName() + "-" + number + ".json"));
+    finding.broken().stream()
+        .limit(3)
+        .forEach(violation -> out.println("    broken: " + violation));
+    if (findingsDirectory != null) {
+      finding.write(findingsDirectory.resolve(scenario.printedName() + "-" + number + ".json"));
     }
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/search/SearchTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/SearchTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The search itself, and a small part of what it plays. By hand: {@code docs/search.md}.
+ * Tests the search, and runs a small part of it. {@code docs/search.md} describes larger searches,
+ * which are run by hand.
  *
- * <p>The budget is counted in runs and the seed is fixed, so that the verdict is the same each
- * time.
+ * <p>The budget is counted in runs and the seed is fixed, so that the result is the same each time.
  */
 class SearchTest {
   private static final int SINGLES = 120;
@@ -30,8 +30,8 @@
   private static final int THREADS = 2;
   private static final long SEED = 1;
 
-  /** Two of each controller. */
-  private static final int LEAST_WATCHES = 6;
+  /** Two watches of each of the three controllers. */
+  private static final int MIN_WATCHES = 6;
 
   private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
   private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
@@ -43,7 +43,7 @@
   private static Search.Report search(Scenario scenario, List<Fault> faults, int singles, int pairs)
       throws InterruptedException {
     Search.Plan plan = new Search.Plan(scenario, faults, singles, pairs, SEED, THREADS);
-    return new Search(plan, played -> {}).search();
+    return new Search(plan, completedRuns -> {}).search();
   }
 
   @ParameterizedTest
@@ -54,23 +54,26 @@
     assertEquals(List.of(), report.findings());
   }
 
-  /** The incident "a cancelled task was started again", as the search found it before the fix. */
+  /**
+   * Guards against a failure that the search found: a cancelled task was started again. An outage
+   * of the key-value store began just before the watch that would have reported the cancellation.
+   */
   @Test
   void noTaskStartsWhenAnOutageBeginsBeforeTheWatchAfterACancellation() {
     int[] runs = {0};
     for (Step step : steps(Scenario.CANCEL)) {
       if (step.kind() == StepKind.STORE_REQUEST && step.detail().equals("/watch")) {
         FaultPlacement outage = new FaultPlacement(step.number(), Fault.STATE_OUTAGE, 67_000);
-        ScenarioRun.Result result = new ScenarioRun(Scenario.CANCEL, SEED, List.of(outage)).play();
-        assertEquals(List.of(), result.broken(), step.toString());
+        ScenarioRun.Result result = new ScenarioRun(Scenario.CANCEL, SEED, List.of(outage)).run();
+        assertEquals(List.of(), result.violations(), step.toString());
         runs[0]++;
       }
     }
-    assertTrue(runs[0] >= LEAST_WATCHES, "watches within the time of the faults: " + runs[0]);
+    assertTrue(runs[0] >= MIN_WATCHES, "watches within the time of the faults: " + runs[0]);
   }
 
   private static List<Step> steps(Scenario scenario) {
-    return new ScenarioRun(scenario, SEED, List.of()).play().steps();
+    return new ScenarioRun(scenario, SEED, List.of()).run().steps();
   }
 
   @Test
@@ -78,9 +81,9 @@
     assertEquals(steps(Scenario.CANCEL), steps(Scenario.CANCEL));
     FaultPlacement fault =
         new FaultPlacement(steps(Scenario.CANCEL).get(5).number(), Fault.STATE_SLOW, 9000);
-    ScenarioRun.Result one = new ScenarioRun(Scenario.CANCEL, SEED, List.of(fault)).play();
-    ScenarioRun.Result other = new ScenarioRun(Scenario.CANCEL, SEED, List.of(fault)).play();
-    assertEquals(one, other);
+    ScenarioRun.Result first = new ScenarioRun(Scenario.CANCEL, SEED, List.of(fault)).run();
+    ScenarioRun.Result second = new ScenarioRun(Scenario.CANCEL, SEED, List.of(fault)).run();
+    assertEquals(first, second);
   }
 
   @Test
@@ -89,11 +92,11 @@
         new Search.Plan(Scenario.END, List.of(Fault.values()), 20, 5, SEED, THREADS + 1);
     assertEquals(
         search(Scenario.END, List.of(Fault.values()), 20, 5),
-        new Search(plan, played -> {}).search());
+        new Search(plan, completedRuns -> {}).search());
   }
 
   @Test
-  void violationIsReadAsItWasWrittenAndPlayedAgain(@TempDir Path directory) throws Exception {
+  void findingIsReadAsItWasWrittenAndRunAgain(@TempDir Path directory) throws Exception {
     FaultPlacement fault =
         new FaultPlacement(steps(Scenario.END).get(0).number(), Fault.MESSAGE_LOST, 0);
     Finding finding = Finding.of(Scenario.END, SEED, List.of(fault));
@@ -105,27 +108,27 @@
     assertTrue(printed.toString(StandardCharsets.UTF_8).contains("no rule broken"));
   }
 
-  private void assertRefused(String named, String... arguments) {
+  private void assertInvalidInput(String expectedText, String... arguments) {
     errors.reset();
-    assertEquals(SearchMain.BAD_INPUT, search(arguments));
+    assertEquals(SearchMain.INVALID_INPUT, search(arguments));
     String line = errors.toString(StandardCharsets.UTF_8);
-    assertTrue(line.contains(named), line);
+    assertTrue(line.contains(expectedText), line);
     assertEquals(1, line.lines().count(), line);
   }
 
   @Test
   void invalidInputIsNamedInOneLine(@TempDir Path directory) throws IOException {
-    assertRefused("unknown scenario 'x'", "--scenario", "x");
-    assertRefused("unknown fault 'y'", "--fault", "y");
-    assertRefused("budget of nothing", "--singles", "0");
-    assertRefused("--nonsense", "--nonsense");
-    assertRefused("cannot read", "--replay", directory.resolve("none").toString());
+    assertInvalidInput("unknown scenario 'x'", "--scenario", "x");
+    assertInvalidInput("unknown fault 'y'", "--fault", "y");
+    assertInvalidInput("invalid budget", "--singles", "0");
+    assertInvalidInput("--nonsense", "--nonsense");
+    assertInvalidInput("cannot read", "--replay", directory.resolve("none").toString());
     Path file = directory.resolve("finding.json");
     Finding.of(Scenario.END, SEED, List.of()).write(file);
-    String whole = Files.readString(file);
-    Files.writeString(file, whole.substring(0, whole.length() / 2));
-    assertRefused("is no finding", "--replay", file.toString());
-    Files.writeString(file, whole.replace("\"version\" : 1", "\"version\" : 2"));
-    assertRefused("is of version 2", "--replay", file.toString());
+    String content = Files.readString(file);
+    Files.writeString(file, content.substring(0, content.length() / 2));
+    assertInvalidInput("is not a finding", "--replay", file.toString());
+    Files.writeString(file, content.replace("\"version\" : 1", "\"version\" : 2"));
+    assertInvalidInput("has version 2, expected 1", "--replay", file.toString());
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/search/package-info.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A search for broken rules: short scenarios on the simulated cluster are played again and again,
- * each time with a fault placed before one of their steps.
+ * A search for violations of invariants: short scenarios are run on the simulated cluster again and
+ * again, each time with faults injected before one or two of their steps.
  */
 package org.fieldtrestle.simulation.search;
