--- a/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
@@ -140,6 +140,7 @@
    * Checks the end of a simulated history: at least half of the jobs of each team and of each class
    * are done, and at least half of the largest jobs (a tenth of all jobs, but at least one). Each
    * of the largest jobs also has to start within four minutes, not counting the time of faults.
+   * Jobs that are unsatisfiable, that always fail or that users cancelled are left out.
    */
   void checkFinalProgress() {
     Map<String, List<SimulatedJob>> groups = new HashMap<>();
