--- a/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
+++ b/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
@@ -7,19 +7,22 @@
 import org.fieldtrestle.state.Versioned;
 
 /**
- * Decides which commands a shard may give: whether a task may be started, whether it has to be
- * stopped, and whether a heartbeat may be acknowledged. Nothing else decides that.
+ * Decides which commands the leader of a shard may give: whether a task may be started, whether a
+ * task must be stopped, and whether a heartbeat may be acknowledged. No other class decides this.
  *
- * <p>Every path asks at the moment at which it acts, and nothing is decided by flags that messages
- * or periodic checks set: a heartbeat or a placement pass may come between a change of the state
- * and the message about it, and after an outage that order once decided whether cancelled tasks
- * were started again.
+ * <p>Callers ask at the moment at which they act. The decisions are made from the current state and
+ * not from flags that messages or periodic checks set, because a heartbeat or a placement pass may
+ * come between a change of the state and the message about it. After an outage, this order of
+ * events once decided whether cancelled tasks were started again.
  */
 public final class CommandPolicy {
   private final ControllerContext context;
   private final String shard;
 
-  /** The shard's key in the store: every heartbeat and placement pass asks for its version. */
+  /**
+   * The shard's key in the key-value store. Its version is read for every heartbeat and every
+   * placement pass.
+   */
   private final String shardKey;
 
   private final long epoch;
@@ -31,7 +34,7 @@
     this.epoch = epoch;
   }
 
-  /** Whether a heartbeat may be answered with 200, and commands may be given at all. */
+  /** Whether heartbeats may be answered with status 200 and commands may be given at all. */
   boolean mayAcknowledge() {
     return context.mayAct() && !superseded();
   }
@@ -40,7 +43,7 @@
     return context.stateCache().version(shardKey) > epoch;
   }
 
-  /** Whether any task of the range may be started now. A refusal is counted by its reason. */
+  /** Whether tasks of the range may be started now. A refusal is counted under its reason. */
   public boolean mayStart(TaskRange range) {
     StartRefusal refusal = startRefusal(range);
     if (refusal != null) {
@@ -49,12 +52,14 @@
     return refusal == null;
   }
 
-  /** Counts a start that was refused, for the statistics page. */
+  /** Counts a refused start for the statistics page. */
   public void countRefusal(StartRefusal reason) {
     context.metrics().countStartRefused(reason);
   }
 
-  /** Why no task of the range may be started now; null where one may. */
+  /**
+   * Returns why no task of the range may be started now, or {@code null} if tasks may be started.
+   */
   StartRefusal startRefusal(TaskRange range) {
     if (!context.mayAct()) {
       return StartRefusal.FENCE_CLOSED;
@@ -76,12 +81,12 @@
         : StartRefusal.RANGE_NOT_OURS;
   }
 
-  /** Whether a record shows a range to be this shard's, as of this epoch. */
+  /** Whether a record assigns its range to this shard in this epoch or an earlier one. */
   boolean belongsToTerm(Versioned<RangeRecord> kept) {
     return kept != null && kept.record().shard().equals(shard) && kept.record().epoch() <= epoch;
   }
 
-  /** Whether the range's job has ended or is cancelled, so that its tasks have to be stopped. */
+  /** Whether the range's job has ended or is cancelled, in which case its tasks must be stopped. */
   public boolean mustStop(TaskRange range) {
     return isCancellationKnown(range) || hasEnded(range);
   }
@@ -91,9 +96,10 @@
   }
 
   /**
-   * Whether the job of a range has ended. Once its record was seen, its absence proves that. Where
-   * it was never seen, its absence proves that only after the state was followed past the write of
-   * the range's record: the two records may come in different messages.
+   * Whether the job of a range has ended. If the job's record was seen before, its absence proves
+   * the end. If the record was never seen, its absence proves the end only after the state cache
+   * has followed the state past the write of the range's record, because the two records may arrive
+   * in different messages.
    */
   boolean hasEnded(TaskRange range) {
     if (range.stopState().isEnded()) {
--- a/src/main/java/org/fieldtrestle/worker/FailureTracker.java
+++ b/src/main/java/org/fieldtrestle/worker/FailureTracker.java
@@ -9,28 +9,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells workers that fail their tasks from jobs that fail on every worker. A worker is faulty when
- * jobs fail there that are not suspect; a job is suspect when it failed on several workers and
- * never succeeded.
+ * Distinguishes workers that fail their tasks from jobs that fail on every worker. A worker is
+ * faulty if jobs that are not suspect fail on it. A job is suspect if it has failed on several
+ * workers and has never succeeded.
  */
 public final class FailureTracker {
   private static final Logger LOG = LoggerFactory.getLogger(FailureTracker.class);
 
-  /** Workers on which a job without any success must have failed to be suspect itself. */
+  /** Number of workers on which a job without a success must have failed to become suspect. */
   private static final int SUSPECT_AFTER_WORKERS = 3;
 
   /**
-   * Failures of jobs that are not suspect, without a success between, that make a worker faulty.
+   * Failures of jobs that are not suspect, without a success in between, that make a worker faulty.
    */
   private static final int FAULTY_AFTER_FAILURES = 2;
 
-  /** Multiple of a job's usual run time from which a task is evidence against its worker. */
+  /** A task counts as slow from this multiple of its job's average run time. */
   private static final double SLOW_FROM = 2.5;
 
-  /** Tasks of a job that must have finished before their average run time counts as usual. */
+  /** Number of a job's tasks that must have finished before their average run time is used. */
   private static final int USUAL_AFTER_RUNS = 3;
 
-  /** Slow tasks on a worker after which it is replaced. */
+  /** Number of slow tasks on a worker after which the worker is replaced. */
   private static final int DRAIN_AFTER_SLOW_TASKS = 2;
 
   /** Heartbeat intervals for which a worker gets no new tasks after a failure. */
@@ -66,21 +66,21 @@
   /** Workers on which some job has failed. */
   private final Set<String> workersWithFailures = new HashSet<>();
 
-  /** Tracks the failures on these workers. */
+  /** Creates a tracker of the failures on these workers. */
   public FailureTracker(ControllerContext context, WorkerRegistry workers) {
     this.context = context;
     this.workers = workers;
   }
 
-  /** A task has finished. */
+  /** Called when a task has finished. */
   void succeeded(TaskAttempt attempt, long nowMs) {
     attempt.worker().failures().clearFailures();
     JobRecord job = jobs.computeIfAbsent(attempt.task().job(), j -> new JobRecord());
     job.succeeded = true;
     job.suspect = false;
     checkRunTime(attempt, nowMs);
-    // Of a discovered task only the rest was seen. Counted as a whole run, it would make all the
-    // job's other tasks look slow after a restart, and their workers would be replaced.
+    // Only the remaining part of a discovered task was observed. If it counted as a whole run, all
+    // other tasks of the job would look slow after a restart, and their workers would be replaced.
     if (attempt.hasRun() && !attempt.isDiscovered()) {
       job.totalRunS += attempt.elapsedS(nowMs);
       job.runs++;
@@ -88,9 +88,9 @@
   }
 
   /**
-   * Drains the worker of a task that takes much longer than its job's others did, where that is not
-   * the first one. Estimates say little about a worker, as they are often wrong by half; the job's
-   * own tasks elsewhere say more.
+   * Drains the worker of a task that takes much longer than the other tasks of its job, unless it
+   * is the worker's first slow task. The job's tasks on other workers are used for comparison
+   * because estimates are often wrong by half and therefore say little about a worker.
    */
   public void checkRunTime(TaskAttempt attempt, long nowMs) {
     JobRecord job = jobs.get(attempt.task().job());
@@ -112,7 +112,8 @@
   }
 
   /**
-   * A task has failed: decides when it is tried again, and whether its worker gets new tasks.
+   * Called when a task has failed. Decides when the task is tried again and whether its worker gets
+   * new tasks.
    *
    * @param failures how often the task has failed so far
    */
@@ -147,7 +148,10 @@
     }
   }
 
-  /** A job is suspect: its failures no longer count against the workers where it failed. */
+  /**
+   * Called when a job becomes suspect. Its failures no longer count against the workers on which it
+   * failed.
+   */
   private void clearWorkersOf(String jobId) {
     for (Worker worker : workers.all()) {
       if (worker.failures().dismissJob(jobId)) {
@@ -160,18 +164,24 @@
     }
   }
 
-  /** A task of a job is not tried again where it failed, unless the job fails everywhere. */
+  /**
+   * Whether tasks of the range must not be placed on a worker because the job has failed there.
+   * This does not apply to suspect jobs, which fail on every worker.
+   */
   public boolean avoids(TaskRange range, Worker worker) {
     JobRecord job = jobs.get(range.key().job());
     return job != null && !job.suspect && job.failedOn.contains(worker.id());
   }
 
-  /** Whether any job avoids a worker; if not, it is like all others of its machine type. */
+  /**
+   * Whether any job has failed on a worker. If none has, the worker is equivalent to all others of
+   * its machine type.
+   */
   public boolean avoidsAny(Worker worker) {
     return workersWithFailures.contains(worker.id());
   }
 
-  /** Forgets jobs that have ended and workers that there are no longer. */
+  /** Forgets jobs that have ended and workers that no longer exist. */
   public void forgetEnded() {
     jobs.keySet().removeIf(id -> context.stateCache().job(id) == null);
     workersWithFailures.removeIf(id -> workers.get(id) == null);
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
@@ -9,26 +9,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Processes workers' heartbeats: refuses those that are outdated, applies the others, and answers
- * with commands. An answer renews the worker's lease.
+ * Processes the heartbeats of workers: refuses outdated ones, applies the others, and answers with
+ * commands. An answer renews the worker's lease.
  */
 public final class HeartbeatProcessor {
-  /** What becomes of a heartbeat. */
+  /** How a heartbeat was processed. */
   public enum Result {
-    /** Must not be answered with 200: nothing of it counts. */
+    /** The heartbeat must not be answered with status 200; none of its content was applied. */
     REFUSED,
-    /** Accepted; nothing has changed by it. */
+    /** The heartbeat was accepted and has changed nothing that matters to placement. */
     UNCHANGED,
-    /** Accepted; room on the worker may have become free. */
+    /** The heartbeat was accepted, and resources on the worker may have become free. */
     CHANGED
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
-  /** A task whose rest takes longer than this multiple of the spot notice is stopped at once. */
+  /**
+   * A task is stopped at once if its remaining run time exceeds this multiple of the spot notice.
+   */
   private static final double MAX_REST_PER_NOTICE = 1.5;
 
-  /** Part of the spot notice that a task gets to save its work; the rest is for the commands. */
+  /**
+   * Fraction of the spot notice that a task gets as its grace period for saving its work; the rest
+   * is left for delivering the commands.
+   */
   private static final double GRACE_PER_NOTICE = 0.8;
 
   private final ControllerContext context;
@@ -39,7 +44,7 @@
   private final WorkerCommands commands;
   private final ShardEvents events;
 
-  /** Processes heartbeats of these workers in this term. */
+  /** Creates a processor for the heartbeats of these workers in this term. */
   public HeartbeatProcessor(
       ControllerContext context,
       LeadershipTerm term,
@@ -57,7 +62,7 @@
     this.events = events;
   }
 
-  /** A heartbeat was received. */
+  /** Processes a heartbeat that was received from the worker. */
   public Result process(Worker worker, Heartbeat heartbeat) {
     long now = context.now();
     if (heartbeat.fencingToken() > worker.fencingToken()) {
@@ -73,7 +78,8 @@
     }
     WorkerConnection connection = worker.connection();
     if (connection.order().isOutdated(heartbeat, now - connection.lastHeartbeatAtMs())) {
-      // An answer of 200 would make this controller count a lease that the worker does not.
+      // After an answer of 200, this controller would count the lease as renewed and the worker
+      // would not.
       return Result.REFUSED;
     }
     boolean changed = apply(worker, heartbeat);
@@ -86,7 +92,7 @@
     return changed ? Result.CHANGED : Result.UNCHANGED;
   }
 
-  /** The commands in the answer to a heartbeat, which renews the worker's lease. */
+  /** Returns the commands for the answer to a heartbeat. The answer renews the worker's lease. */
   public List<WorkerCommand> answer(Worker worker) {
     worker.connection().renewLease(context.now());
     if (!workers.mayReceiveCommands(worker)) {
@@ -103,9 +109,9 @@
   }
 
   /**
-   * Applies a heartbeat, or the one in the answer to a direct command.
+   * Applies a heartbeat, or the heartbeat that is contained in the answer to a direct command.
    *
-   * @return whether anything that matters to placement has changed by it
+   * @return whether anything that matters to placement has changed
    */
   boolean apply(Worker worker, Heartbeat heartbeat) {
     long now = context.now();
@@ -114,7 +120,7 @@
       return false;
     }
     if (worker.isLeaseExpired() && order.isOfIncarnation(heartbeat)) {
-      return false; // sent before its lease expired, and late
+      return false; // was sent before the lease expired and arrived late
     }
     boolean changed = worker.isLeaseExpired();
     worker.connection().acceptMessage(heartbeat, now);
@@ -126,7 +132,7 @@
       beginIncarnation(worker, heartbeat.incarnation(), now);
     }
     if (heartbeat.fencingToken() < term.firstToken()) {
-      return false; // may still be given commands of an earlier term
+      return false; // the worker may still accept commands of an earlier term
     }
     if (!worker.isReconciled()) {
       workers.markReconciled(worker);
@@ -154,16 +160,18 @@
           .log("worker begins a new incarnation");
       outcomes.workerLost(worker, "its lease ran out");
     }
-    // An incarnation's lease runs from when it began, which may be just now, whichever controller
-    // answered: what it is given by a direct command must not be taken for lost with the one
-    // before.
+    // The lease of an incarnation runs from its beginning, which may be this moment, whichever
+    // controller has answered the worker. Tasks that a direct command starts in this incarnation
+    // must not be counted as lost with the previous one.
     worker.connection().renewLease(nowMs);
   }
 
   /**
-   * Finds out whether the worker receives answers. Its heartbeats prove nothing of that: where two
-   * in a row lack what their answers started, it gets a higher token to show, and no more tasks
-   * until it does. A worker reports again only once the answer before has come or been given up.
+   * Determines whether the worker receives the answers to its heartbeats, which the heartbeats
+   * alone don't prove. If two heartbeats in a row lack the tasks that the answers before them
+   * started, the worker is sent a higher fencing token and gets no more tasks until it reports that
+   * token. A worker sends a heartbeat only after it has received the previous answer or has given
+   * up waiting for it.
    */
   private void checkResponsiveness(Worker worker, long sequence, long nowMs) {
     boolean lacks = false;
--- a/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
+++ b/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
@@ -11,16 +11,20 @@
 
 /**
  * One term of this controller as the leader of a shard: the shard's name, its epoch, the fencing
- * tokens and attempt numbers that follow from the epoch, and the writes that depend on it.
+ * tokens and attempt numbers that are derived from the epoch, and the writes that depend on it.
  */
 public final class LeadershipTerm {
   /**
-   * Fencing tokens and attempts are the epoch and a count within it: a later epoch's are higher
-   * than all of an earlier one's, without any write.
+   * Number of low bits that count within an epoch; the epoch itself is in the bits above. Fencing
+   * tokens and attempt numbers of a later epoch are therefore higher than all of an earlier epoch,
+   * without any write.
    */
   private static final int EPOCH_BITS = 24;
 
-  /** Watch intervals after which a write of unknown outcome is decided anew. */
+  /**
+   * Watch intervals after which a write of unknown outcome is reported to its caller as not
+   * committed.
+   */
   private static final int UNKNOWN_OUTCOME_RETRY_INTERVALS = 3;
 
   private final ControllerContext context;
@@ -33,9 +37,10 @@
   private long attempts;
 
   /**
-   * A term that begins with this epoch; nothing is led before {@link #activate}.
+   * Creates a term that begins with this epoch. The shard is not led before {@link #activate}.
    *
-   * @param formerLeaderMayAct whether the leader before may not know yet that its term has ended
+   * @param formerLeaderMayAct whether the former leader may still be unaware that its term has
+   *     ended
    */
   public LeadershipTerm(
       ControllerContext context, String shard, long epoch, boolean formerLeaderMayAct) {
@@ -46,27 +51,29 @@
     this.policy = new CommandPolicy(context, shard, epoch);
   }
 
-  /** The name of the shard. */
+  /** Returns the name of the shard. */
   public String shard() {
     return shard;
   }
 
-  /** The version of the shard's key by which this term began. */
+  /** Returns the epoch: the version of the shard's key with which this term began. */
   public long epoch() {
     return epoch;
   }
 
-  /** Decides which commands may be given in this term. */
+  /** Returns the policy that decides which commands may be given in this term. */
   public CommandPolicy policy() {
     return policy;
   }
 
-  /** Everything written before the term is known, so that the shard may be led. */
+  /**
+   * Called when everything that was written before the term is known, so that the shard may be led.
+   */
   public void activate() {
     active = true;
   }
 
-  /** Another controller leads the shard now, or none does. */
+  /** Called when the term ends because another controller or no controller leads the shard. */
   public void end() {
     over = true;
   }
@@ -86,45 +93,50 @@
     return active && !over && policy.mayAcknowledge();
   }
 
-  /** The lowest fencing token of this term. */
+  /** Returns the lowest fencing token of this term. */
   public long firstToken() {
     return epoch << EPOCH_BITS;
   }
 
-  /** The lowest fencing token of the term after this one. */
+  /** Returns the lowest fencing token of the next term. */
   public long firstTokenOfNextEpoch() {
     return (epoch + 1) << EPOCH_BITS;
   }
 
-  /** A number for a start of a task that no other start of it has. */
+  /** Returns an attempt number that no other start of the same task has. */
   public long nextAttempt() {
     return firstToken() + ++attempts;
   }
 
-  /** For how long the leader before may go on, unaware of the end of its term, in ms. */
+  /**
+   * Returns for how long the former leader may continue to act, unaware of the end of its term, in
+   * milliseconds.
+   */
   public long formerLeaderGraceMs() {
     return formerLeaderMayAct ? context.membership().fence().usableMs() : 0;
   }
 
   /**
-   * The time, in ms, up to which no other controller can have acted as this shard: the present, or
-   * the age of the followed state where that is older.
+   * Returns the time, in milliseconds, up to which no other controller can have acted as the leader
+   * of this shard: the current time, or the time up to which the state is known if that is earlier.
    */
   long soleLeaderUntilMs() {
     return Math.min(context.now(), context.stateCache().freshAsOf());
   }
 
-  /** The condition that makes every write of this term fail once the next has begun. */
+  /**
+   * Returns the condition that makes every write of this term fail once the next term has begun.
+   */
   public KeyValueProtocol.Condition guard() {
     return new KeyValueProtocol.Condition(StateKeys.shard(shard), epoch);
   }
 
   /**
-   * Commits changes under this term's guard. Where that fails or its outcome is unknown, the
-   * callback comes once the state cache has followed that, or after a while: the caller looks at
-   * the state again and decides anew.
+   * Commits changes under the condition of {@link #guard}. If the commit fails or its outcome is
+   * unknown, {@code done} is called once the state cache has followed the conflicting write, or
+   * after a delay. The caller then reads the state again and makes a new decision.
    *
-   * @param done is given whether the changes are known to be committed
+   * @param done receives whether the changes are known to be committed
    */
   public void write(
       List<KeyValueProtocol.Condition> conditions,
@@ -139,7 +151,8 @@
             result -> {
               if (result instanceof CommitResult.Committed committed) {
                 context.stateCache().applyCommit(changes, committed.revision());
-                // The cache tells the shard by message; what depends on it runs after that.
+                // The state cache notifies the shard by a message; the callback has to run after
+                // that message.
                 context.reactor().execute(() -> done.accept(true));
               } else if (result instanceof CommitResult.Conflict conflict) {
                 retryAfter(conflict, done);
--- a/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
@@ -12,17 +12,19 @@
 import org.fieldtrestle.state.Transaction;
 
 /**
- * Writes the records of a shard's ranges: progress, completion and removal. A range has one write
- * under way at the most.
+ * Writes the records of a shard's ranges: progress, completion and removal. At most one write of
+ * each range is in progress at a time.
  */
 public final class RangeProgressWriter {
-  /** Half of what a transaction may hold. */
+  /** Half of the size limit of a transaction. */
   private static final int MAX_BATCH_BYTES = 32 * 1024;
 
-  /** Bytes of a change beside its value, generously. */
+  /** Generous estimate of the bytes of a change in addition to its value. */
   private static final int CHANGE_OVERHEAD_BYTES = 200;
 
-  /** Part of a watch interval for which a completion waits for others to share its write. */
+  /**
+   * A completion waits for the watch interval divided by this, so that others can share its write.
+   */
   private static final int COMPLETION_DELAY_DIVISOR = 3;
 
   private final ControllerContext context;
@@ -30,7 +32,7 @@
   private final WorkerRegistry workers;
   private final ShardEvents events;
 
-  /** Writes under the guard of this term. */
+  /** Creates a writer whose writes are under the guard of this term. */
   public RangeProgressWriter(
       ControllerContext context, LeadershipTerm term, WorkerRegistry workers, ShardEvents events) {
     this.context = context;
@@ -39,7 +41,10 @@
     this.events = events;
   }
 
-  /** That a range is unchanged; one without a record of its own is as its job's record names it. */
+  /**
+   * Returns the conditions that a range is unchanged. A range without a record of its own is
+   * defined by the record of its job.
+   */
   private List<KeyValueProtocol.Condition> unchanged(TaskRange range) {
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(StateKeys.range(range.key()), range.version()));
@@ -50,7 +55,7 @@
     return conditions;
   }
 
-  /** Removes the range of an ended job once nothing of it can be anywhere. */
+  /** Removes the range of a job that has ended, once none of its tasks can be on a worker. */
   void removeIfEnded(TaskRange range) {
     if (!range.stopState().isEnded()
         || !range.placed().isEmpty()
@@ -66,9 +71,9 @@
   }
 
   /**
-   * Ends a reassignment that has failed or whose outcome is unknown. Its tasks may still be taken
-   * by the late transaction, until a write of this controller has moved the range's version past
-   * it; after that they wait here again.
+   * Ends a reassignment that has failed or whose outcome is unknown. The late transaction may still
+   * take the tasks until a write by this controller has moved the range's version past it. After
+   * that write, the tasks wait here again.
    */
   public void settleReassignment(TaskRange range, BitSet tasks) {
     if (term.isOver() || range.isReleased()) {
@@ -89,7 +94,10 @@
         });
   }
 
-  /** A write of the range is over; what has finished meanwhile goes into the next. */
+  /**
+   * Called when a write of the range has ended. Tasks that finished in the meantime are written
+   * next.
+   */
   public void endWrite(TaskRange range) {
     range.writes().end();
     if (!range.finished().isEmpty() && !range.isReleased()) {
@@ -97,19 +105,20 @@
     }
   }
 
-  /** A task of the range has finished, which is to be written. */
+  /** Called when a task of the range has finished and its completion is to be written. */
   void write(TaskRange range) {
     if (range.isWriting()) {
       return;
     }
     if (!range.isFinished()) {
-      // Until all are done, what is done is safe on its workers; it is written now and then only
-      // so that heartbeats stay short and little is done again where a worker is lost.
+      // Until all tasks are done, the completed ones are safe on their workers. Progress is written
+      // from time to time only to keep heartbeats short and to limit the work that is repeated if a
+      // worker is lost.
       range.writes().scheduleAt(context.now() + context.settings().workerLeaseMs());
       return;
     }
     range.beginWrite();
-    // A short wait lets tasks that end together share a write.
+    // A short delay lets tasks that end together share a write.
     context
         .reactor()
         .schedule(
@@ -142,7 +151,7 @@
         });
   }
 
-  /** Writes the progress of ranges for which that is due, many in one transaction. */
+  /** Writes the progress of all ranges whose write is due, many of them in one transaction. */
   public void writeDue(Iterable<TaskRange> ranges, long nowMs) {
     if (context.store().isCongested()) {
       return;
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Compares the tasks that a heartbeat shows with those that are expected on its worker. */
+/** Compares the tasks that a heartbeat reports with the tasks that are expected on its worker. */
 public final class Reconciler {
   private static final Logger LOG = LoggerFactory.getLogger(Reconciler.class);
 
@@ -22,7 +22,7 @@
   private final WorkerCommands commands;
   private final ImageDownloads downloads;
 
-  /** Reconciles these workers with these ranges. */
+  /** Creates a reconciler of these workers with these ranges. */
   public Reconciler(
       ControllerContext context,
       LeadershipTerm term,
@@ -40,7 +40,10 @@
     this.downloads = downloads;
   }
 
-  /** Takes over what the heartbeat shows; returns whether that matters to placement. */
+  /**
+   * Applies the tasks that the heartbeat reports; returns whether anything that matters to
+   * placement has changed.
+   */
   boolean reconcile(Worker worker, Heartbeat heartbeat) {
     boolean changed = false;
     int shown = 0;
@@ -67,7 +70,10 @@
     return changed;
   }
 
-  /** Drops the attempts that the heartbeat does not show and that cannot appear any more. */
+  /**
+   * Drops the attempts that the heartbeat does not report and that can no longer appear on the
+   * worker.
+   */
   private boolean dropAbsent(Worker worker, long sequence) {
     boolean changed = false;
     for (TaskAttempt attempt : worker.copyOfAttempts()) {
@@ -80,7 +86,7 @@
         }
       } else if ((attempt.state() != TaskAttempt.State.STARTING || attempt.isStopping())
           && worker.hasNoCommandInFlight()) {
-        // Gone, unless a start of unknown outcome may still bring it back.
+        // The attempt is gone: no start command of unknown outcome can bring it back.
         outcomes.gone(attempt);
         changed = true;
       }
@@ -98,10 +104,11 @@
   }
 
   /**
-   * A worker reports an attempt that was not placed there in this term.
+   * Handles a report of an attempt that was not placed on the worker in this term.
    *
-   * @param expected the attempt at the same task that was placed there; null where there is none
-   * @return the attempt, which is expected from now on; null where it is to be stopped and cleared
+   * @param expected the attempt at the same task that was placed on the worker, or {@code null}
+   * @return the attempt, which is expected on the worker from now on; {@code null} if the reported
+   *     attempt is to be stopped and cleared
    */
   private TaskAttempt discover(Worker worker, TaskStatus reported, TaskAttempt expected) {
     TaskRange range = ranges.of(reported.task());
@@ -160,13 +167,13 @@
     return attempt;
   }
 
-  /** Takes over the reported state; true where room or an image has become available by it. */
+  /** Applies the reported state; returns whether resources or an image have become available. */
   private boolean follow(TaskAttempt attempt, TaskStatus reported) {
     attempt.markStartSent();
     boolean wasBeforeImage = attempt.state().isBeforeImage();
     boolean ended = followState(attempt, reported);
     noteImage(attempt);
-    // An image that has come may be what others wait for.
+    // Other tasks may be waiting for the image that was fetched.
     return ended || (wasBeforeImage && !attempt.state().isBeforeImage());
   }
 
--- a/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
@@ -3,28 +3,28 @@
 import org.fieldtrestle.protocol.ExitCause;
 import org.fieldtrestle.protocol.TaskId;
 
-/** One start of a task: an attempt that is, or may be, on a worker. */
+/** An attempt: one start of a task, which is or may be on a worker. */
 public final class TaskAttempt {
-  /** Where the attempt stands, as far as the worker has reported it. */
+  /** The state of the attempt as the worker has reported it last. */
   public enum State {
-    /** The start command was sent, or will be. */
+    /** The start command was sent or is to be sent. */
     STARTING,
-    /** The worker fetches the image. */
+    /** The worker is fetching the image. */
     FETCHING,
-    /** The task runs. */
+    /** The task is running. */
     RUNNING,
-    /** The task was stopped and saves a checkpoint in its grace period. */
+    /** The task was told to stop and is saving a checkpoint in its grace period. */
     SAVING,
-    /** Ended; stays until the worker was told to clear it and no longer reports it. */
+    /** Ended, but kept until the worker was told to clear it and no longer reports it. */
     EXITED;
 
-    /** Whether the image is not there yet, as far as is known. */
+    /** Whether the image is, as far as is known, not on the worker yet. */
     boolean isBeforeImage() {
       return this == STARTING || this == FETCHING;
     }
   }
 
-  /** Stands for the number of a heartbeat where there is none. */
+  /** Value of a heartbeat's sequence that stands for no heartbeat. */
   static final long NO_SEQUENCE = -1;
 
   private static final long NOT_RUNNING = -1;
@@ -33,14 +33,17 @@
   private final long attempt;
   private final Worker worker;
 
-  /** The team whose quota counts the attempt until it is gone, whatever becomes of its range. */
+  /**
+   * The team whose quota counts the attempt until the attempt is gone, even if its range has moved
+   * to another shard.
+   */
   private final String team;
 
   private final double cpus;
   private final double gpus;
   private final double memoryGb;
 
-  /** Null once the range is no longer this shard's. */
+  /** The range of the task, or {@code null} once the range no longer belongs to this shard. */
   private TaskRange range;
 
   /** The incarnation of the worker in which the attempt was placed or discovered. */
@@ -59,13 +62,16 @@
   private long lastShownIn = NO_SEQUENCE;
   private long startSentAfter = NO_SEQUENCE;
 
-  /** How long the image takes by itself where the worker was fetching another one; else 0. */
+  /**
+   * How long the image would take to fetch alone, in seconds, if the worker was fetching another
+   * image at the same time; otherwise 0.
+   */
   private double concurrentFetchAloneS;
 
   /**
-   * An attempt that is placed on a worker, or discovered there, at this time.
+   * Creates an attempt that is placed on a worker, or discovered there, at the given time.
    *
-   * @param waitedS for how long the task had waited before
+   * @param waitedS for how long the task had waited before, in seconds
    */
   public TaskAttempt(
       TaskId task, long attempt, Worker worker, TaskRange range, long nowMs, double waitedS) {
@@ -84,76 +90,83 @@
 
   // ---- transitions
 
-  /** To be called by {@link AttemptTable#changeState} only, which keeps sums by state. */
+  /** Called only by {@link AttemptTable#changeState}, which keeps sums by state. */
   void enter(State next) {
     state = next;
   }
 
-  /** The worker has reported why the attempt ended. */
+  /** Records the cause of the exit that the worker has reported. */
   void recordExit(ExitCause cause) {
     exitCause = cause;
   }
 
-  /** The worker runs the task; counts from the first heartbeat that says so. */
+  /** Records that the worker runs the task. Only the first heartbeat that reports this counts. */
   void markRunning(long nowMs) {
     if (!hasRun()) {
       runningSinceMs = nowMs;
     }
   }
 
-  /** The start command was sent at least once, so that the task may be on the worker. */
+  /** Records that the start command was sent, so that the task may be on the worker. */
   void markStartSent() {
     startSent = true;
   }
 
-  /** The start command was sent after this heartbeat: the next ones show whether it has arrived. */
+  /**
+   * Records that the start command was sent after the heartbeat with this sequence. Later
+   * heartbeats show whether the command has arrived.
+   */
   void awaitInHeartbeatAfter(long sequence) {
     startSentAfter = sequence;
   }
 
-  /** A heartbeat has shown whether the start command arrived. */
+  /** Called when a heartbeat has shown whether the start command has arrived. */
   void stopAwaiting() {
     startSentAfter = NO_SEQUENCE;
   }
 
-  /** The heartbeat with this number shows the attempt. */
+  /** Records that the heartbeat with this sequence reports the attempt. */
   void markShownIn(long sequence) {
     lastShownIn = sequence;
   }
 
-  /** What the exit means is durable, or of no use, so that the worker may forget the attempt. */
+  /** Lets the worker forget the attempt, whose outcome is durable or no longer needed. */
   void markClearable() {
     clearable = true;
   }
 
-  /** The attempt was on its worker when this term found it: its beginning was not seen. */
+  /** Records that this term found the attempt on its worker and has not seen its beginning. */
   void markDiscovered() {
     discovered = true;
     startSent = true;
   }
 
-  /** The range is no longer this shard's. */
+  /** Called when the range no longer belongs to this shard. */
   void detachRange() {
     range = null;
   }
 
   /**
-   * Sets whether no other task may preempt this one. The first task of a job that had waited too
-   * long to begin is exempt: it has run so little that a burst of a higher priority would otherwise
-   * preempt it as soon as it is placed.
+   * Sets whether this task is exempt from preemption. The first task of a job that had waited too
+   * long to begin is exempt: it has run for so short a time that a burst of tasks of a higher
+   * priority would otherwise preempt it right after its placement.
    */
   public void exemptFromPreemption(boolean exempt) {
     exemptFromPreemption = exempt;
   }
 
-  /** The image shares the worker's download bandwidth; it would take so long by itself. */
+  /**
+   * Records that the image shares the worker's download bandwidth with another image.
+   *
+   * @param aloneS how long the image would take to fetch alone, in seconds
+   */
   public void expectConcurrentFetch(double aloneS) {
     concurrentFetchAloneS = aloneS;
   }
 
   // ---- queries
 
-  /** Where the attempt stands. */
+  /** Returns the state of the attempt. */
   public State state() {
     return state;
   }
@@ -176,7 +189,7 @@
     return startSent;
   }
 
-  /** Whether a heartbeat after this number shows whether the start command has arrived. */
+  /** Whether the heartbeat with this sequence shows if the start command has arrived. */
   boolean isAwaitedIn(long sequence) {
     return startSentAfter != NO_SEQUENCE && startSentAfter < sequence;
   }
@@ -203,7 +216,7 @@
     return runningSinceMs != NOT_RUNNING;
   }
 
-  /** Since when the task runs, in ms; below 0 where it does not yet. */
+  /** Returns since when the task has been running, in milliseconds; negative if it has not run. */
   public long runningSince() {
     return runningSinceMs;
   }
@@ -212,32 +225,38 @@
     return hasRun() ? (nowMs - runningSinceMs) / 1000.0 : 0;
   }
 
-  /** How long the task still runs if its job's estimate is right, in s. */
+  /** Returns for how long the task will still run if its job's estimate is right, in seconds. */
   public double remainingS(long nowMs, double estimateS) {
     return Math.max(0, estimateS - elapsedS(nowMs));
   }
 
-  /** Since when the task had waited before it was placed; a lost task waits on from there. */
+  /**
+   * Returns since when the task had waited before it was placed, in milliseconds. If the task is
+   * lost, its waiting time counts from then.
+   */
   long waitingSinceMs() {
     return placedAtMs - Math.round(waitedS * 1000);
   }
 
-  /** For how long the task had waited before it was placed, in s. */
+  /** Returns for how long the task had waited before it was placed, in seconds. */
   public double waitedS() {
     return waitedS;
   }
 
-  /** When the attempt was placed or discovered, in ms. */
+  /** Returns when the attempt was placed or discovered, in milliseconds. */
   public long placedAt() {
     return placedAtMs;
   }
 
-  /** How long the image should take by itself where it shares the bandwidth; else 0. */
+  /**
+   * Returns how long the image would take to fetch alone, in seconds, if it shares the download
+   * bandwidth with another image; otherwise 0.
+   */
   double concurrentFetchAloneS() {
     return concurrentFetchAloneS;
   }
 
-  /** The time that the worker is to give the task for saving its work, in s. */
+  /** Returns the grace period that the worker gives the task for saving its work, in seconds. */
   public double graceS() {
     return stopRequest.graceS();
   }
@@ -246,22 +265,22 @@
     return exitCause;
   }
 
-  /** The task. */
+  /** Returns the task. */
   public TaskId task() {
     return task;
   }
 
-  /** The task's number within its range. */
+  /** Returns the task's offset within its range. */
   int offset() {
     return task.index() - range.record().from();
   }
 
-  /** The number of this start of the task. */
+  /** Returns the number of this attempt. */
   public long attempt() {
     return attempt;
   }
 
-  /** The range that the task is in; null once that is no longer this shard's. */
+  /** Returns the task's range, or {@code null} once the range no longer belongs to this shard. */
   public TaskRange range() {
     return range;
   }
@@ -278,17 +297,17 @@
     return team;
   }
 
-  /** CPUs that the task takes. */
+  /** Returns the CPUs that the task uses. */
   public double cpus() {
     return cpus;
   }
 
-  /** GPUs that the task takes. */
+  /** Returns the GPUs that the task uses. */
   public double gpus() {
     return gpus;
   }
 
-  /** Memory that the task takes, in GB. */
+  /** Returns the memory that the task uses, in GB. */
   public double memoryGb() {
     return memoryGb;
   }
--- a/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
@@ -5,11 +5,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What becomes of a task whose attempt has ended or was lost: it is done, or it waits again. */
+/** Handles tasks whose attempt has ended or was lost: the task is done or waits again. */
 public final class TaskOutcomes {
   private static final Logger LOG = LoggerFactory.getLogger(TaskOutcomes.class);
 
-  /** Heartbeat intervals for which a worker that refused a task, and the task, are left alone. */
+  /**
+   * Heartbeat intervals for which a worker that refused a task gets no tasks, and the task is not
+   * started again.
+   */
   private static final double REFUSAL_PAUSE_INTERVALS = 0.5;
 
   private final ControllerContext context;
@@ -18,7 +21,7 @@
   private final RangeProgressWriter progress;
   private final ShardEvents events;
 
-  /** Outcomes of tasks on these workers. */
+  /** Creates a handler for the tasks on these workers. */
   public TaskOutcomes(
       ControllerContext context,
       WorkerRegistry workers,
@@ -32,7 +35,7 @@
     this.events = events;
   }
 
-  /** A task has ended by itself, or by a stop. */
+  /** Called when a task has ended by itself or because of a stop command. */
   void exited(TaskAttempt attempt) {
     LOG.debug("task {} exited: {}", attempt, attempt.exitCause());
     if (attempt.range() == null) {
@@ -66,7 +69,8 @@
     Retry retry = range.retry(attempt.offset(), attempt.waitingSinceMs());
     switch (attempt.exitCause()) {
       case ERROR -> {
-        // Waiting starts anew: a task that fails everywhere must not age into preempting others.
+        // The waiting time starts again. Otherwise a task that fails on every worker would, after a
+        // long wait, be allowed to preempt others.
         retry.restartWaiting(now);
         failures.failed(attempt, retry, range.countFailure(attempt.offset()), now);
       }
@@ -79,7 +83,7 @@
     }
   }
 
-  /** The worker does not have the attempt any more, nor can it get it by anything that was sent. */
+  /** Called when the worker no longer has the attempt and no command that was sent can start it. */
   void gone(TaskAttempt attempt) {
     attempt.worker().remove(attempt);
     TaskRange range = attempt.range();
@@ -95,9 +99,9 @@
   }
 
   /**
-   * Everything that was on the worker is gone with its incarnation, or with the machine itself.
+   * Called when all tasks on the worker are lost with its incarnation or with the machine itself.
    *
-   * @param reason for the log
+   * @param reason the reason for the log
    */
   public void workerLost(Worker worker, String reason) {
     worker.clearUnknownTasks();
--- a/src/main/java/org/fieldtrestle/worker/TaskRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -8,14 +8,14 @@
 import org.fieldtrestle.state.StateKey;
 
 /**
- * A task range of this shard: which of its tasks wait, are on workers, or have finished. Tasks are
- * named by their offset, which counts from the range's first.
+ * A task range of this shard: which of its tasks are waiting, which are on workers, and which have
+ * finished. A task is identified by its offset from the first task of the range.
  */
 public final class TaskRange {
-  /** Stands for the time since when room is withheld where none is. */
+  /** Value of {@link #withheldSince} if no resources are withheld from the range. */
   public static final long NOT_WITHHELD = -1;
 
-  /** The offset of a task where there is none. */
+  /** Value of {@link #firstWaiting} if no task is waiting. */
   public static final int NO_TASK = -1;
 
   private static final long NO_STEP = -1;
@@ -24,16 +24,19 @@
   private RangeRecord record;
   private long version;
 
-  /** Null where the job has ended (or its record cannot be read). */
+  /**
+   * {@code null} if the job's record was never read: the job had ended, or the record is
+   * unreadable.
+   */
   private JobSpec spec;
 
-  /** The only zone, where the job's record names one; else null. */
+  /** The zone that the job's record restricts the range to, or {@code null}. */
   private String zone;
 
   private boolean released;
   private final RangeStopState stopState = new RangeStopState();
 
-  /** Was there before this term began, so that its tasks may be on workers not heard of yet. */
+  /** Whether the range existed before this term: its tasks may be on workers not heard from yet. */
   private final boolean inherited;
 
   private final long waitingSinceMs;
@@ -62,7 +65,7 @@
 
   // ---- the records of the range and its job
 
-  /** The range's record has changed. */
+  /** Called when the range's record has changed. */
   void followRecord(RangeRecord next, long nextVersion) {
     record = next;
     version = nextVersion;
@@ -70,13 +73,13 @@
     finished.followDone(record.done());
   }
 
-  /** The job's record is known. */
+  /** Called when the job's record is known. */
   void followJob(JobSpec jobSpec, String jobZone) {
     spec = jobSpec;
     zone = jobZone;
   }
 
-  /** The range is no longer this shard's. */
+  /** Called when the range no longer belongs to this shard. */
   void release() {
     released = true;
     finished.detachAllHeld();
@@ -84,14 +87,14 @@
 
   // ---- its tasks
 
-  /** The task is on a worker, or on its way there. */
+  /** Records that the task is on a worker or is to be started there. */
   public void place(int offset, TaskAttempt attempt) {
     unplaced.remove(offset);
     placed.put(offset, attempt);
     withheldSinceMs = NOT_WITHHELD;
   }
 
-  /** The task is on no worker now and waits again. */
+  /** Records that the task is no longer on a worker and waits again. */
   Retry retry(int offset, long retryWaitingSinceMs) {
     placed.remove(offset);
     Retry retry = new Retry(retryWaitingSinceMs);
@@ -102,7 +105,7 @@
     return retry;
   }
 
-  /** The task has finished. */
+  /** Records that the task has finished. */
   void finish(int offset) {
     withheldSinceMs = NOT_WITHHELD;
     placed.remove(offset);
@@ -112,46 +115,49 @@
     }
   }
 
-  /** Counts a failure of the task; returns how often it has failed. */
+  /** Counts a failure of the task; returns how often the task has failed. */
   int countFailure(int offset) {
     return unplaced.countFailure(offset);
   }
 
-  /** These waiting tasks may be another shard's at any time now and must not be started. */
+  /** Excludes waiting tasks from placement, as they may move to another shard at any time. */
   public void reserveForReassignment(BitSet tasks) {
     unplaced.removeAll(tasks);
   }
 
-  /** Those of these tasks that are still in the range wait here again. */
+  /** Lets those of these tasks that are still in the range wait here again. */
   void returnFromReassignment(BitSet tasks) {
     UnplacedTasks.clearFrom(record.size(), tasks);
     tasks.andNot(record.done());
     unplaced.addFresh(tasks);
   }
 
-  /** No machine had room for its tasks in this placement step. */
+  /** Records that no machine had room for the range's tasks in this placement step. */
   public void markNoRoomIn(long step) {
     noRoomInStep = step;
   }
 
-  /** There is room for its tasks since this time that is reserved, and none has moved. */
+  /**
+   * Records that there are resources for the range's tasks, but that they are reserved for others,
+   * and that no task was placed since this time.
+   */
   public void markWithheldSince(long nowMs) {
     withheldSinceMs = nowMs;
   }
 
-  /** No room is withheld from its tasks. */
+  /** Records that no resources are withheld from the range's tasks. */
   public void markNotWithheld() {
     withheldSinceMs = NOT_WITHHELD;
   }
 
   // ---- writes of its record
 
-  /** A write of the range's record is under way; no other may begin. */
+  /** Records that a write of the range's record is in progress; no other write may begin. */
   public void beginWrite() {
     writes.begin();
   }
 
-  /** Whether a write of the range's record is under way. */
+  /** Whether a write of the range's record is in progress. */
   public boolean isWriting() {
     return writes.isInProgress();
   }
@@ -160,7 +166,10 @@
     return writes;
   }
 
-  /** The record with what has finished since it was written. */
+  /**
+   * Returns the range's record with the tasks marked as done that have finished since its last
+   * write.
+   */
   RangeRecord recordWithFinished() {
     BitSet done = (BitSet) record.done().clone();
     done.or(finished.offsets());
@@ -186,22 +195,22 @@
     return unplaced.mayRetryAll(nowMs);
   }
 
-  /** Whether a task waits and cannot be anywhere; not so one that has failed here. */
+  /** Whether a task is waiting, is on no worker, and has never failed here. */
   public boolean isNowhere(int offset) {
     return unplaced.hasUnfailed(offset);
   }
 
-  /** The offset of some task that waits, or {@link #NO_TASK}. */
+  /** Returns the offset of a waiting task, or {@link #NO_TASK}. */
   public int firstWaiting() {
     return unplaced.first();
   }
 
-  /** How many of its tasks wait. */
+  /** Returns how many tasks of the range are waiting. */
   public int waiting() {
     return unplaced.count();
   }
 
-  /** Whether another of its tasks may be placed in a zone. */
+  /** Whether another task of the range may be placed in a zone. */
   public boolean zoneAllows(String name) {
     if (zone != null && !zone.equals(name)) {
       return false;
@@ -225,7 +234,7 @@
     return count;
   }
 
-  /** Whether the range is no longer this shard's. */
+  /** Whether the range no longer belongs to this shard. */
   boolean isReleased() {
     return released;
   }
@@ -238,67 +247,69 @@
     return finished;
   }
 
-  /** Tasks that finished but whose completion is not durable yet. */
+  /** Returns the tasks that have finished but whose completion is not durable yet. */
   public BitSet finished() {
     return finished.offsets();
   }
 
-  /** Tasks that wait and have not been on a worker in this term. */
+  /** Returns the waiting tasks that have not been on a worker in this term. */
   public BitSet fresh() {
     return unplaced.fresh();
   }
 
-  /** Whether the range was there before this term, so that its tasks may be on any worker. */
+  /** Whether the range existed before this term, so that its tasks may be on any worker. */
   public boolean isInherited() {
     return inherited;
   }
 
-  /** The job and the range's number in it. */
+  /** Returns the key of the range: its job and its number within the job. */
   public StateKey.RangeKey key() {
     return key;
   }
 
-  /** The placement step in which no machine had room for its tasks; below 0 where there is none. */
+  /**
+   * Returns the last placement step without room for the range's tasks; negative if there was none.
+   */
   public long noRoomIn() {
     return noRoomInStep;
   }
 
-  /** The attempts of tasks that are on workers, by their offsets. */
+  /** Returns the attempts at the tasks that are on workers, by the offsets of the tasks. */
   public Int2ObjectMap<TaskAttempt> placed() {
     return placed;
   }
 
-  /** The range's record. */
+  /** Returns the range's record. */
   public RangeRecord record() {
     return record;
   }
 
-  /** The tasks that wait again after having been on a worker, by their offsets. */
+  /** Returns the tasks that wait again after having been on a worker, by their offsets. */
   public Int2ObjectMap<Retry> retries() {
     return unplaced.retries();
   }
 
-  /** What the user submitted; null where the job has ended or its record cannot be read. */
+  /** Returns what the user has submitted, or {@code null} if the job's record was never read. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** The version of the range's record; 0 where it has none of its own. */
+  /** Returns the version of the range's record, or 0 if the range has no record of its own. */
   public long version() {
     return version;
   }
 
-  /** Since when the range waits, in ms. */
+  /** Returns since when the range has been waiting, in milliseconds. */
   public long waitingSince() {
     return waitingSinceMs;
   }
 
-  /** Since when reserved room is withheld from its tasks, in ms, or {@link #NOT_WITHHELD}. */
+  /** Returns since when resources are withheld from the range's tasks, or {@link #NOT_WITHHELD}. */
   public long withheldSince() {
     return withheldSinceMs;
   }
 
-  /** The only zone, where the job's record names one; else null. */
+  /** Returns the zone that the job's record restricts the range to, or {@code null}. */
   public String zone() {
     return zone;
   }
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -14,11 +14,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A shard's task ranges, kept as the state cache shows them; stops what must not run. */
+/** The task ranges of a shard, as the state cache shows them. Stops the tasks that must not run. */
 public final class TaskRanges {
   private static final Logger LOG = LoggerFactory.getLogger(TaskRanges.class);
 
-  /** Heartbeat intervals after which a task that was not stopped yet is worth a line in the log. */
+  /** Heartbeat intervals after which a task that should have stopped and has not is logged. */
   private static final double LOG_PENDING_STOP_AFTER_INTERVALS = 3;
 
   private final ControllerContext context;
@@ -32,7 +32,7 @@
   private final TreeMap<StateKey.RangeKey, TaskRange> ranges = new TreeMap<>();
   private final Map<String, List<TaskRange>> byJob = new HashMap<>();
 
-  /** No ranges yet; {@link #sync} adds them. */
+  /** Creates a collection without ranges; {@link #sync} adds them. */
   public TaskRanges(
       ControllerContext context,
       LeadershipTerm term,
@@ -51,22 +51,22 @@
     this.events = events;
   }
 
-  /** All ranges in the order of their keys. */
+  /** Returns all ranges in the order of their keys. */
   public Iterable<TaskRange> all() {
     return ranges.values();
   }
 
-  /** How many ranges there are. */
+  /** Returns the number of ranges. */
   public int count() {
     return ranges.size();
   }
 
-  /** The ranges of a job that are this shard's. */
+  /** Returns the ranges of a job that belong to this shard. */
   public List<TaskRange> ofJob(String job) {
     return byJob.getOrDefault(job, List.of());
   }
 
-  /** The range that a task is in; null where it is none of this shard's. */
+  /** Returns the range of a task, or {@code null} if it does not belong to this shard. */
   TaskRange of(TaskId task) {
     for (TaskRange range : ofJob(task.job())) {
       if (range.contains(task.index())) {
@@ -76,7 +76,7 @@
     return null;
   }
 
-  /** CPUs that the waiting tasks would take. */
+  /** Returns the CPUs that the waiting tasks need. */
   public double waitingCpus() {
     double waiting = 0;
     for (TaskRange range : ranges.values()) {
@@ -92,19 +92,19 @@
     return workers.mayHoldTasksOf(range);
   }
 
-  /** Writes the records of the ranges. */
+  /** Returns the writer of the ranges' records. */
   public RangeProgressWriter progress() {
     return progress;
   }
 
-  /** What becomes of tasks that ended or were lost. */
+  /** Returns the handler of tasks that have ended or were lost. */
   public TaskOutcomes outcomes() {
     return outcomes;
   }
 
   // ---- records
 
-  /** The term begins: follows all ranges that the state cache knows. */
+  /** Adds all ranges that the state cache knows. Called when the term begins. */
   public void inherit() {
     for (Map.Entry<String, ActiveJob> job :
         List.copyOf(context.stateCache().jobsById().entrySet())) {
@@ -114,12 +114,15 @@
     }
   }
 
-  /** Follows the record of a range; true where it is or was this shard's. */
+  /**
+   * Applies the current record of a range; returns whether the range belongs or belonged to this
+   * shard.
+   */
   public boolean sync(StateKey.RangeKey key) {
     Versioned<RangeRecord> kept = context.stateCache().range(key);
     TaskRange range = ranges.get(key);
-    // A range given to a later epoch of this shard is not for this term, which may not know yet
-    // that it is over: both would start its tasks.
+    // A range that was assigned to a later epoch of this shard does not belong to this term, which
+    // may not know yet that it has ended. Otherwise both terms would start the range's tasks.
     if (!policy.belongsToTerm(kept)) {
       if (range != null) {
         release(range);
@@ -155,8 +158,8 @@
   }
 
   /**
-   * Follows the record of a job, which may name ranges without records of their own; true where
-   * some range of it is or was this shard's.
+   * Applies the current record of a job, which may name ranges that have no record of their own;
+   * returns whether a range of the job belongs or belonged to this shard.
    */
   public boolean syncJob(String job) {
     boolean any = false;
@@ -183,7 +186,7 @@
     range.release();
   }
 
-  /** Looks at the jobs of all ranges again: what has ended is stopped and removed. */
+  /** Checks the jobs of all ranges again. Stops and removes the ranges of jobs that have ended. */
   public void refreshAll() {
     for (TaskRange range : List.copyOf(ranges.values())) {
       refreshJob(range);
@@ -209,8 +212,9 @@
   // ---- tasks that must not run
 
   /**
-   * Another controller has told a user that a job is cancelled. That is final, so that what runs is
-   * stopped, though the key-value store may not have shown it yet.
+   * Called when another controller has confirmed to a user that a job is cancelled. The
+   * confirmation is final, so that running tasks are stopped even if the key-value store has not
+   * shown the cancellation yet.
    */
   public void jobCancelled(String job) {
     for (TaskRange range : ofJob(job)) {
@@ -227,7 +231,7 @@
     }
   }
 
-  /** Logs once for each range why tasks that should have been stopped are still there. */
+  /** Logs, once for each range, why tasks that should have been stopped have not ended. */
   public void logPendingStops(long nowMs) {
     long afterMs = context.heartbeatIntervalsMs(LOG_PENDING_STOP_AFTER_INTERVALS);
     for (TaskRange range : ranges.values()) {
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -8,7 +8,7 @@
 import org.fieldtrestle.protocol.TaskStatus;
 import org.fieldtrestle.state.MachineRecord;
 
-/** A worker of a shard, and everything that is or may be on it. Times are in ms. */
+/** A worker of a shard, and the attempts that are or may be on it. Times are in milliseconds. */
 public final class Worker extends WorkerLifecycle {
   private final String id;
   private final String machineType;
@@ -16,7 +16,7 @@
   private final boolean spot;
   private final long knownSinceMs;
 
-  /** For how long the machine had been rented when it became known here. */
+  /** For how long the machine had been rented when this controller learned of it. */
   private final long rentedBeforeMs;
 
   private final WorkerConnection connection;
@@ -24,19 +24,24 @@
   private final AttemptTable attempts;
   private final ImageCache images = new ImageCache();
 
-  /** Reported tasks that the shard does not expect here: only to be stopped and cleared. */
+  /**
+   * Reported tasks that the shard does not expect on this worker. They are only stopped and
+   * cleared.
+   */
   private final List<TaskStatus> unknownTasks = new ArrayList<>();
 
-  /** The range for which tasks were preempted here, and until when its room is kept for it. */
+  /**
+   * The range for which tasks were preempted here. The freed resources are kept for it for a while.
+   */
   private TaskRange claim;
 
   private long claimUntilMs;
 
   /**
-   * A worker that has just become known.
+   * Creates a worker that has just become known.
    *
-   * @param firstToken the fencing token that it is sent first
-   * @param rentedBeforeMs for how long its machine has been rented already
+   * @param firstToken the first fencing token that is sent to the worker
+   * @param rentedBeforeMs for how long the machine has already been rented
    */
   Worker(
       String id,
@@ -58,32 +63,32 @@
 
   // ---- identity
 
-  /** The worker's name. */
+  /** Returns the worker's id. */
   public String id() {
     return id;
   }
 
-  /** The name of its machine type. */
+  /** Returns the name of the worker's machine type. */
   public String machineType() {
     return machineType;
   }
 
-  /** The name of its zone. */
+  /** Returns the name of the worker's zone. */
   public String zone() {
     return zone;
   }
 
-  /** Whether the cloud may take its machine back after a notice. */
+  /** Whether the worker runs on a spot machine, which the cloud may take back after a notice. */
   public boolean isSpot() {
     return spot;
   }
 
-  /** Since when the worker is known here, in ms. */
+  /** Returns since when this controller has known the worker, in milliseconds. */
   public long since() {
     return knownSinceMs;
   }
 
-  /** For how long its machine has been rented, in ms. */
+  /** Returns for how long the worker's machine has been rented, in milliseconds. */
   public long ageMs(long nowMs) {
     return nowMs - knownSinceMs + rentedBeforeMs;
   }
@@ -98,7 +103,7 @@
     return connection.fencing();
   }
 
-  /** Nothing that was started in this incarnation can still run. */
+  /** Called when nothing that was started in this incarnation can still run. */
   public void expireLease() {
     connection.expireLease();
   }
@@ -119,7 +124,7 @@
     return connection.hasReported();
   }
 
-  /** Whether what is on the worker is known. */
+  /** Whether the tasks on the worker are known. */
   public boolean isReconciled() {
     return connection.isReconciled();
   }
@@ -129,22 +134,25 @@
     return connection.isUnresponsive();
   }
 
-  /** Since when the worker is unresponsive, in ms, where it is. */
+  /**
+   * Returns since when the worker has been unresponsive, in milliseconds; negative if it is
+   * responsive.
+   */
   public long unresponsiveSince() {
     return connection.unresponsiveSinceMs();
   }
 
-  /** Whether no command that was sent can still be executed late. */
+  /** Whether no command that was sent to the worker can still be executed late. */
   public boolean hasNoCommandInFlight() {
     return fencing().hasNoCommandInFlight();
   }
 
-  /** The token that commands to the worker carry. */
+  /** Returns the fencing token that commands to the worker carry. */
   public long fencingToken() {
     return fencing().token();
   }
 
-  /** The incarnation that the worker reported last; below 0 where there is none. */
+  /** Returns the last incarnation that the worker has reported; negative if it has not reported. */
   long incarnation() {
     return connection.order().incarnation();
   }
@@ -155,22 +163,22 @@
 
   // ---- its tasks
 
-  /** The attempt at a task that is or may be on the worker; null where there is none. */
+  /** Returns the attempt at a task that is or may be on the worker, or {@code null}. */
   public TaskAttempt attempt(TaskId task) {
     return attempts.get(task);
   }
 
-  /** All attempts that are or may be on the worker, those that have ended included. */
+  /** Returns all attempts that are or may be on the worker, including those that have ended. */
   public Collection<TaskAttempt> attempts() {
     return attempts.all();
   }
 
-  /** As {@link #attempts}, for a caller that changes what is on the worker meanwhile. */
+  /** Returns a copy of {@link #attempts} for callers that change the attempts while iterating. */
   List<TaskAttempt> copyOfAttempts() {
     return attempts.copy();
   }
 
-  /** The attempt is or may be on the worker from now on. */
+  /** Adds an attempt, which is or may be on the worker from now on. */
   public void put(TaskAttempt attempt) {
     attempts.put(attempt);
   }
@@ -183,7 +191,7 @@
     attempts.changeState(attempt, next);
   }
 
-  /** Reported tasks that the shard does not expect here. */
+  /** Returns the reported tasks that the shard does not expect on this worker. */
   List<TaskStatus> unknownTasks() {
     return unknownTasks;
   }
@@ -196,50 +204,53 @@
     unknownTasks.add(reported);
   }
 
-  /** Whether a task on the worker still waits for its image. */
+  /** Whether a task on the worker is still waiting for its image. */
   public boolean fetching() {
     return attempts.isFetching();
   }
 
-  /** Whether nothing that has not ended is on the worker. */
+  /** Whether all attempts on the worker have ended. */
   public boolean empty() {
     return attempts.isEmpty();
   }
 
-  /** CPUs that its tasks take. */
+  /** Returns the CPUs that the worker's tasks use. */
   public double usedCpus() {
     return attempts.usedCpus();
   }
 
-  /** What is free on the worker, for as long as nothing changes. */
+  /** Returns the free resources of the worker, which are valid until its attempts change. */
   public FreeResources freeResources(MachineType type) {
     return attempts.freeResources(this, type);
   }
 
   // ---- images and claims
 
-  /** A task with this image was placed on the worker or is there; sizes are in GB. */
+  /** Records that a task with this image was placed on the worker or is there; sizes are in GB. */
   public void usesImage(String image, double gb, double cacheGb) {
     images.use(image, gb, cacheGb);
   }
 
-  /** Whether the worker should have the image. */
+  /** Whether the worker is expected to have the image. */
   public boolean hasImage(String image) {
     return images.has(image);
   }
 
-  /** Keeps the room that a preemption frees for its range, or the victim would take it back. */
+  /**
+   * Reserves the resources that a preemption frees for the range that it was made for. Without the
+   * reservation, the preempted task could be placed here again.
+   */
   public void claim(TaskRange range, long untilMs) {
     claim = range;
     claimUntilMs = untilMs;
   }
 
-  /** Whether room on the worker is kept for the range. */
+  /** Whether resources on the worker are reserved for the range. */
   public boolean claimedBy(TaskRange range, long nowMs) {
     return claim == range && nowMs < claimUntilMs;
   }
 
-  /** Whether room on the worker is kept for another range that the range must not come before. */
+  /** Whether resources on the worker are reserved for another range that takes precedence. */
   public boolean claimedFrom(TaskRange range, long nowMs) {
     return claim != null
         && claim != range
--- a/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
@@ -8,8 +8,8 @@
 import org.fieldtrestle.protocol.WorkerCommand;
 
 /**
- * The commands that a shard's workers are to get, with the answers to their heartbeats or directly
- * ({@link DirectCommands}). Whether a command is allowed, {@link CommandPolicy} decides.
+ * The commands that a shard's workers are to receive, in the answers to their heartbeats or
+ * directly ({@link DirectCommands}). {@link CommandPolicy} decides whether a command is allowed.
  */
 public final class WorkerCommands {
   private final ControllerContext context;
@@ -17,10 +17,10 @@
   private final TaskOutcomes outcomes;
   private final CommandPolicy policy;
 
-  /** Workers for which there may be commands that were not sent yet. */
+  /** Workers for which there may be unsent commands. */
   private final Set<Worker> pending = new LinkedHashSet<>();
 
-  /** Commands of this term to these workers. */
+  /** Creates the commands of this term to these workers. */
   public WorkerCommands(
       ControllerContext context,
       LeadershipTerm term,
@@ -32,22 +32,24 @@
     this.policy = term.policy();
   }
 
-  /** There may be commands for the worker that were not sent yet. */
+  /** Called when there may be unsent commands for the worker. */
   public void addPending(Worker worker) {
     pending.add(worker);
   }
 
-  /** The worker is no longer this shard's. */
+  /** Called when the worker no longer belongs to this shard. */
   void forget(Worker worker) {
     pending.remove(worker);
   }
 
-  /** Workers for which there may be commands that were not sent yet; allows removal. */
+  /**
+   * Returns an iterator over the workers for which there may be unsent commands; supports removal.
+   */
   Iterator<Worker> pending() {
     return pending.iterator();
   }
 
-  /** What a worker is to do, by what is known at this moment. */
+  /** Returns the commands for a worker, decided from the state that is known at this moment. */
   List<WorkerCommand> assembleFor(Worker worker) {
     if (anyMustStop(worker)) {
       for (TaskAttempt attempt : worker.copyOfAttempts()) {
@@ -80,7 +82,11 @@
     return attempt.range() != null && policy.mayStart(attempt.range());
   }
 
-  /** Stops a task, with so many seconds to save its work; a second stop can only shorten that. */
+  /**
+   * Stops a task.
+   *
+   * @param graceS the grace period in seconds; a second stop can only shorten it
+   */
   public void stop(TaskAttempt attempt, double graceS) {
     if (!attempt.live() || (attempt.isStopping() && attempt.graceS() <= graceS)) {
       return;
@@ -93,7 +99,7 @@
     }
   }
 
-  /** Why a task that is to be stopped is still there, for the log. */
+  /** Returns why a task that is to be stopped has not ended yet, for the log. */
   String stopPendingReason(TaskAttempt attempt) {
     Worker worker = attempt.worker();
     if (!policy.mayAcknowledge()) {
--- a/src/main/java/org/fieldtrestle/worker/WorkerLifecycle.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerLifecycle.java
@@ -1,24 +1,24 @@
 package org.fieldtrestle.worker;
 
 /**
- * Whether a worker is in use: its machine came up, it drains, and its machine goes back to the
- * cloud. Times are in ms.
+ * The lifecycle of a worker: its machine comes up, the worker drains, and the machine is returned
+ * to the cloud. Times are in milliseconds.
  */
 abstract sealed class WorkerLifecycle permits Worker {
   private static final long NEVER = -1;
   private static final String NOT_DRAINING = "";
 
-  /** How far the return of the machine to the cloud has come. */
+  /** Progress of the return of the machine to the cloud. */
   private enum Termination {
     NONE,
     REQUESTED,
     DONE
   }
 
-  /** The machine's record says that tasks may have been started on it. */
+  /** Whether the machine's record says that tasks may have been started on the machine. */
   private boolean up;
 
-  /** The write of that record was requested. */
+  /** Whether the write of that record was requested. */
   private boolean upReported;
 
   private String drainReason = NOT_DRAINING;
@@ -32,7 +32,9 @@
     this.idleSinceMs = nowMs;
   }
 
-  /** Follows the machine's record; returns whether tasks may be started from now on. */
+  /**
+   * Applies the machine's record; returns whether tasks may be started from now on but not before.
+   */
   boolean followRecord(boolean recordUp, long nowMs) {
     boolean comesUp = !up && recordUp;
     if (comesUp) {
@@ -42,7 +44,10 @@
     return comesUp;
   }
 
-  /** A heartbeat was accepted; returns whether the record that it is up has to be written. */
+  /**
+   * Called when a heartbeat was accepted; returns whether the record that the machine is up has to
+   * be written.
+   */
   boolean reportUp() {
     if (up || upReported) {
       return false;
@@ -51,7 +56,9 @@
     return true;
   }
 
-  /** The worker takes nothing new, and its machine goes once nothing is on it. */
+  /**
+   * Gives the worker no new tasks and lets its machine be returned once the worker has no tasks.
+   */
   public void drain(String reason) {
     drainReason = reason;
   }
@@ -60,17 +67,17 @@
     drainReason = NOT_DRAINING;
   }
 
-  /** The worker takes no new tasks for as long as other workers have room. */
+  /** Gives the worker no new tasks as long as other workers have room. */
   public void cordon() {
     cordoned = true;
   }
 
-  /** The worker takes new tasks again. */
+  /** Lets the worker take new tasks again. */
   public void uncordon() {
     cordoned = false;
   }
 
-  /** No new tasks before this time. */
+  /** Gives the worker no new tasks before this time. */
   void quarantineUntil(long timeMs) {
     quarantineUntilMs = timeMs;
   }
@@ -79,44 +86,48 @@
     quarantineUntilMs = 0;
   }
 
-  /** The cloud has given notice that it takes the machine back at this time. */
+  /** Records the cloud's notice that it will take the machine back at this time. */
   void giveSpotNotice(long untilMs) {
     spotNoticeUntilMs = untilMs;
   }
 
-  /** The machine is being returned to the cloud and gets no further commands. */
+  /**
+   * Called when the return of the machine to the cloud begins. The worker gets no further commands.
+   */
   public void beginTermination() {
     if (termination == Termination.NONE) {
       termination = Termination.REQUESTED;
     }
   }
 
-  /** The cloud has taken the machine back; only its record still has to go. */
+  /** Called when the cloud has taken the machine back and only its record remains to be removed. */
   public void markTerminated() {
     termination = Termination.DONE;
   }
 
-  /** Tasks were placed or reported on the worker at this time. */
+  /** Records that tasks were placed or reported on the worker at this time. */
   public void markBusy(long nowMs) {
     idleSinceMs = nowMs;
   }
 
-  /** Whether the machine's record says that tasks may have been started on it. */
+  /** Whether the machine's record says that tasks may have been started on the machine. */
   public boolean isUp() {
     return up;
   }
 
-  /** Whether the worker takes nothing new and goes once it is empty. */
+  /**
+   * Whether the worker gets no new tasks and its machine is returned once the worker has no tasks.
+   */
   public boolean isDraining() {
     return !drainReason.isEmpty();
   }
 
-  /** Why the worker is draining; empty where it is not. */
+  /** Returns why the worker is draining; empty if it is not draining. */
   public String drainReason() {
     return drainReason;
   }
 
-  /** Whether the worker takes nothing new for as long as other workers have room. */
+  /** Whether the worker gets no new tasks as long as other workers have room. */
   public boolean isCordoned() {
     return cordoned;
   }
@@ -130,12 +141,12 @@
     return spotNoticeUntilMs != NEVER;
   }
 
-  /** When the cloud takes the machine back, in ms, where it has given notice. */
+  /** Returns when the cloud takes the machine back, in milliseconds; negative without a notice. */
   public long spotNoticeUntil() {
     return spotNoticeUntilMs;
   }
 
-  /** Whether the machine is being returned to the cloud, or was. */
+  /** Whether the machine is being returned or was returned to the cloud. */
   public boolean isTerminating() {
     return termination != Termination.NONE;
   }
@@ -145,7 +156,7 @@
     return termination == Termination.DONE;
   }
 
-  /** When the worker was seen with a task last, or came up, in ms. */
+  /** Returns when the worker last had a task or came up, in milliseconds. */
   public long idleSince() {
     return idleSinceMs;
   }
