--- a/src/main/java/org/fieldtrestle/worker/AttemptTable.java
+++ b/src/main/java/org/fieldtrestle/worker/AttemptTable.java
@@ -8,8 +8,8 @@
 import org.fieldtrestle.protocol.TaskId;
 
 /**
- * The attempts that are or may be on one worker, and what those that have not ended use. The sums
- * are kept up with every change, as placement passes and heartbeats ask for them all the time.
+ * The attempts that are or may be on a worker, and the resources used by those that have not ended.
+ * The sums are updated with every change because placement passes and heartbeats read them often.
  */
 final class AttemptTable {
   private final Map<TaskId, TaskAttempt> attempts = new HashMap<>();
@@ -54,7 +54,7 @@
     }
   }
 
-  /** An attempt, which need not be in this table any more, has come to another state. */
+  /** Changes the state of an attempt, which may have been removed from this table before. */
   void changeState(TaskAttempt attempt, TaskAttempt.State next) {
     if (attempt.state() == next) {
       return;
@@ -83,19 +83,19 @@
     } else {
       teamUsage.remove(attempt);
     }
-    if (live == 0) { // drops what rounding has left
+    if (live == 0) { // removes rounding errors
       usedCpus = 0;
       usedGpus = 0;
       usedMemoryGb = 0;
     }
   }
 
-  /** Whether nothing that has not ended is on the worker. */
+  /** Whether all attempts on the worker have ended. */
   boolean isEmpty() {
     return live == 0;
   }
 
-  /** Whether some attempt still waits for its image. */
+  /** Whether any attempt is still waiting for its image. */
   boolean isFetching() {
     return beforeImage > 0;
   }
--- a/src/main/java/org/fieldtrestle/worker/CommandAssembler.java
+++ b/src/main/java/org/fieldtrestle/worker/CommandAssembler.java
@@ -7,17 +7,17 @@
 import org.fieldtrestle.protocol.TaskStatus;
 import org.fieldtrestle.protocol.WorkerCommand;
 
-/** Puts together what one worker is to do: stops and clears first, then starts. */
+/** Assembles the commands for a worker: stops and clears first, then starts. */
 final class CommandAssembler {
-  /** Commands of one message at the most. */
+  /** Maximum number of commands in a message. */
   private static final int MAX_COMMANDS = 200;
 
   private CommandAssembler() {}
 
   /**
-   * All commands for a worker, which count as sent from now on.
+   * Returns the commands for a worker, which count as sent from now on.
    *
-   * @param startable decides which of the attempts that are to be started may be
+   * @param startable whether an attempt that is to be started may be started now
    */
   static List<WorkerCommand> assemble(Worker worker, Predicate<TaskAttempt> startable) {
     List<WorkerCommand> commands = new ArrayList<>();
@@ -43,8 +43,9 @@
   private static void addStopsAndClears(Worker worker, List<WorkerCommand> commands) {
     for (TaskAttempt attempt : worker.attempts()) {
       if (!attempt.live()) {
-        // After a clear the worker no longer knows the attempt, so that a late copy of its start
-        // would run it again: only where no such copy can be under way.
+        // After a clear the worker no longer knows the attempt, and a late copy of its start
+        // command would run it again. Clears are therefore sent only if no such copy can be in
+        // flight.
         if (attempt.isClearable() && worker.hasNoCommandInFlight()) {
           commands.add(new WorkerCommand.Clear(attempt.task(), attempt.attempt()));
         }
@@ -76,7 +77,7 @@
     }
   }
 
-  /** Whether there are starts or stops that the worker was not sent yet. */
+  /** Whether there are start or stop commands that were not sent to the worker yet. */
   static boolean hasUnsent(Worker worker) {
     for (TaskAttempt attempt : worker.attempts()) {
       if (attempt.state() == TaskAttempt.State.STARTING
--- a/src/main/java/org/fieldtrestle/worker/DirectCommands.java
+++ b/src/main/java/org/fieldtrestle/worker/DirectCommands.java
@@ -12,16 +12,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends workers at once what would otherwise wait for their next heartbeats. */
+/** Sends commands to workers at once instead of with the answers to their next heartbeats. */
 public final class DirectCommands {
   private static final Logger LOG = LoggerFactory.getLogger(DirectCommands.class);
 
-  /** Heartbeat intervals within which a worker has to answer: the next heartbeat is then due. */
+  /**
+   * Heartbeat intervals within which a worker has to answer, because its next heartbeat is due
+   * then.
+   */
   private static final double TIMEOUT_INTERVALS = 0.8;
 
   private static final int OK = 200;
 
-  /** The worker refuses the command, as its token or incarnation is not the current one. */
+  /** The worker refuses the command because the fencing token or the incarnation is not current. */
   private static final int CONFLICT = 409;
 
   private final ControllerContext context;
@@ -30,7 +33,10 @@
   private final WorkerCommands commands;
   private final HeartbeatProcessor heartbeats;
 
-  /** Sends what is pending in {@code commands}; answers are heartbeats and processed as such. */
+  /**
+   * Creates a sender of the commands that are pending in {@code commands}. The answers are
+   * processed as heartbeats.
+   */
   public DirectCommands(
       ControllerContext context,
       LeadershipTerm term,
@@ -68,7 +74,7 @@
   }
 
   private void send(Worker worker) {
-    // Clears are left for the answer to the next heartbeat, which is never executed late.
+    // Clear commands are left for the answer to the next heartbeat, which is never executed late.
     List<WorkerCommand> toSend = new ArrayList<>(commands.assembleFor(worker));
     toSend.removeIf(command -> command instanceof WorkerCommand.Clear);
     if (toSend.isEmpty()) {
@@ -91,8 +97,9 @@
     if (outcome instanceof Http.NotSent || isProcessed(worker, outcome)) {
       return;
     }
-    // The outcome is unknown: the command may be executed minutes later, as long as token and
-    // incarnation match. A higher token ends that as soon as the worker has seen it.
+    // The outcome is unknown: the command may be executed minutes later as long as its fencing
+    // token and incarnation match. Once the worker has seen a higher token, it no longer executes
+    // the command.
     worker.fencing().raise();
     for (TaskAttempt attempt : worker.attempts()) {
       if (attempt.state() == TaskAttempt.State.STARTING && attempt.isStartSent()) {
@@ -101,7 +108,10 @@
     }
   }
 
-  /** Whether the worker has answered, so that the outcome of the command is known. */
+  /**
+   * Applies the worker's answer; returns whether the worker has answered, so that the outcome of
+   * the command is known.
+   */
   private boolean isProcessed(Worker worker, Http.Outcome outcome) {
     if (!(outcome instanceof Http.Answer answer)
         || (answer.status() != OK && answer.status() != CONFLICT)) {
--- a/src/main/java/org/fieldtrestle/worker/DuplicateAttempts.java
+++ b/src/main/java/org/fieldtrestle/worker/DuplicateAttempts.java
@@ -5,9 +5,9 @@
 import org.fieldtrestle.protocol.TaskId;
 
 /**
- * Tasks that a worker has reported though they are placed on another one. A former leader of the
- * shard that does not know of the end of its term may have started them there. Until they are gone
- * from that worker they must not be started anywhere else.
+ * Tasks that a worker has reported although they were not placed on it. A former leader of the
+ * shard that does not know that its term has ended may have started them there. They must not be
+ * started on any other worker until they are gone from that worker.
  */
 final class DuplicateAttempts {
   private final Map<TaskId, Worker> holders = new HashMap<>();
@@ -16,7 +16,7 @@
     holders.put(task, holder);
   }
 
-  /** Nothing that the worker has reported before counts any more. */
+  /** Forgets everything that the worker has reported before. */
   void forgetWorker(Worker worker) {
     holders.values().removeIf(holder -> holder == worker);
   }
--- a/src/main/java/org/fieldtrestle/worker/FailureHistory.java
+++ b/src/main/java/org/fieldtrestle/worker/FailureHistory.java
@@ -4,28 +4,29 @@
 import java.util.Set;
 import org.fieldtrestle.protocol.TaskId;
 
-/** What speaks against one worker: failures since its last success, and tasks that were slow. */
+/** The evidence that a worker is faulty: failures since its last success, and slow tasks. */
 final class FailureHistory {
   private int failures;
   private final Set<String> failedJobs = new HashSet<>();
   private final Set<TaskId> slowTasks = new HashSet<>();
 
-  /** A task has finished on the worker. */
+  /** Called when a task has finished on the worker. */
   void clearFailures() {
     failures = 0;
     failedJobs.clear();
   }
 
-  /** A task of the job has failed on the worker. */
+  /** Called when a task of the job has failed on the worker. */
   void addFailure(String job) {
     failures++;
     failedJobs.add(job);
   }
 
   /**
-   * The job fails on every worker: its failures say nothing of this one.
+   * Forgets the failures of a job that fails on every worker, as they say nothing about this
+   * worker.
    *
-   * @return whether a task of the job had failed here
+   * @return whether a task of the job had failed on this worker
    */
   boolean dismissJob(String job) {
     if (!failedJobs.remove(job)) {
@@ -39,7 +40,10 @@
     return failures;
   }
 
-  /** Counts a task that takes much longer than its job's others; false if it was counted before. */
+  /**
+   * Counts a task that takes much longer than the other tasks of its job; returns {@code false} if
+   * it was counted before.
+   */
   boolean addSlowTask(TaskId task) {
     return slowTasks.add(task);
   }
--- a/src/main/java/org/fieldtrestle/worker/FencingState.java
+++ b/src/main/java/org/fieldtrestle/worker/FencingState.java
@@ -1,14 +1,17 @@
 package org.fieldtrestle.worker;
 
 /**
- * The fencing token of one worker, and whether a command that was sent to it may still be executed
- * late. A worker ignores commands with a lower token than it has seen.
+ * The fencing token of a worker, and whether a command that was sent to the worker may still be
+ * executed late. A worker ignores commands with a lower token than the highest that it has seen.
  */
 final class FencingState {
   private long token;
   private long seenToken;
 
-  /** No clear and no conclusion from absence before the worker has seen this token. */
+  /**
+   * Until the worker has seen this token, no clear command is sent to it, and the absence of a task
+   * from its reports proves nothing.
+   */
   private long requiredToken;
 
   private boolean directCommandInFlight;
@@ -17,12 +20,12 @@
     token = firstToken;
   }
 
-  /** The token that commands to the worker carry. */
+  /** Returns the token that commands to the worker carry. */
   long token() {
     return token;
   }
 
-  /** The highest token that the worker is known to have seen. */
+  /** Returns the highest token that the worker is known to have seen. */
   long seenToken() {
     return seenToken;
   }
@@ -31,12 +34,15 @@
     seenToken = Math.max(seenToken, shownToken);
   }
 
-  /** The worker has seen a higher token than the one it was sent: it gets that one from now on. */
+  /** Sets the token to a higher one that the worker has seen; commands carry it from now on. */
   void adopt(long shownToken) {
     token = shownToken;
   }
 
-  /** Once the worker has seen the new token, no command sent before it can be executed. */
+  /**
+   * Raises the token. Once the worker has seen the new token, it can't execute any command that was
+   * sent before.
+   */
   void raise() {
     token++;
     requiredToken = token;
@@ -54,7 +60,7 @@
     directCommandInFlight = false;
   }
 
-  /** Whether nothing that was sent can still be executed late. */
+  /** Whether no command that was sent can still be executed late. */
   boolean hasNoCommandInFlight() {
     return !directCommandInFlight && isRequiredTokenSeen();
   }
--- a/src/main/java/org/fieldtrestle/worker/FinishedTasks.java
+++ b/src/main/java/org/fieldtrestle/worker/FinishedTasks.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * The tasks of one range that finished but whose completion is not durable yet. Their attempts stay
- * on the workers, which keep the result, until it is.
+ * The tasks of a range that have finished but whose completion is not durable yet. Until it is
+ * durable, their attempts stay on the workers, which keep the results.
  */
 final class FinishedTasks {
   private final BitSet offsets = new BitSet();
@@ -17,17 +17,17 @@
     offsets.set(offset);
   }
 
-  /** The attempt must not be cleared before its completion is durable. */
+  /** Keeps the attempt from being cleared before its completion is durable. */
   void hold(TaskAttempt attempt) {
     heldAttempts.add(attempt);
   }
 
-  /** The attempt is no longer on its worker. */
+  /** Called when the attempt is no longer on its worker. */
   void drop(TaskAttempt attempt) {
     heldAttempts.remove(attempt);
   }
 
-  /** These tasks are durably done. */
+  /** Called when these tasks are durably done. */
   void followDone(BitSet done) {
     offsets.andNot(done);
     for (TaskAttempt attempt : List.copyOf(heldAttempts)) {
@@ -38,7 +38,10 @@
     }
   }
 
-  /** The job has ended, so that nothing has to be written any more. */
+  /**
+   * Allows all held attempts to be cleared. Called when the job has ended, so that no completion
+   * has to be written any more.
+   */
   void clearAllHeld() {
     for (TaskAttempt attempt : heldAttempts) {
       attempt.markClearable();
@@ -46,7 +49,10 @@
     heldAttempts.clear();
   }
 
-  /** The range is no longer this shard's: its attempts are to be cleared and belong to none. */
+  /**
+   * Called when the range no longer belongs to this shard: its attempts are to be cleared and no
+   * longer belong to a range.
+   */
   void detachAllHeld() {
     for (TaskAttempt attempt : heldAttempts) {
       attempt.detachRange();
--- a/src/main/java/org/fieldtrestle/worker/FreeResources.java
+++ b/src/main/java/org/fieldtrestle/worker/FreeResources.java
@@ -3,9 +3,9 @@
 import org.fieldtrestle.protocol.JobSpec;
 import org.fieldtrestle.protocol.MachineType;
 
-/** What is free on one worker during one placement pass. */
+/** The free resources of a worker during a placement pass. */
 public final class FreeResources {
-  /** Sums of fractions may miss a whole amount by this much. */
+  /** Tolerance for rounding errors in sums of fractions. */
   private static final double ROUNDING = 1e-6;
 
   private final Worker worker;
@@ -14,7 +14,7 @@
   private double gpus;
   private double memoryGb;
 
-  /** These amounts are free; memory is in GB. */
+  /** Creates free resources of these amounts; memory is in GB. */
   public FreeResources(
       Worker worker, MachineType machineType, double cpus, double gpus, double memoryGb) {
     this.worker = worker;
@@ -24,50 +24,51 @@
     this.memoryGb = memoryGb;
   }
 
-  /** Whether a task of the job fits. */
+  /** Whether a task of the job fits into the free resources. */
   public boolean fits(JobSpec spec) {
     return has(spec.cpus(), spec.gpus(), spec.memoryGb());
   }
 
-  /** Whether this much is free; memory is in GB. */
+  /** Whether these amounts are free; memory is in GB. */
   public boolean has(double ofCpus, double ofGpus, double ofMemoryGb) {
     return ofCpus <= cpus + ROUNDING
         && ofGpus <= gpus + ROUNDING
         && ofMemoryGb <= memoryGb + ROUNDING;
   }
 
-  /** A task of the job no longer takes its part. */
+  /** Adds the resources of a task of the job that no longer uses them. */
   public void release(JobSpec spec) {
     cpus += spec.cpus();
     gpus += spec.gpus();
     memoryGb += spec.memoryGb();
   }
 
-  /** A task of the job takes its part. */
+  /** Subtracts the resources of a task of the job. */
   public void take(JobSpec spec) {
     cpus -= spec.cpus();
     gpus -= spec.gpus();
     memoryGb -= spec.memoryGb();
   }
 
-  /** Free CPUs. */
+  /** Returns the free CPUs. */
   public double cpus() {
     return Math.max(0, cpus);
   }
 
-  /** Free GPUs. */
+  /** Returns the free GPUs. */
   public double gpus() {
     return Math.max(0, gpus);
   }
 
-  /** Free memory in GB. */
+  /** Returns the free memory in GB. */
   public double memoryGb() {
     return Math.max(0, memoryGb);
   }
 
   /**
-   * What is left after taking a task of the job, as the sum of the shares of the machine's amounts.
-   * Bin packing takes the worker with the least.
+   * Returns the resources that would be left after placing a task of the job, as the sum of their
+   * fractions of the machine's total amounts. Bin packing selects the worker with the lowest
+   * result.
    */
   public double after(JobSpec spec) {
     return part(cpus - spec.cpus(), machineType.cpus())
@@ -79,12 +80,12 @@
     return of > 0 ? left / of : 0;
   }
 
-  /** The worker's machine type. */
+  /** Returns the worker's machine type. */
   public MachineType machineType() {
     return machineType;
   }
 
-  /** The worker. */
+  /** Returns the worker. */
   public Worker worker() {
     return worker;
   }
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatOrder.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatOrder.java
@@ -3,16 +3,16 @@
 import org.fieldtrestle.protocol.Heartbeat;
 import org.fieldtrestle.protocol.WorkerProtocol;
 
-/** The incarnation of one worker and the order of its messages, which may arrive late or twice. */
+/** The incarnation of a worker and the order of its messages, which may arrive late or twice. */
 final class HeartbeatOrder {
   private static final long NONE = -1;
 
   private long incarnation = NONE;
 
-  /** The last message of the incarnation, an answer to a direct command included. */
+  /** The sequence of the incarnation's last message, including answers to direct commands. */
   private long sequence = NONE;
 
-  /** The last heartbeat of the incarnation, without the answers to direct commands. */
+  /** The sequence of the incarnation's last heartbeat, excluding answers to direct commands. */
   private long heartbeatSequence = NONE;
 
   long incarnation() {
@@ -23,7 +23,7 @@
     return sequence;
   }
 
-  /** Whether any incarnation of the worker was heard of. */
+  /** Whether any incarnation of the worker has reported. */
   boolean hasIncarnation() {
     return incarnation != NONE;
   }
@@ -37,10 +37,10 @@
   }
 
   /**
-   * Whether a heartbeat is a copy of one that came before, or so late that its worker no longer
-   * waits for an answer.
+   * Whether a heartbeat is a copy of an earlier one or so late that the worker no longer waits for
+   * an answer.
    *
-   * @param sinceLastMs time since the last message of the worker
+   * @param sinceLastMs time since the worker's last message, in milliseconds
    */
   boolean isOutdated(Heartbeat heartbeat, long sinceLastMs) {
     if (!isOfIncarnation(heartbeat)) {
--- a/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
+++ b/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
@@ -4,42 +4,46 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether images that a worker fetches at the same time share its bandwidth: the protocol says that
- * they may. This is learned from how long images took that were fetched beside others: the small
- * image of an urgent task takes many times its time beside a large one where bandwidth is shared,
- * and no longer than by itself where it is not.
+ * Learns whether images that a worker fetches at the same time share its bandwidth, which the
+ * protocol allows. The evidence is how long images take that are fetched concurrently. If bandwidth
+ * is shared, the small image of an urgent task takes many times as long beside a large image as it
+ * does alone; otherwise it takes no longer.
  */
 public final class ImageDownloads {
   private static final Logger LOG = LoggerFactory.getLogger(ImageDownloads.class);
 
-  /** Weight of the next observation in the average. */
+  /** Weight of a new observation in the moving average. */
   private static final double WEIGHT = 0.1;
 
-  /** Average multiple of the time by itself from which bandwidth counts as shared. */
+  /**
+   * Bandwidth counts as shared if images take, on average, more than this multiple of the time that
+   * they take alone.
+   */
   private static final double SHARED_FROM = 1.6;
 
-  /** No single observation counts for more, as a worker may hang. */
+  /** Upper limit of a single observation, because a worker may hang. */
   private static final double MAX_OBSERVED = 4;
 
-  /** How long a start command and the heartbeat that shows the task take on average, in s. */
+  /** Average delay of the start command and of the heartbeat that reports the task, in seconds. */
   private final double reportingDelayS;
 
   private double averageMultiple = 1;
 
-  /** Nothing is learned yet: bandwidth counts as not shared. */
+  /** Creates an estimate without observations, by which bandwidth is not shared. */
   public ImageDownloads(double heartbeatIntervalS) {
     this.reportingDelayS = heartbeatIntervalS / 2;
   }
 
   /**
-   * An image that was fetched beside others is there.
+   * Records that an image was fetched concurrently with others.
    *
-   * @param tookS time from the placement of its task to the heartbeat that shows it running
-   * @param aloneS how long the image takes by itself
+   * @param tookS time from the placement of the task to the heartbeat that reports it as running,
+   *     in seconds
+   * @param aloneS how long the image takes if it is fetched alone, in seconds
    */
   void record(double tookS, double aloneS) {
     if (aloneS < reportingDelayS) {
-      return; // the delay of reporting outweighs what is to be measured
+      return; // the reporting delay would dominate the measurement
     }
     boolean wasShared = shared();
     double multiple = Math.min((tookS - reportingDelayS) / aloneS, MAX_OBSERVED);
--- a/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
+++ b/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
@@ -3,7 +3,7 @@
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.state.MachineRecord;
 
-/** Keeps a shard's workers as the machine inventories in the state cache name them. */
+/** Keeps a shard's workers in step with the machine inventories in the state cache. */
 public final class InventoryFollower {
   private final ControllerContext context;
   private final LeadershipTerm term;
@@ -12,7 +12,7 @@
   private final WorkerCommands commands;
   private final ShardEvents events;
 
-  /** Follows nothing before {@link #inherit} is called. */
+  /** Creates a follower that does nothing before {@link #inherit} is called. */
   public InventoryFollower(
       ControllerContext context,
       LeadershipTerm term,
@@ -28,7 +28,10 @@
     this.events = events;
   }
 
-  /** The term begins: what was there before has to be reconciled. */
+  /**
+   * Adds the workers that existed before the term and have to be reconciled. Called when the term
+   * begins.
+   */
   public void inherit() {
     context.stateCache().machines().keySet().forEach(id -> sync(id, true));
     if (context.stateCache().isInventoryDamaged(term.shard())) {
@@ -37,7 +40,7 @@
     }
   }
 
-  /** Follows a change of a machine's record. */
+  /** Applies a change of a machine's record. */
   public void sync(String id) {
     sync(id, false);
   }
@@ -73,7 +76,7 @@
       worker.connection().renewLease(context.now() + term.formerLeaderGraceMs());
     }
     workers.add(worker);
-    // A machine that came up in this term cannot have been given anything before it.
+    // A machine that came up in this term cannot have received commands before the term.
     if (inherited && record.isUp()) {
       workers.addUnreconciled(worker);
     } else {
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -16,20 +16,25 @@
 import org.fieldtrestle.state.Versioned;
 
 /**
- * Turns a job whose tasks are all durably done into its final record, in one transaction. Every
- * range that this relies on is a condition, so that it fails if one of them is not as it was seen.
+ * Replaces a job whose tasks are all durably done by its final record, in one transaction. The
+ * transaction has a condition on every range that it depends on, so that it fails if one of them
+ * has changed.
  */
 public final class JobCompletion {
-  /** Changes of the transaction beside those of the ranges: the job, and its final record. */
+  /**
+   * Changes of the transaction in addition to those of the ranges: the job and its final record.
+   */
   private static final int CHANGES_OF_JOB = 2;
 
   private JobCompletion() {}
 
   /**
-   * What ends the job if all its ranges are complete once {@code key} holds {@code next}, the
-   * removal of that range included. The caller adds the condition on the range itself.
+   * Returns the changes that end the job if all its ranges are complete once {@code key} holds
+   * {@code next}. They include the removal of that range. The caller adds the condition on the
+   * range itself.
    *
-   * @return empty where the job does not end with this, or has too many ranges for a transaction
+   * @return empty if the job does not end with this change or has too many ranges for one
+   *     transaction
    */
   static Optional<Transaction> byLastRange(
       ControllerContext context, StateKey.RangeKey key, RangeRecord next) {
@@ -71,9 +76,10 @@
   }
 
   /**
-   * Ends a job whose ranges all became complete without that any controller saw the last one do so.
+   * Ends a job whose ranges have all become complete although no controller saw the last one
+   * complete.
    *
-   * @return empty where the job is not complete, or has too many ranges for a transaction
+   * @return empty if the job is not complete or has too many ranges for one transaction
    */
   public static Optional<Transaction> ofCompleteJob(ControllerContext context, String jobId) {
     ActiveJob job = context.stateCache().job(jobId);
--- a/src/main/java/org/fieldtrestle/worker/LeaseMonitor.java
+++ b/src/main/java/org/fieldtrestle/worker/LeaseMonitor.java
@@ -3,7 +3,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds the workers whose lease has expired. */
+/** Detects the workers whose lease has expired. */
 public final class LeaseMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseMonitor.class);
 
@@ -11,7 +11,7 @@
   private final WorkerRegistry workers;
   private final TaskOutcomes outcomes;
 
-  /** Watches these workers, whose tasks are lost with their leases. */
+  /** Creates a monitor of these workers. The tasks on a worker are lost when its lease expires. */
   public LeaseMonitor(LeadershipTerm term, WorkerRegistry workers, TaskOutcomes outcomes) {
     this.term = term;
     this.workers = workers;
@@ -19,10 +19,10 @@
   }
 
   /**
-   * Workers that were silent for their whole lease hold nothing any more; but time counts only as
-   * far as the state is followed. A controller that has taken the shard over meanwhile may have
-   * renewed their leases, while this one, cut off from the key-value store, may still act on other
-   * workers for a while.
+   * Expires the leases of workers that were silent for the whole duration of their lease; no task
+   * is on them any more. Time counts only up to the moment up to which the state is known: another
+   * controller that has taken over the shard in the meantime may have renewed the leases, while
+   * this controller, cut off from the key-value store, may still act on other workers for a while.
    */
   public void expireLeases() {
     long leaseMs = workers.leaseExpiryMs();
--- a/src/main/java/org/fieldtrestle/worker/RangeStopState.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeStopState.java
@@ -1,6 +1,6 @@
 package org.fieldtrestle.worker;
 
-/** Why and since when the tasks of a range have to be stopped, as far as the shard was told. */
+/** Why and since when the tasks of a range have to be stopped, as far as the shard knows. */
 final class RangeStopState {
   private static final long NOT_STOPPING = -1;
 
@@ -9,24 +9,26 @@
   private long stoppingSinceMs = NOT_STOPPING;
   private boolean pendingStopsLogged;
 
-  /** Another controller has said that the job is cancelled. */
+  /** Called when another controller has reported that the job is cancelled. */
   void markCancelled() {
     cancelled = true;
   }
 
-  /** The job has ended while its range still has to be removed. */
+  /** Called when the job has ended and its range still has to be removed. */
   void markEnded() {
     ended = true;
   }
 
-  /** The tasks have to be stopped, from this time on where that was not so before. */
+  /**
+   * Records that the tasks have to be stopped from this time on, unless that was recorded before.
+   */
   void markStopping(long nowMs) {
     if (!isStopping()) {
       stoppingSinceMs = nowMs;
     }
   }
 
-  /** The reason for which the tasks are not stopped yet was logged. */
+  /** Called when the reason why tasks are not stopped yet was logged. */
   void markPendingStopsLogged() {
     pendingStopsLogged = true;
   }
@@ -43,7 +45,9 @@
     return stoppingSinceMs != NOT_STOPPING;
   }
 
-  /** Since when the tasks have to be stopped, where they have to be. */
+  /**
+   * Returns since when the tasks have to be stopped; negative if they do not have to be stopped.
+   */
   long stoppingSinceMs() {
     return stoppingSinceMs;
   }
--- a/src/main/java/org/fieldtrestle/worker/Retry.java
+++ b/src/main/java/org/fieldtrestle/worker/Retry.java
@@ -9,22 +9,22 @@
     this.waitingSinceMs = waitingSinceMs;
   }
 
-  /** Since when the task counts as waiting, in ms. */
+  /** Returns since when the task counts as waiting, in milliseconds. */
   public long waitingSince() {
     return waitingSinceMs;
   }
 
-  /** The time before which the task is not started again, in ms. */
+  /** Returns the time before which the task must not be started again, in milliseconds. */
   public long notBefore() {
     return notBeforeMs;
   }
 
-  /** The task counts as waiting from now on. */
+  /** Lets the waiting time of the task start now. */
   void restartWaiting(long nowMs) {
     waitingSinceMs = nowMs;
   }
 
-  /** The task is not to be started again before this time. */
+  /** Delays the next start of the task until this time. */
   void delayUntil(long timeMs) {
     notBeforeMs = timeMs;
   }
--- a/src/main/java/org/fieldtrestle/worker/ShardEvents.java
+++ b/src/main/java/org/fieldtrestle/worker/ShardEvents.java
@@ -1,16 +1,23 @@
 package org.fieldtrestle.worker;
 
-/** What the parts of a shard ask of the actor that runs them, on its thread. */
+/**
+ * Events and requests from the components of a shard to the actor that runs them, on its thread.
+ */
 public interface ShardEvents {
-  /** Something has changed that may let waiting tasks start. */
+  /** Requests a placement pass after a change that may allow waiting tasks to start. */
   void requestPlacementPass();
 
-  /** A task range has come to this shard. */
+  /** Called when a task range was added to this shard. */
   void rangeAdded(TaskRange range);
 
-  /** A worker has reported for the first time and may be given tasks once that is durable. */
+  /**
+   * Called when a worker has reported for the first time. It may be given tasks once that is
+   * durable.
+   */
   void workerUp(String worker);
 
-  /** Commands wait that would otherwise be sent with the answers to the next heartbeats only. */
+  /**
+   * Requests that pending commands are sent now instead of with the answers to the next heartbeats.
+   */
   void sendCommands();
 }
--- a/src/main/java/org/fieldtrestle/worker/StopRequest.java
+++ b/src/main/java/org/fieldtrestle/worker/StopRequest.java
@@ -1,6 +1,6 @@
 package org.fieldtrestle.worker;
 
-/** Whether an attempt is to be stopped, with what grace period, and whether its worker was told. */
+/** Whether an attempt is to be stopped, with what grace period, and whether the worker was told. */
 final class StopRequest {
   private enum State {
     NONE,
@@ -11,13 +11,13 @@
   private State state = State.NONE;
   private double graceS;
 
-  /** The attempt is to be stopped, with so many seconds to save its work. */
+  /** Requests that the attempt is stopped with this grace period for saving its work. */
   void request(double graceSeconds) {
     state = State.PENDING;
     graceS = graceSeconds;
   }
 
-  /** A stop command for the task was sent to the worker. */
+  /** Called when a stop command for the task was sent to the worker. */
   void markSent() {
     if (state == State.PENDING) {
       state = State.SENT;
@@ -28,12 +28,12 @@
     return state != State.NONE;
   }
 
-  /** Whether the attempt is to be stopped without any time to save its work. */
+  /** Whether the attempt is to be stopped without a grace period. */
   boolean isWithoutGrace() {
     return isRequested() && graceS <= 0;
   }
 
-  /** Whether the attempt is to be stopped and the worker was not sent the command yet. */
+  /** Whether the attempt is to be stopped and no stop command was sent to the worker yet. */
   boolean isPending() {
     return state == State.PENDING;
   }
@@ -42,7 +42,10 @@
     return state == State.SENT;
   }
 
-  /** The time for saving its work, in s; 0 where the attempt is not to be stopped. */
+  /**
+   * Returns the grace period for saving the work, in seconds; 0 if the attempt is not to be
+   * stopped.
+   */
   double graceS() {
     return graceS;
   }
--- a/src/main/java/org/fieldtrestle/worker/TeamUsage.java
+++ b/src/main/java/org/fieldtrestle/worker/TeamUsage.java
@@ -3,8 +3,8 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 
 /**
- * What each team's tasks take of one shard's workers. The sums are kept up as tasks come and go, as
- * they are asked for with every task that is to be placed.
+ * The resources that each team's tasks use on the workers of a shard. The sums are updated as
+ * attempts are added and removed because they are read for every task that is to be placed.
  */
 public final class TeamUsage {
   private static final class Sum {
@@ -27,17 +27,17 @@
     sum.cpus -= attempt.cpus();
     sum.gpus -= attempt.gpus();
     if (--sum.tasks == 0) {
-      teams.remove(attempt.team()); // drops what rounding has left
+      teams.remove(attempt.team()); // removes rounding errors
     }
   }
 
-  /** CPUs that the team's tasks take. */
+  /** Returns the CPUs that the team's tasks use. */
   public double cpus(String team) {
     Sum sum = teams.get(team);
     return sum == null ? 0 : sum.cpus;
   }
 
-  /** GPUs that the team's tasks take. */
+  /** Returns the GPUs that the team's tasks use. */
   public double gpus(String team) {
     Sum sum = teams.get(team);
     return sum == null ? 0 : sum.gpus;
--- a/src/main/java/org/fieldtrestle/worker/UnplacedTasks.java
+++ b/src/main/java/org/fieldtrestle/worker/UnplacedTasks.java
@@ -5,23 +5,25 @@
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.BitSet;
 
-/** The tasks of one range that wait, by their offsets in the range. */
+/** The waiting tasks of a range, by their offsets in the range. */
 final class UnplacedTasks {
-  /** Tasks that have not been on a worker in this term. */
+  /** Waiting tasks that have not been on a worker in this term. */
   private final BitSet fresh = new BitSet();
 
   private final Int2ObjectMap<Retry> retries = new Int2ObjectOpenHashMap<>();
 
-  /** How often tasks have failed; outlives their being placed again. */
+  /** How often tasks have failed. The counts are kept when the tasks are placed again. */
   private final Int2IntOpenHashMap failures = new Int2IntOpenHashMap();
 
-  /** Tasks below {@code size}, without those that are done, are fresh. */
+  /**
+   * Creates a set in which the tasks with offsets below {@code size} that are not done are fresh.
+   */
   UnplacedTasks(int size, BitSet done) {
     fresh.set(0, size);
     fresh.andNot(done);
   }
 
-  /** The range ends at {@code size} now, and these tasks of it are done. */
+  /** Applies a new size of the range and the tasks of it that are done. */
   void follow(int size, BitSet done) {
     clearFrom(size, fresh);
     fresh.andNot(done);
@@ -40,7 +42,7 @@
     retries.put(offset, retry);
   }
 
-  /** These tasks wait again as if they had never been on a worker. */
+  /** Adds tasks that wait again as if they had never been on a worker. */
   void addFresh(BitSet tasks) {
     fresh.or(tasks);
   }
@@ -50,7 +52,7 @@
     tasks.stream().forEach(retries::remove);
   }
 
-  /** Counts a failure of the task; returns how often it has failed. */
+  /** Counts a failure of the task; returns how often the task has failed. */
   int countFailure(int offset) {
     return failures.addTo(offset, 1) + 1;
   }
@@ -64,12 +66,12 @@
     return true;
   }
 
-  /** Whether the task waits and has never failed. */
+  /** Whether the task is waiting and has never failed. */
   boolean hasUnfailed(int offset) {
     return fresh.get(offset) || (retries.containsKey(offset) && !failures.containsKey(offset));
   }
 
-  /** The offset of some task that waits, or {@link TaskRange#NO_TASK}. */
+  /** Returns the offset of a waiting task, or {@link TaskRange#NO_TASK}. */
   int first() {
     if (!fresh.isEmpty()) {
       return fresh.nextSetBit(0);
--- a/src/main/java/org/fieldtrestle/worker/WorkerConnection.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerConnection.java
@@ -3,24 +3,28 @@
 import org.fieldtrestle.protocol.Heartbeat;
 
 /**
- * What the messages of one worker say about itself: its incarnation and lease, the fencing token it
- * has seen, and whether it receives answers. Times are in ms.
+ * The state that the messages of a worker report about the worker itself: its incarnation and
+ * lease, the fencing token that it has seen, and whether it receives answers. Times are in
+ * milliseconds.
  */
 final class WorkerConnection {
   private static final long NEVER = -1;
 
-  /** Heartbeats in a row without what their answers started, after which it is unresponsive. */
+  /**
+   * Number of heartbeats in a row without the tasks that their answers started, after which the
+   * worker counts as unresponsive.
+   */
   private static final int UNRESPONSIVE_AFTER = 2;
 
   private final HeartbeatOrder order = new HeartbeatOrder();
   private final FencingState fencing;
 
-  /** The address that the worker reported last. */
+  /** The address that the worker has reported last. */
   private String address = "";
 
   private long lastHeartbeatAtMs = NEVER;
 
-  /** When the lease was renewed last, or may have been by the leader before. */
+  /** When the lease was last renewed, or may have been renewed by the former leader. */
   private long leaseRenewedAtMs;
 
   private boolean leaseExpired;
@@ -29,16 +33,16 @@
   private long unresponsiveSinceMs = NEVER;
 
   /**
-   * A worker that has not reported yet.
+   * Creates the state of a worker that has not reported yet.
    *
-   * @param firstToken the fencing token that it is sent first
+   * @param firstToken the first fencing token that is sent to the worker
    */
   WorkerConnection(long firstToken, long nowMs) {
     this.fencing = new FencingState(firstToken);
     this.leaseRenewedAtMs = nowMs;
   }
 
-  /** A message that is newer than all before was received. */
+  /** Called when a message was received that is newer than all previous ones. */
   void acceptMessage(Heartbeat message, long nowMs) {
     lastHeartbeatAtMs = nowMs;
     leaseExpired = false;
@@ -47,26 +51,30 @@
     fencing.markSeen(message.fencingToken());
   }
 
-  /** What is on the worker is known: it has reported having seen this term's token. */
+  /**
+   * Records that the tasks on the worker are known, because it has reported this term's fencing
+   * token.
+   */
   void markReconciled() {
     reconciled = true;
   }
 
-  /** The lease runs at least from this time. */
+  /** Records that the lease runs from this time or a later one. */
   void renewLease(long timeMs) {
     leaseRenewedAtMs = Math.max(leaseRenewedAtMs, timeMs);
   }
 
-  /** The lease has expired: nothing is on the worker until it reports again. */
+  /** Records that the lease has expired: no task is on the worker until it reports again. */
   void expireLease() {
     leaseExpired = true;
   }
 
   /**
-   * Counts an answer after which the tasks that it started were not reported. After two of them in
-   * a row the worker counts as unresponsive, and gets a higher token to show.
+   * Counts an answer after which the worker did not report the tasks that the answer had started.
+   * After two such answers in a row, the worker counts as unresponsive and is sent a higher fencing
+   * token.
    *
-   * @return whether it counts as unresponsive from now on
+   * @return whether the worker counts as unresponsive from now on
    */
   boolean countUnacknowledgedAnswer(long nowMs) {
     if (++unacknowledgedAnswers < UNRESPONSIVE_AFTER) {
@@ -77,7 +85,7 @@
     return true;
   }
 
-  /** The worker has shown that it receives answers. */
+  /** Called when the worker has shown that it receives answers. */
   void markResponsive() {
     unresponsiveSinceMs = NEVER;
     unacknowledgedAnswers = 0;
@@ -99,7 +107,7 @@
     return lastHeartbeatAtMs != NEVER;
   }
 
-  /** When the worker reported last; below 0 where it has not. */
+  /** Returns when the worker last reported; negative if it has not reported. */
   long lastHeartbeatAtMs() {
     return lastHeartbeatAtMs;
   }
--- a/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
@@ -10,12 +10,14 @@
 import org.fieldtrestle.context.ControllerContext;
 import org.fieldtrestle.protocol.MachineType;
 
-/** A shard's workers by their names, and the questions about them that concern the whole shard. */
+/** The workers of a shard by their ids, and queries about them that concern the whole shard. */
 public final class WorkerRegistry {
-  /** Heartbeat intervals without a heartbeat after which a worker gets no new tasks. */
+  /** Number of heartbeat intervals without a heartbeat after which a worker gets no new tasks. */
   private static final double USABLE_WITHIN_INTERVALS = 2.5;
 
-  /** Heartbeat intervals by which the expiry of a lease is counted late, for delays on the way. */
+  /**
+   * Heartbeat intervals by which a lease is assumed to last longer, to allow for network delays.
+   */
   private static final double LEASE_MARGIN_INTERVALS = 0.2;
 
   private final LeadershipTerm term;
@@ -24,40 +26,41 @@
   private final TeamUsage usage = new TeamUsage();
   private final DuplicateAttempts duplicates = new DuplicateAttempts();
 
-  /** Workers that may hold tasks of an earlier term and have not reported in this one. */
+  /** Workers that may hold tasks of an earlier term and have not reported in this term. */
   private final Set<Worker> unreconciled = new LinkedHashSet<>();
 
   /**
-   * Since when workers could be heard without a break, in ms. A controller that stood still, or
-   * that was not entitled to answer, has heard no worker: their silence before says nothing.
+   * Since when this controller has been able to hear workers without interruption, in milliseconds.
+   * A controller that was suspended or was not entitled to answer has heard no worker, so that the
+   * workers' silence before this time proves nothing.
    */
   private long listeningSinceMs;
 
-  /** Until when there may be workers that are not known, as their record is damaged, in ms. */
+  /** Until when there may be unknown workers because their record is damaged, in milliseconds. */
   private long unknownWorkersUntilMs;
 
-  /** A registry without workers; {@link InventoryFollower} adds them. */
+  /** Creates a registry without workers; {@link InventoryFollower} adds them. */
   public WorkerRegistry(ControllerContext context, LeadershipTerm term) {
     this.context = context;
     this.term = term;
   }
 
-  /** All workers in the order of their names. */
+  /** Returns all workers in the order of their ids. */
   public Iterable<Worker> all() {
     return workers.values();
   }
 
-  /** How many workers there are. */
+  /** Returns the number of workers. */
   public int count() {
     return workers.size();
   }
 
-  /** The worker of this name; null where the shard has none. */
+  /** Returns the worker with this id, or {@code null} if the shard has none. */
   public Worker get(String id) {
     return workers.get(id);
   }
 
-  /** What each team's tasks take of these workers. */
+  /** Returns the resources that each team's tasks use on these workers. */
   public TeamUsage usage() {
     return usage;
   }
@@ -71,7 +74,7 @@
     return duplicates.contains(range, offset);
   }
 
-  /** Removes the entries of workers that there are no longer. */
+  /** Removes the entries of workers that no longer exist. */
   public void forgetMissing(Map<String, ?> byWorker) {
     byWorker.keySet().retainAll(workers.keySet());
   }
@@ -100,12 +103,15 @@
     unreconciled.remove(worker);
   }
 
-  /** There may be workers that no readable record names until this time, in ms. */
+  /**
+   * Records that, until this time in milliseconds, there may be workers that no readable record
+   * names.
+   */
   void expectUnknownWorkersUntil(long timeMs) {
     unknownWorkersUntilMs = timeMs;
   }
 
-  /** Workers that may hold tasks which an earlier term has started. */
+  /** Returns the workers that may hold tasks which an earlier term has started. */
   public List<Worker> unreconciled() {
     List<Worker> all = new ArrayList<>();
     for (Worker worker : unreconciled) {
@@ -135,7 +141,9 @@
 
   // ---- which workers may get what
 
-  /** Whether the worker may be sent commands, as it has shown this term's token. */
+  /**
+   * Whether commands may be sent to the worker because it has reported this term's fencing token.
+   */
   boolean mayReceiveCommands(Worker worker) {
     return worker.isReconciled() && hasSeenTermToken(worker);
   }
@@ -163,7 +171,7 @@
             <= context.heartbeatIntervalsMs(USABLE_WITHIN_INTERVALS);
   }
 
-  /** CPUs of all workers that are or will be of use. */
+  /** Returns the CPUs of all workers that are neither draining nor have an expired lease. */
   public double capacity() {
     double cpus = 0;
     for (Worker worker : workers.values()) {
@@ -175,7 +183,7 @@
     return cpus;
   }
 
-  /** What is free on each worker on which new tasks may be placed. */
+  /** Returns the free resources of each worker on which new tasks may be placed. */
   public List<FreeResources> freeResources(long nowMs) {
     List<FreeResources> all = new ArrayList<>();
     for (Worker worker : workers.values()) {
@@ -191,24 +199,35 @@
 
   // ---- silence and leases
 
-  /** No worker could be heard until now. */
+  /** Called when no worker could be heard until now. */
   public void restartListening(long nowMs) {
     listeningSinceMs = nowMs;
   }
 
-  /** For how long a worker has said nothing though it would have been heard, in ms. */
+  /**
+   * Returns for how long a worker has been silent while this controller could hear it, in
+   * milliseconds.
+   */
   public long silentFor(Worker worker, long nowMs) {
     WorkerConnection connection = worker.connection();
     long heardAtMs = Math.max(connection.lastHeartbeatAtMs(), connection.leaseRenewedAtMs());
     return nowMs - Math.max(heardAtMs, listeningSinceMs);
   }
 
-  /** For how long something has been as it is while workers could have shown otherwise, in ms. */
+  /**
+   * Returns for how long a condition has lasted while this controller could hear workers, in
+   * milliseconds.
+   *
+   * @param sinceMs the beginning of the condition
+   */
   public long listenedFor(long sinceMs, long nowMs) {
     return nowMs - Math.max(sinceMs, listeningSinceMs);
   }
 
-  /** Time without an answer of this controller after which nothing is on a worker, in ms. */
+  /**
+   * Returns the time without an answer of this controller after which no task is on a worker any
+   * more, in milliseconds.
+   */
   long leaseExpiryMs() {
     return Math.round(context.settings().workerLeaseMs() * (1 + Settings.CLOCK_DRIFT))
         + context.heartbeatIntervalsMs(LEASE_MARGIN_INTERVALS);
--- a/src/main/java/org/fieldtrestle/worker/WriteSchedule.java
+++ b/src/main/java/org/fieldtrestle/worker/WriteSchedule.java
@@ -7,12 +7,12 @@
   private boolean inProgress;
   private long atMs = NOT_SCHEDULED;
 
-  /** A write is under way; no other may begin. */
+  /** Called when a write begins; no other write may begin before it has ended. */
   void begin() {
     inProgress = true;
   }
 
-  /** The write is over, whatever came of it. */
+  /** Called when the write has ended, with any outcome. */
   void end() {
     inProgress = false;
   }
@@ -21,14 +21,14 @@
     return inProgress;
   }
 
-  /** Progress is to be written at this time, or earlier where that was scheduled before. */
+  /** Schedules a write of the progress at this time, unless one is already scheduled. */
   void scheduleAt(long timeMs) {
     if (atMs == NOT_SCHEDULED) {
       atMs = timeMs;
     }
   }
 
-  /** The progress so far is part of a write that begins now. */
+  /** Cancels the scheduled write. Called when a write begins that includes the progress so far. */
   void cancelScheduled() {
     atMs = NOT_SCHEDULED;
   }
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -15,7 +15,7 @@
 import org.fieldtrestle.state.StateKeys;
 import org.junit.jupiter.api.Test;
 
-/** Each reason for which a task may not be started or has to be stopped, by itself. */
+/** Tests each reason why a task may not be started or must be stopped in isolation. */
 class CommandPolicyTest {
   private final ShardLeaderFixture fixture = new ShardLeaderFixture();
   private final CommandPolicy policy = fixture.policy();
@@ -36,7 +36,7 @@
     assertTrue(policy.mustStop(range));
   }
 
-  /** The range's record may be written later than the job's end, in a transaction of its own. */
+  /** The range's record may be written later than the job's end, in a separate transaction. */
   @Test
   void aJobThatWasSeenAndIsAbsentHasEndedWhateverTheVersionOfItsRange() {
     range.followRecord(range.record(), ShardLeaderFixture.LATER_REVISION * 2);
--- a/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
+++ b/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
@@ -8,11 +8,11 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.LongRange;
 
-/** Whether images share bandwidth is learned from how long they take. */
+/** Verifies that the sharing of bandwidth is learned from the durations of image downloads. */
 class ImageDownloadsTest {
   /**
-   * Images arrive after this multiple of their time by themselves, by a third more or less, and the
-   * delay of up to a heartbeat interval by which workers report them late.
+   * Records images whose download takes {@code times} their time alone, varied by up to a third,
+   * plus the delay of up to a heartbeat interval with which workers report them.
    */
   private static void images(
       ImageDownloads downloads, SplittableRandom random, double aloneS, double times) {
