--- a/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
@@ -82,11 +82,11 @@
   boolean isUnresponsive(Worker worker, long nowMs) {
     long leaseMs = context.settings().workerLeaseMs();
     if (worker.isUnresponsive()) {
-      return workers.listenedFor(worker.unresponsiveSince(), nowMs) > leaseMs / 2;
+      return workers.listenedFor(worker.unresponsiveSinceMs(), nowMs) > leaseMs / 2;
     }
     return !worker.isReconciled()
         && worker.hasReported()
-        && workers.listenedFor(worker.since(), nowMs)
+        && workers.listenedFor(worker.knownSinceMs(), nowMs)
             > leaseMs + context.heartbeatIntervalsMs(RECONCILIATION_HEARTBEATS);
   }
 
--- a/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
@@ -68,7 +68,7 @@
     if (worker.isUp()
         && worker.isReconciled()
         && worker.empty()
-        && workers.listenedFor(worker.idleSince(), nowMs) > maxIdleMs(worker, type, fleet)) {
+        && workers.listenedFor(worker.idleSinceMs(), nowMs) > maxIdleMs(worker, type, fleet)) {
       MachineHealth.drain(worker, worker.isCordoned() ? "not needed" : "idle");
     }
   }
@@ -178,7 +178,7 @@
     if (worker.hasSpotNotice()) {
       // It is charged until the cloud takes it back, and may finish its tasks until then.
       return worker.empty()
-          || (nowMs > worker.spotNoticeUntil() + context.heartbeatIntervalsMs(1)
+          || (nowMs > worker.spotNoticeUntilMs() + context.heartbeatIntervalsMs(1)
               && health.isSilent(worker, nowMs));
     }
     return (worker.empty() && worker.hasNoCommandInFlight())
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -84,7 +84,7 @@
   }
 
   /** Returns since when this controller has known the worker, in milliseconds. */
-  public long since() {
+  public long knownSinceMs() {
     return knownSinceMs;
   }
 
@@ -138,7 +138,7 @@
    * Returns since when the worker has been unresponsive, in milliseconds; negative if it is
    * responsive.
    */
-  public long unresponsiveSince() {
+  public long unresponsiveSinceMs() {
     return connection.unresponsiveSinceMs();
   }
 
--- a/src/main/java/org/fieldtrestle/worker/WorkerLifecycle.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerLifecycle.java
@@ -142,7 +142,7 @@
   }
 
   /** Returns when the cloud takes the machine back, in milliseconds; negative without a notice. */
-  public long spotNoticeUntil() {
+  public long spotNoticeUntilMs() {
     return spotNoticeUntilMs;
   }
 
@@ -157,7 +157,7 @@
   }
 
   /** Returns when the worker last had a task or came up, in milliseconds. */
-  public long idleSince() {
+  public long idleSinceMs() {
     return idleSinceMs;
   }
 }
