--- a/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
@@ -67,7 +67,7 @@
   void drainIfIdle(Worker worker, MachineType type, FleetStatus fleet, long nowMs) {
     if (worker.isUp()
         && worker.isReconciled()
-        && worker.empty()
+        && worker.isEmpty()
         && workers.listenedFor(worker.idleSinceMs(), nowMs) > maxIdleMs(worker, type, fleet)) {
       MachineHealth.drain(worker, worker.isCordoned() ? "not needed" : "idle");
     }
@@ -177,11 +177,11 @@
   private boolean mayBeReturned(Worker worker, long nowMs) {
     if (worker.hasSpotNotice()) {
       // It is charged until the cloud takes it back, and may finish its tasks until then.
-      return worker.empty()
+      return worker.isEmpty()
           || (nowMs > worker.spotNoticeUntilMs() + context.heartbeatIntervalsMs(1)
               && health.isSilent(worker, nowMs));
     }
-    return (worker.empty() && worker.hasNoCommandInFlight())
+    return (worker.isEmpty() && worker.hasNoCommandInFlight())
         || worker.isLeaseExpired()
         || health.isSilent(worker, nowMs)
         || health.isUnresponsive(worker, nowMs);
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -165,7 +165,7 @@
       PlacementPass pass, WaitingTasks tasks, Worker worker, boolean preferImage) {
     TaskRange range = tasks.range();
     if (worker.hasImage(range.spec().image())
-        || worker.claimedBy(range, pass.nowMs())
+        || worker.isClaimedBy(range, pass.nowMs())
         || tasks.overdue()) {
       return false;
     }
--- a/src/main/java/org/fieldtrestle/scheduling/WorkerSelector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WorkerSelector.java
@@ -31,12 +31,12 @@
     double bestLeft = 0;
     for (FreeResources free : pass.candidates()) {
       Worker worker = free.worker();
-      if (!free.fits(spec) || worker.claimedFrom(range, pass.nowMs())) {
+      if (!free.fits(spec) || worker.isClaimedAheadOf(range, pass.nowMs())) {
         continue;
       }
       boolean hasImage = worker.hasImage(spec.image());
       boolean fetchIsUnwanted =
-          !concurrentFetch && worker.fetching() && !worker.claimedBy(range, pass.nowMs());
+          !concurrentFetch && worker.isFetchingImage() && !worker.isClaimedBy(range, pass.nowMs());
       if (!hasImage && (bestHasImage || fetchIsUnwanted)) {
         continue;
       }
@@ -66,8 +66,8 @@
     if (worker.isCordoned() != best.isCordoned()) {
       return best.isCordoned();
     }
-    if (!hasImage && worker.fetching() != best.fetching()) {
-      return best.fetching();
+    if (!hasImage && worker.isFetchingImage() != best.isFetchingImage()) {
+      return best.isFetchingImage();
     }
     return worker.isSpot() != best.isSpot() ? worker.isSpot() : left < bestLeft;
   }
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -55,14 +55,14 @@
     JobSpec spec = range.spec();
     MachineType type = context.type(worker.machineType());
     boolean fetches = !worker.hasImage(spec.image());
-    if (fetches && worker.fetching()) {
+    if (fetches && worker.isFetchingImage()) {
       attempt.expectConcurrentFetch(type.imageFetchS(spec));
     }
     worker.put(attempt);
     range.place(offset, attempt);
     worker.markBusy(now);
     commands.addPending(worker);
-    worker.usesImage(spec.image(), spec.imageGb(), type.cacheGb());
+    worker.recordImageUse(spec.image(), spec.imageGb(), type.cacheGb());
     countPlacement(fetches, waitedMs);
     logFirstStart(attempt);
     LOG.debug("task {} placed after {} ms, fetches its image: {}", attempt, waitedMs, fetches);
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
@@ -140,7 +140,7 @@
       LOG.debug("worker {} is reconciled, {} tasks", worker.id(), heartbeat.tasks().size());
     }
     changed |= reconciler.reconcile(worker, heartbeat);
-    if (!worker.empty()) {
+    if (!worker.isEmpty()) {
       worker.markBusy(now);
     }
     if (changed) {
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -216,7 +216,7 @@
     MachineType type = context.type(attempt.worker().machineType());
     JobSpec spec = attempt.range().spec();
     if (type != null) {
-      attempt.worker().usesImage(spec.image(), spec.imageGb(), type.cacheGb());
+      attempt.worker().recordImageUse(spec.image(), spec.imageGb(), type.cacheGb());
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -205,12 +205,12 @@
   }
 
   /** Whether a task on the worker is still waiting for its image. */
-  public boolean fetching() {
+  public boolean isFetchingImage() {
     return attempts.isFetching();
   }
 
   /** Whether all attempts on the worker have ended. */
-  public boolean empty() {
+  public boolean isEmpty() {
     return attempts.isEmpty();
   }
 
@@ -227,7 +227,7 @@
   // ---- images and claims
 
   /** Records that a task with this image was placed on the worker or is there; sizes are in GB. */
-  public void usesImage(String image, double gb, double cacheGb) {
+  public void recordImageUse(String image, double gb, double cacheGb) {
     images.use(image, gb, cacheGb);
   }
 
@@ -246,12 +246,12 @@
   }
 
   /** Whether resources on the worker are reserved for the range. */
-  public boolean claimedBy(TaskRange range, long nowMs) {
+  public boolean isClaimedBy(TaskRange range, long nowMs) {
     return claim == range && nowMs < claimUntilMs;
   }
 
   /** Whether resources on the worker are reserved for another range that takes precedence. */
-  public boolean claimedFrom(TaskRange range, long nowMs) {
+  public boolean isClaimedAheadOf(TaskRange range, long nowMs) {
     return claim != null
         && claim != range
         && nowMs < claimUntilMs
