--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -178,7 +178,7 @@
   private static double addBusyS(double sumS, Worker worker, MachineType type, long nowMs) {
     double busyS = sumS;
     for (TaskAttempt task : worker.attempts()) {
-      if (task.live() && task.range() != null && task.range().spec() != null) {
+      if (task.isLive() && task.range() != null && task.range().spec() != null) {
         busyS +=
             Math.max(MIN_REMAINING_S, remainingS(task, type, nowMs))
                 / type.tasksPerMachine(task.range().spec());
@@ -190,9 +190,9 @@
   private static double remainingS(TaskAttempt task, MachineType type, long nowMs) {
     JobSpec spec = task.range().spec();
     double fetchS =
-        task.runningSince() >= 0
+        task.runningSinceMs() >= 0
             ? 0
-            : Math.max(0, type.imageFetchS(spec) - (nowMs - task.placedAt()) / 1000.0);
+            : Math.max(0, type.imageFetchS(spec) - (nowMs - task.placedAtMs()) / 1000.0);
     return fetchS + task.remainingS(nowMs, spec.estimateS());
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -120,7 +120,7 @@
   private static double slotsFor(Worker worker, MachineType type, JobSpec spec) {
     double otherCpus = 0;
     for (TaskAttempt task : worker.attempts()) {
-      if (task.live() && !usesImage(task, spec.image())) {
+      if (task.isLive() && !usesImage(task, spec.image())) {
         otherCpus += task.cpus();
       }
     }
--- a/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
+++ b/src/main/java/org/fieldtrestle/scheduling/Preemptor.java
@@ -106,7 +106,7 @@
     for (Worker worker : workers.all()) {
       if (workers.isUsable(worker, nowMs)) {
         for (TaskAttempt task : worker.attempts()) {
-          if (task.live() && task.isStopping()) {
+          if (task.isLive() && task.isStopping()) {
             demand.subtractStopping(task.cpus());
           }
         }
@@ -116,7 +116,7 @@
 
   private static boolean hasStoppingTask(Worker worker) {
     for (TaskAttempt task : worker.attempts()) {
-      if (task.live() && task.isStopping()) {
+      if (task.isLive() && task.isStopping()) {
         return true;
       }
     }
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -187,7 +187,7 @@
     TaskRange range = tasks.range();
     int offset = tasks.firstOffset();
     decisions.place(range, offset, free.worker(), decisions.nextAttempt());
-    range.placed().get(offset).exemptFromPreemption(tasks.overdue());
+    range.placed().get(offset).setExemptFromPreemption(tasks.overdue());
     pass.placed(free, range.spec());
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/VictimSelector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/VictimSelector.java
@@ -80,7 +80,7 @@
   }
 
   private static boolean mayBeStopped(TaskAttempt task) {
-    return task.live()
+    return task.isLive()
         && !task.isExemptFromPreemption()
         && task.range() != null
         && task.range().spec() != null;
@@ -88,6 +88,6 @@
 
   /** Seconds since a task was placed: a fetch of its image is work that would be lost too. */
   private static double elapsedS(TaskAttempt task, long nowMs) {
-    return (nowMs - task.placedAt()) / 1000.0;
+    return (nowMs - task.placedAtMs()) / 1000.0;
   }
 }
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -56,7 +56,7 @@
     MachineType type = context.type(worker.machineType());
     boolean fetches = !worker.hasImage(spec.image());
     if (fetches && worker.isFetchingImage()) {
-      attempt.expectConcurrentFetch(type.imageFetchS(spec));
+      attempt.markConcurrentFetch(type.imageFetchS(spec));
     }
     worker.put(attempt);
     range.place(offset, attempt);
--- a/src/main/java/org/fieldtrestle/shard/ShardLog.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLog.java
@@ -77,7 +77,7 @@
   private static double notRunningCpus(Worker worker) {
     double cpus = 0;
     for (TaskAttempt attempt : worker.attempts()) {
-      if (attempt.live() && !attempt.hasRun()) {
+      if (attempt.isLive() && !attempt.hasRun()) {
         cpus += attempt.cpus();
       }
     }
--- a/src/main/java/org/fieldtrestle/worker/AttemptTable.java
+++ b/src/main/java/org/fieldtrestle/worker/AttemptTable.java
@@ -70,7 +70,7 @@
   }
 
   private void count(TaskAttempt attempt, int sign) {
-    if (!attempt.live()) {
+    if (!attempt.isLive()) {
       return;
     }
     live += sign;
--- a/src/main/java/org/fieldtrestle/worker/CommandAssembler.java
+++ b/src/main/java/org/fieldtrestle/worker/CommandAssembler.java
@@ -42,15 +42,16 @@
 
   private static void addStopsAndClears(Worker worker, List<WorkerCommand> commands) {
     for (TaskAttempt attempt : worker.attempts()) {
-      if (!attempt.live()) {
+      if (!attempt.isLive()) {
         // After a clear the worker no longer knows the attempt, and a late copy of its start
         // command would run it again. Clears are therefore sent only if no such copy can be in
         // flight.
         if (attempt.isClearable() && worker.hasNoCommandInFlight()) {
-          commands.add(new WorkerCommand.Clear(attempt.task(), attempt.attempt()));
+          commands.add(new WorkerCommand.Clear(attempt.task(), attempt.attemptNumber()));
         }
       } else if (attempt.isStopping()) {
-        commands.add(new WorkerCommand.Stop(attempt.task(), attempt.attempt(), attempt.graceS()));
+        commands.add(
+            new WorkerCommand.Stop(attempt.task(), attempt.attemptNumber(), attempt.graceS()));
       }
     }
   }
@@ -61,7 +62,7 @@
       if (attempt.state() == TaskAttempt.State.STARTING
           && !attempt.isStopping()
           && startable.test(attempt)) {
-        commands.add(new WorkerCommand.Start(attempt.task(), attempt.attempt()));
+        commands.add(new WorkerCommand.Start(attempt.task(), attempt.attemptNumber()));
       }
     }
   }
@@ -85,7 +86,7 @@
           && !attempt.isStopping()) {
         return true;
       }
-      if (attempt.stopRequest().isPending() && attempt.live()) {
+      if (attempt.stopRequest().isPending() && attempt.isLive()) {
         return true;
       }
     }
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
@@ -207,7 +207,7 @@
           .log("spot notice");
     }
     for (TaskAttempt attempt : worker.copyOfAttempts()) {
-      if (attempt.live()
+      if (attempt.isLive()
           && !attempt.isStopping()
           && attempt.range() != null
           && attempt.range().spec() != null) {
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -51,7 +51,7 @@
     workers.duplicates().forgetWorker(worker);
     for (TaskStatus reported : heartbeat.tasks()) {
       TaskAttempt attempt = worker.attempt(reported.task());
-      if (attempt == null || attempt.attempt() != reported.attempt()) {
+      if (attempt == null || attempt.attemptNumber() != reported.attempt()) {
         attempt = discover(worker, reported, attempt);
         changed |= attempt != null;
       }
@@ -80,7 +80,7 @@
       if (attempt.isShownIn(sequence)) {
         continue;
       }
-      if (!attempt.live()) {
+      if (!attempt.isLive()) {
         if (attempt.isClearable()) {
           worker.remove(attempt);
         }
@@ -187,7 +187,7 @@
       }
       case SAVING -> worker.changeState(attempt, TaskAttempt.State.SAVING);
       case EXITED -> {
-        if (attempt.live()) {
+        if (attempt.isLive()) {
           worker.changeState(attempt, TaskAttempt.State.EXITED);
           attempt.recordExit(reported.cause());
           outcomes.exited(attempt);
@@ -205,12 +205,12 @@
     long now = context.now();
     attempt.markRunning(now);
     if (attempt.concurrentFetchAloneS() > 0) {
-      downloads.record((now - attempt.placedAt()) / 1000.0, attempt.concurrentFetchAloneS());
+      downloads.record((now - attempt.placedAtMs()) / 1000.0, attempt.concurrentFetchAloneS());
     }
   }
 
   private void noteImage(TaskAttempt attempt) {
-    if (attempt.range() == null || attempt.range().spec() == null || !attempt.live()) {
+    if (attempt.range() == null || attempt.range().spec() == null || !attempt.isLive()) {
       return;
     }
     MachineType type = context.type(attempt.worker().machineType());
--- a/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
@@ -30,7 +30,7 @@
   private static final long NOT_RUNNING = -1;
 
   private final TaskId task;
-  private final long attempt;
+  private final long attemptNumber;
   private final Worker worker;
 
   /**
@@ -74,9 +74,9 @@
    * @param waitedS for how long the task had waited before, in seconds
    */
   public TaskAttempt(
-      TaskId task, long attempt, Worker worker, TaskRange range, long nowMs, double waitedS) {
+      TaskId task, long attemptNumber, Worker worker, TaskRange range, long nowMs, double waitedS) {
     this.task = task;
-    this.attempt = attempt;
+    this.attemptNumber = attemptNumber;
     this.worker = worker;
     this.range = range;
     this.team = range.record().team();
@@ -151,7 +151,7 @@
    * long to begin is exempt: it has run for so short a time that a burst of tasks of a higher
    * priority would otherwise preempt it right after its placement.
    */
-  public void exemptFromPreemption(boolean exempt) {
+  public void setExemptFromPreemption(boolean exempt) {
     exemptFromPreemption = exempt;
   }
 
@@ -160,7 +160,7 @@
    *
    * @param aloneS how long the image would take to fetch alone, in seconds
    */
-  public void expectConcurrentFetch(double aloneS) {
+  public void markConcurrentFetch(double aloneS) {
     concurrentFetchAloneS = aloneS;
   }
 
@@ -172,7 +172,7 @@
   }
 
   /** Whether the attempt has not ended. */
-  public boolean live() {
+  public boolean isLive() {
     return state != State.EXITED;
   }
 
@@ -217,7 +217,7 @@
   }
 
   /** Returns since when the task has been running, in milliseconds; negative if it has not run. */
-  public long runningSince() {
+  public long runningSinceMs() {
     return runningSinceMs;
   }
 
@@ -244,7 +244,7 @@
   }
 
   /** Returns when the attempt was placed or discovered, in milliseconds. */
-  public long placedAt() {
+  public long placedAtMs() {
     return placedAtMs;
   }
 
@@ -276,8 +276,8 @@
   }
 
   /** Returns the number of this attempt. */
-  public long attempt() {
-    return attempt;
+  public long attemptNumber() {
+    return attemptNumber;
   }
 
   /** Returns the task's range, or {@code null} once the range no longer belongs to this shard. */
@@ -314,6 +314,6 @@
 
   @Override
   public String toString() {
-    return task + "." + attempt + "@" + worker.id();
+    return task + "." + attemptNumber + "@" + worker.id();
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
@@ -113,7 +113,7 @@
     int lost = 0;
     for (TaskAttempt attempt : worker.copyOfAttempts()) {
       if (machineGone || attempt.incarnation() != worker.incarnation()) {
-        if (attempt.live()) {
+        if (attempt.isLive()) {
           lost++;
         }
         gone(attempt);
--- a/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
@@ -72,7 +72,7 @@
   }
 
   private boolean mustStop(TaskAttempt attempt) {
-    return attempt.live()
+    return attempt.isLive()
         && !attempt.stopRequest().isWithoutGrace()
         && attempt.range() != null
         && policy.mustStop(attempt.range());
@@ -88,7 +88,7 @@
    * @param graceS the grace period in seconds; a second stop can only shorten it
    */
   public void stop(TaskAttempt attempt, double graceS) {
-    if (!attempt.live() || (attempt.isStopping() && attempt.graceS() <= graceS)) {
+    if (!attempt.isLive() || (attempt.isStopping() && attempt.graceS() <= graceS)) {
       return;
     }
     attempt.stopRequest().request(graceS);
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -222,7 +222,8 @@
         range().placed().values().stream()
             .map(
                 task ->
-                    new TaskStatus(task.task(), task.attempt(), TaskState.RUNNING, ExitCause.NONE))
+                    new TaskStatus(
+                        task.task(), task.attemptNumber(), TaskState.RUNNING, ExitCause.NONE))
             .toList());
   }
 
