--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -101,7 +101,7 @@
     String zone = range.zone() != null ? range.zone() : spec.zone();
     double wantedS = WITHIN_BOOTS * type.bootS();
     if (spec.deadlineS() >= 0) {
-      double waitedS = (nowMs - range.waitingSince()) / 1000.0;
+      double waitedS = (nowMs - range.waitingSinceMs()) / 1000.0;
       double slackS = spec.deadlineS() - waitedS - spec.estimateS() - type.imageFetchS(spec);
       wantedS = slackS * slackShare(spec) + spec.estimateS();
     }
--- a/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
+++ b/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
@@ -43,7 +43,7 @@
       return;
     }
     if (range.isInherited()) {
-      double agoS = (context.now() - range.waitingSince()) / 1000.0;
+      double agoS = (context.now() - range.waitingSinceMs()) / 1000.0;
       busyMachines +=
           types.machineSeconds(range.spec(), range.record().size())
               * Math.exp(-agoS / TIME_CONSTANT_S)
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -112,7 +112,7 @@
     if (spec.deadlineS() < 0) {
       return waitS;
     }
-    double slackS = spec.deadlineS() - spec.estimateS() - (nowMs - range.waitingSince()) / 1000.0;
+    double slackS = spec.deadlineS() - spec.estimateS() - (nowMs - range.waitingSinceMs()) / 1000.0;
     return Math.max(waitS, Math.min(slackS * WAIT_SLACK_SHARE, fetchS * MAX_WAIT_FETCHES));
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
@@ -22,7 +22,7 @@
     JobSpec spec = range.spec();
     return (spec.types().isEmpty() || spec.types().contains(worker.machineType()))
         && (spec.spot() || !worker.isSpot())
-        && range.zoneAllows(worker.zone())
+        && range.mayPlaceInZone(worker.zone())
         && worker.attempt(new TaskId(range.key().job(), range.record().from() + offset)) == null
         && !failures.avoids(range, worker);
   }
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -85,7 +85,7 @@
       range.markNotWithheld();
       return false;
     }
-    if (range.withheldSince() == TaskRange.NOT_WITHHELD) {
+    if (range.withheldSinceMs() == TaskRange.NOT_WITHHELD) {
       range.markWithheldSince(pass.nowMs());
     }
     long yieldAfterMs =
@@ -93,7 +93,7 @@
             Math.min(
                 context.settings().workerLeaseMs() * YIELDS_AFTER_LEASES,
                 context.shortestBootS() * 1000));
-    return pass.nowMs() - range.withheldSince() > yieldAfterMs;
+    return pass.nowMs() - range.withheldSinceMs() > yieldAfterMs;
   }
 
   /** Whether some worker has room for a task of the range, reserved or not. */
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -141,7 +141,7 @@
       PlacementPass pass, WaitingTasks tasks, long step, boolean preferImage) {
     TaskRange range = tasks.range();
     // Free resources only shrink within a step: what one task of a range did not find, none finds.
-    if (range.noRoomIn() == step
+    if (range.noRoomInStep() == step
         || !quotaShares.allows(range.spec())
         || isReservedForOthers(pass, tasks)) {
       return null;
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -113,7 +113,7 @@
           new QueuedGroup<>(
               new WaitingTasks(range, WaitingTasks.NEVER_PLACED),
               spec.priority(),
-              falcon.score(spec.estimateS(), scoredWaitS(range, range.waitingSince(), nowMs)),
+              falcon.score(spec.estimateS(), scoredWaitS(range, range.waitingSinceMs(), nowMs)),
               count));
     }
   }
@@ -123,12 +123,12 @@
     for (var entry : range.retries().int2ObjectEntrySet()) {
       Retry retry = entry.getValue();
       int offset = entry.getIntKey();
-      if (retry.notBefore() <= nowMs && !workers.hasDuplicate(range, offset)) {
+      if (retry.notBeforeMs() <= nowMs && !workers.hasDuplicate(range, offset)) {
         groups.add(
             new QueuedGroup<>(
                 new WaitingTasks(range, offset),
                 spec.priority(),
-                falcon.score(spec.estimateS(), scoredWaitS(range, retry.waitingSince(), nowMs)),
+                falcon.score(spec.estimateS(), scoredWaitS(range, retry.waitingSinceMs(), nowMs)),
                 1));
       }
     }
@@ -140,12 +140,12 @@
         && range.retries().isEmpty()
         && range.finished().isEmpty()
         && range.record().done().isEmpty()
-        && nowMs - range.waitingSince() > context.shortestBootS() * 1000 * OVERDUE_BOOTS
+        && nowMs - range.waitingSinceMs() > context.shortestBootS() * 1000 * OVERDUE_BOOTS
         && context.stateCache().rangesOf(range.key().job()).firstKey() == range.key().index();
   }
 
   private static double waitedS(TaskRange range, long nowMs) {
-    return (nowMs - range.waitingSince()) / 1000.0;
+    return (nowMs - range.waitingSinceMs()) / 1000.0;
   }
 
   /**
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
@@ -32,7 +32,7 @@
   /** For how many seconds the tasks have waited. */
   double waitedS(long nowMs) {
     long sinceMs =
-        neverPlaced() ? range.waitingSince() : range.retries().get(offset).waitingSince();
+        neverPlaced() ? range.waitingSinceMs() : range.retries().get(offset).waitingSinceMs();
     return (nowMs - sinceMs) / 1000.0;
   }
 }
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -47,7 +47,7 @@
   public void place(TaskRange range, int offset, Worker worker, long attemptNumber) {
     long now = context.now();
     Retry retry = range.retries().get(offset);
-    long waitingSince = retry == null ? range.waitingSince() : retry.waitingSince();
+    long waitingSince = retry == null ? range.waitingSinceMs() : retry.waitingSinceMs();
     long waitedMs = now - waitingSince;
     TaskId task = new TaskId(range.key().job(), range.record().from() + offset);
     TaskAttempt attempt =
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -155,7 +155,7 @@
   private TaskAttempt discoverRunning(
       Worker worker, TaskStatus reported, TaskRange range, int offset) {
     long now = context.now();
-    double waitedS = (now - range.waitingSince()) / 1000.0;
+    double waitedS = (now - range.waitingSinceMs()) / 1000.0;
     TaskAttempt attempt =
         new TaskAttempt(reported.task(), reported.attempt(), worker, range, now, waitedS);
     attempt.markDiscovered();
--- a/src/main/java/org/fieldtrestle/worker/Retry.java
+++ b/src/main/java/org/fieldtrestle/worker/Retry.java
@@ -10,12 +10,12 @@
   }
 
   /** Returns since when the task counts as waiting, in milliseconds. */
-  public long waitingSince() {
+  public long waitingSinceMs() {
     return waitingSinceMs;
   }
 
   /** Returns the time before which the task must not be started again, in milliseconds. */
-  public long notBefore() {
+  public long notBeforeMs() {
     return notBeforeMs;
   }
 
--- a/src/main/java/org/fieldtrestle/worker/TaskRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -12,7 +12,7 @@
  * finished. A task is identified by its offset from the first task of the range.
  */
 public final class TaskRange {
-  /** Value of {@link #withheldSince} if no resources are withheld from the range. */
+  /** Value of {@link #withheldSinceMs} if no resources are withheld from the range. */
   public static final long NOT_WITHHELD = -1;
 
   /** Value of {@link #firstWaiting} if no task is waiting. */
@@ -211,7 +211,7 @@
   }
 
   /** Whether another task of the range may be placed in a zone. */
-  public boolean zoneAllows(String name) {
+  public boolean mayPlaceInZone(String name) {
     if (zone != null && !zone.equals(name)) {
       return false;
     }
@@ -270,7 +270,7 @@
   /**
    * Returns the last placement step without room for the range's tasks; negative if there was none.
    */
-  public long noRoomIn() {
+  public long noRoomInStep() {
     return noRoomInStep;
   }
 
@@ -300,12 +300,12 @@
   }
 
   /** Returns since when the range has been waiting, in milliseconds. */
-  public long waitingSince() {
+  public long waitingSinceMs() {
     return waitingSinceMs;
   }
 
   /** Returns since when resources are withheld from the range's tasks, or {@link #NOT_WITHHELD}. */
-  public long withheldSince() {
+  public long withheldSinceMs() {
     return withheldSinceMs;
   }
 
--- a/src/main/java/org/fieldtrestle/worker/UnplacedTasks.java
+++ b/src/main/java/org/fieldtrestle/worker/UnplacedTasks.java
@@ -59,7 +59,7 @@
 
   boolean mayRetryAll(long nowMs) {
     for (Retry retry : retries.values()) {
-      if (retry.notBefore() > nowMs) {
+      if (retry.notBeforeMs() > nowMs) {
         return false;
       }
     }
