--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -53,7 +53,7 @@
       int waiting = 0;
       int placed = 0;
       for (TaskRange range : shard.ranges().all()) {
-        waiting += range.waiting();
+        waiting += range.waitingCount();
         placed += range.placed().size();
       }
       parent
--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -80,7 +80,7 @@
       // of them may start anyway: every restart would rent a second fleet for them.
       if (range.spec() != null
           && !term.policy().mustStop(range)
-          && range.waiting() > 0
+          && range.waitingCount() > 0
           && !ranges.blocked(range)) {
         Optional<MachineType> type = types.cheapestFor(range.spec());
         if (type.isPresent()) {
@@ -96,7 +96,7 @@
     JobSpec spec = range.spec();
     double machineS =
         (spec.estimateS() + type.imageFetchS(spec) / 2)
-            * range.waiting()
+            * range.waitingCount()
             / type.tasksPerMachine(spec);
     String zone = range.zone() != null ? range.zone() : spec.zone();
     double wantedS = WITHIN_BOOTS * type.bootS();
--- a/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
+++ b/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
@@ -49,7 +49,7 @@
               * Math.exp(-agoS / TIME_CONSTANT_S)
               / TIME_CONSTANT_S;
     } else {
-      arrivedMachineS += types.machineSeconds(range.spec(), range.waiting());
+      arrivedMachineS += types.machineSeconds(range.spec(), range.waitingCount());
     }
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
@@ -20,7 +20,7 @@
 
   /** Places all waiting tasks of a gang if the quota and the workers have room for all of them. */
   void place(PlacementPass pass, TaskRange range) {
-    BitSet waiting = (BitSet) range.fresh().clone();
+    BitSet waiting = (BitSet) range.freshOffsets().clone();
     range.retries().keySet().forEach(waiting::set);
     if (!quotaShares.allows(range.spec(), waiting.cardinality())) {
       return;
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -245,11 +245,11 @@
     double leastCpus = Double.MAX_VALUE;
     double leastGpus = Double.MAX_VALUE;
     for (TaskRange range : ranges.all()) {
-      if (range.waiting() > 0
+      if (range.waitingCount() > 0
           && range.record().team().equals(team)
           && !term.policy().mustStop(range)) {
-        cpus += range.waiting() * range.record().cpus();
-        gpus += range.waiting() * range.record().gpus();
+        cpus += range.waitingCount() * range.record().cpus();
+        gpus += range.waitingCount() * range.record().gpus();
         leastCpus = Math.min(leastCpus, range.record().cpus());
         leastGpus = Math.min(leastGpus, range.record().gpus());
       }
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -104,7 +104,7 @@
     int size = range.record().size();
     int tail = 0;
     while (tail < size
-        && range.isNowhere(size - 1 - tail)
+        && range.isWaitingWithoutFailure(size - 1 - tail)
         && !workers.hasDuplicate(range, size - 1 - tail)) {
       tail++;
     }
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -98,7 +98,7 @@
 
   /** Whether some worker has room for a task of the range, reserved or not. */
   private boolean hasRoomFor(TaskRange range, PlacementPass pass) {
-    int offset = range.firstWaiting();
+    int offset = range.firstWaitingOffset();
     for (FreeResources free : pass.candidates()) {
       if (free.fits(range.spec()) && constraints.allow(range, offset, free.worker())) {
         return true;
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -50,7 +50,7 @@
   List<QueuedGroup<WaitingTasks>> collect(long nowMs) {
     List<QueuedGroup<WaitingTasks>> groups = new ArrayList<>();
     for (TaskRange range : ranges.all()) {
-      if (range.spec() == null || range.waiting() == 0 || !mayStart(range)) {
+      if (range.spec() == null || range.waitingCount() == 0 || !mayStart(range)) {
         continue;
       }
       if (range.spec().kind() == JobSpec.Kind.GANG) {
@@ -79,7 +79,7 @@
               new WaitingTasks(range, WaitingTasks.NEVER_PLACED),
               spec.priority(),
               falcon.score(spec.estimateS(), waitedS(range, nowMs)),
-              range.waiting()));
+              range.waitingCount()));
     } else {
       // A task of the gang was lost: the others cannot go on without it.
       List.copyOf(range.placed().values()).forEach(task -> decisions.stop(task, spec.saveS()));
@@ -98,7 +98,7 @@
   private void collectNeverPlaced(
       TaskRange range, long nowMs, List<QueuedGroup<WaitingTasks>> groups) {
     JobSpec spec = range.spec();
-    int count = range.fresh().cardinality();
+    int count = range.freshOffsets().cardinality();
     if (count > 0 && isOverdue(range, nowMs)) {
       count--;
       groups.add(
@@ -138,7 +138,7 @@
   private boolean isOverdue(TaskRange range, long nowMs) {
     return range.placed().isEmpty()
         && range.retries().isEmpty()
-        && range.finished().isEmpty()
+        && range.finishedOffsets().isEmpty()
         && range.record().done().isEmpty()
         && nowMs - range.waitingSinceMs() > context.shortestBootS() * 1000 * OVERDUE_BOOTS
         && context.stateCache().rangesOf(range.key().job()).firstKey() == range.key().index();
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
@@ -26,7 +26,7 @@
 
   /** The offset in the range of the task that is placed next; negative where none is left. */
   int firstOffset() {
-    return neverPlaced() ? range.fresh().nextSetBit(0) : offset;
+    return neverPlaced() ? range.freshOffsets().nextSetBit(0) : offset;
   }
 
   /** For how many seconds the tasks have waited. */
--- a/src/main/java/org/fieldtrestle/shard/ShardLog.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLog.java
@@ -93,7 +93,7 @@
     WorkerTotals totals = workerTotals();
     int waiting = 0;
     for (TaskRange range : ranges.all()) {
-      waiting += range.waiting();
+      waiting += range.waitingCount();
     }
     LOG.atInfo()
         .addKeyValue("shard", term.shard())
--- a/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
@@ -100,7 +100,7 @@
    */
   public void endWrite(TaskRange range) {
     range.writes().end();
-    if (!range.finished().isEmpty() && !range.isReleased()) {
+    if (!range.finishedOffsets().isEmpty() && !range.isReleased()) {
       write(range);
     }
   }
@@ -127,7 +127,7 @@
   }
 
   private void writeCompletion(TaskRange range) {
-    if (term.isOver() || range.finished().isEmpty() || range.isReleased()) {
+    if (term.isOver() || range.finishedOffsets().isEmpty() || range.isReleased()) {
       range.writes().end();
       return;
     }
--- a/src/main/java/org/fieldtrestle/worker/TaskRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -15,7 +15,7 @@
   /** Value of {@link #withheldSinceMs} if no resources are withheld from the range. */
   public static final long NOT_WITHHELD = -1;
 
-  /** Value of {@link #firstWaiting} if no task is waiting. */
+  /** Value of {@link #firstWaitingOffset} if no task is waiting. */
   public static final int NO_TASK = -1;
 
   private static final long NO_STEP = -1;
@@ -69,7 +69,7 @@
   void followRecord(RangeRecord next, long nextVersion) {
     record = next;
     version = nextVersion;
-    unplaced.follow(record.size(), record.done());
+    unplaced.followRecord(record.size(), record.done());
     finished.followDone(record.done());
   }
 
@@ -196,17 +196,17 @@
   }
 
   /** Whether a task is waiting, is on no worker, and has never failed here. */
-  public boolean isNowhere(int offset) {
-    return unplaced.hasUnfailed(offset);
+  public boolean isWaitingWithoutFailure(int offset) {
+    return unplaced.isWaitingWithoutFailure(offset);
   }
 
   /** Returns the offset of a waiting task, or {@link #NO_TASK}. */
-  public int firstWaiting() {
-    return unplaced.first();
+  public int firstWaitingOffset() {
+    return unplaced.firstOffset();
   }
 
   /** Returns how many tasks of the range are waiting. */
-  public int waiting() {
+  public int waitingCount() {
     return unplaced.count();
   }
 
@@ -248,12 +248,12 @@
   }
 
   /** Returns the tasks that have finished but whose completion is not durable yet. */
-  public BitSet finished() {
+  public BitSet finishedOffsets() {
     return finished.offsets();
   }
 
   /** Returns the waiting tasks that have not been on a worker in this term. */
-  public BitSet fresh() {
+  public BitSet freshOffsets() {
     return unplaced.fresh();
   }
 
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -81,7 +81,7 @@
     double waiting = 0;
     for (TaskRange range : ranges.values()) {
       if (!policy.mustStop(range)) {
-        waiting += range.waiting() * range.record().cpus();
+        waiting += range.waitingCount() * range.record().cpus();
       }
     }
     return waiting;
--- a/src/main/java/org/fieldtrestle/worker/UnplacedTasks.java
+++ b/src/main/java/org/fieldtrestle/worker/UnplacedTasks.java
@@ -24,7 +24,7 @@
   }
 
   /** Applies a new size of the range and the tasks of it that are done. */
-  void follow(int size, BitSet done) {
+  void followRecord(int size, BitSet done) {
     clearFrom(size, fresh);
     fresh.andNot(done);
   }
@@ -67,12 +67,12 @@
   }
 
   /** Whether the task is waiting and has never failed. */
-  boolean hasUnfailed(int offset) {
+  boolean isWaitingWithoutFailure(int offset) {
     return fresh.get(offset) || (retries.containsKey(offset) && !failures.containsKey(offset));
   }
 
   /** Returns the offset of a waiting task, or {@link TaskRange#NO_TASK}. */
-  int first() {
+  int firstOffset() {
     if (!fresh.isEmpty()) {
       return fresh.nextSetBit(0);
     }
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -256,7 +256,7 @@
         && claim != range
         && nowMs < claimUntilMs
         && claim.spec() != null
-        && claim.waiting() > 0
+        && claim.waitingCount() > 0
         && !range.spec().priority().isHigherThan(claim.spec().priority());
   }
 }
