--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -98,7 +98,7 @@
     for (Worker worker : workers.all()) {
       checkListed(worker, listed, nowMs);
     }
-    workers.forgetMissing(missingLists);
+    workers.retainExisting(missingLists);
   }
 
   private void checkListed(Worker worker, Set<String> listed, long nowMs) {
--- a/src/main/java/org/fieldtrestle/scaling/FleetStatus.java
+++ b/src/main/java/org/fieldtrestle/scaling/FleetStatus.java
@@ -39,7 +39,7 @@
   }
 
   private boolean isSilent(Worker worker) {
-    return workers.silentFor(worker, nowMs) > context.heartbeatIntervalsMs(SILENT_HEARTBEATS);
+    return workers.silentForMs(worker, nowMs) > context.heartbeatIntervalsMs(SILENT_HEARTBEATS);
   }
 
   /** How many spot machines are not draining. */
--- a/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineHealth.java
@@ -50,7 +50,7 @@
       return true;
     }
     if (worker.isLeaseExpired()
-        && workers.silentFor(worker, nowMs)
+        && workers.silentForMs(worker, nowMs)
             > MAX_SILENT_LEASES * context.settings().workerLeaseMs()) {
       drain(worker, "silent for two leases");
       return true;
@@ -75,18 +75,18 @@
 
   /** Whether several heartbeats of a worker in a row are missing. */
   boolean isSilent(Worker worker, long nowMs) {
-    return workers.silentFor(worker, nowMs) > context.heartbeatIntervalsMs(SILENT_HEARTBEATS);
+    return workers.silentForMs(worker, nowMs) > context.heartbeatIntervalsMs(SILENT_HEARTBEATS);
   }
 
   /** Whether a worker that sends heartbeats has not received the answers to them for too long. */
   boolean isUnresponsive(Worker worker, long nowMs) {
     long leaseMs = context.settings().workerLeaseMs();
     if (worker.isUnresponsive()) {
-      return workers.listenedFor(worker.unresponsiveSinceMs(), nowMs) > leaseMs / 2;
+      return workers.listenedForMs(worker.unresponsiveSinceMs(), nowMs) > leaseMs / 2;
     }
     return !worker.isReconciled()
         && worker.hasReported()
-        && workers.listenedFor(worker.knownSinceMs(), nowMs)
+        && workers.listenedForMs(worker.knownSinceMs(), nowMs)
             > leaseMs + context.heartbeatIntervalsMs(RECONCILIATION_HEARTBEATS);
   }
 
--- a/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
@@ -68,7 +68,7 @@
     if (worker.isUp()
         && worker.isReconciled()
         && worker.isEmpty()
-        && workers.listenedFor(worker.idleSinceMs(), nowMs) > maxIdleMs(worker, type, fleet)) {
+        && workers.listenedForMs(worker.idleSinceMs(), nowMs) > maxIdleMs(worker, type, fleet)) {
       MachineHealth.drain(worker, worker.isCordoned() ? "not needed" : "idle");
     }
   }
--- a/src/main/java/org/fieldtrestle/scheduling/GuaranteedShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/GuaranteedShares.java
@@ -53,7 +53,7 @@
       return false;
     }
     double shards = context.settings().peers().size() + 1;
-    TeamUsage usage = workers.usage();
+    TeamUsage usage = workers.teamUsage();
     return (below.cpus() > 0
             && usage.cpus(team) < below.cpus() / shards
             && usage.cpus(from) > above.cpus() / shards)
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -93,7 +93,9 @@
     double fetchS = 0;
     double slots = 0;
     for (Worker worker : workers.all()) {
-      if (!worker.hasImage(spec.image()) || !workers.acceptsStarts(worker) || worker.isDraining()) {
+      if (!worker.hasImage(spec.image())
+          || !workers.mayStartTasksOn(worker)
+          || worker.isDraining()) {
         continue;
       }
       MachineType type = context.type(worker.machineType());
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -115,7 +115,7 @@
 
   /** What the team may be using here; all of a machine that has not reported in this term. */
   private QuotaAmount used(String team) {
-    TeamUsage usage = workers.usage();
+    TeamUsage usage = workers.teamUsage();
     double cpus = usage.cpus(team);
     double gpus = usage.gpus(team);
     for (Worker worker : workers.unreconciled()) {
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -78,7 +78,7 @@
       }
       if (waitingCpus < 0) { // summed once, and only if something can move
         waitingCpus = ranges.waitingCpus();
-        capacityCpus = workers.capacity();
+        capacityCpus = workers.capacityCpus();
       }
       if (reassign(range, tail, waitingCpus, capacityCpus)) {
         nextAtMs = nowMs + context.heartbeatIntervalsMs(PAUSE_HEARTBEATS);
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -57,7 +57,7 @@
 
   /** CPUs that this shard reserves: its part by capacity of what all shards reserve together. */
   double cpus() {
-    double capacity = workers.capacity();
+    double capacity = workers.capacityCpus();
     double part = capacity / Math.max(1, capacity + context.loads().capacityOfOthers(shard));
     return Math.min(
         latencySensitiveJobCpus * context.operatorSettings().reserve() * part,
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -260,7 +260,7 @@
     for (Worker worker : parts.workers.all()) {
       if (worker.isUp() && !worker.isDraining()) {
         up++;
-        silent += parts.workers.silentFor(worker, context.now()) > silentAfterMs ? 1 : 0;
+        silent += parts.workers.silentForMs(worker, context.now()) > silentAfterMs ? 1 : 0;
       }
     }
     return new LeadershipTransfer.WorkerReachability(up, silent);
@@ -282,7 +282,7 @@
         name(),
         epoch(),
         parts.ranges.waitingCpus(),
-        parts.workers.capacity(),
+        parts.workers.capacityCpus(),
         all);
   }
 
--- a/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
+++ b/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
@@ -71,7 +71,8 @@
   private Worker add(String id, MachineRecord record, boolean inherited) {
     long rentedBeforeMs = Math.max(0, context.reactor().wall() - record.bootingSinceWallMs());
     Worker worker =
-        new Worker(id, record, term.firstToken(), context.now(), rentedBeforeMs, workers.usage());
+        new Worker(
+            id, record, term.firstToken(), context.now(), rentedBeforeMs, workers.teamUsage());
     if (inherited) {
       worker.connection().renewLease(context.now() + term.formerLeaderGraceMs());
     }
--- a/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
@@ -59,7 +59,7 @@
       }
     }
     return CommandAssembler.assemble(
-        worker, attempt -> workers.acceptsStarts(worker) && mayStart(attempt));
+        worker, attempt -> workers.mayStartTasksOn(worker) && mayStart(attempt));
   }
 
   private boolean anyMustStop(Worker worker) {
--- a/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
@@ -61,7 +61,7 @@
   }
 
   /** Returns the resources that each team's tasks use on these workers. */
-  public TeamUsage usage() {
+  public TeamUsage teamUsage() {
     return usage;
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Removes the entries of workers that no longer exist. */
-  public void forgetMissing(Map<String, ?> byWorker) {
+  public void retainExisting(Map<String, ?> byWorker) {
     byWorker.keySet().retainAll(workers.keySet());
   }
 
@@ -153,7 +153,7 @@
   }
 
   /** Whether tasks that are placed on the worker may be started there. */
-  public boolean acceptsStarts(Worker worker) {
+  public boolean mayStartTasksOn(Worker worker) {
     return worker.isUp()
         && !worker.isLeaseExpired()
         && !worker.isTerminating()
@@ -163,7 +163,7 @@
   /** Whether new tasks may be placed on the worker. */
   public boolean isUsable(Worker worker, long nowMs) {
     return worker.isReconciled()
-        && acceptsStarts(worker)
+        && mayStartTasksOn(worker)
         && !worker.isDraining()
         && !worker.isUnresponsive()
         && !worker.isQuarantined(nowMs)
@@ -172,7 +172,7 @@
   }
 
   /** Returns the CPUs of all workers that are neither draining nor have an expired lease. */
-  public double capacity() {
+  public double capacityCpus() {
     double cpus = 0;
     for (Worker worker : workers.values()) {
       MachineType type = context.type(worker.machineType());
@@ -208,7 +208,7 @@
    * Returns for how long a worker has been silent while this controller could hear it, in
    * milliseconds.
    */
-  public long silentFor(Worker worker, long nowMs) {
+  public long silentForMs(Worker worker, long nowMs) {
     WorkerConnection connection = worker.connection();
     long heardAtMs = Math.max(connection.lastHeartbeatAtMs(), connection.leaseRenewedAtMs());
     return nowMs - Math.max(heardAtMs, listeningSinceMs);
@@ -220,7 +220,7 @@
    *
    * @param sinceMs the beginning of the condition
    */
-  public long listenedFor(long sinceMs, long nowMs) {
+  public long listenedForMs(long sinceMs, long nowMs) {
     return nowMs - Math.max(sinceMs, listeningSinceMs);
   }
 
