--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -81,7 +81,7 @@
       if (range.spec() != null
           && !term.policy().mustStop(range)
           && range.waitingCount() > 0
-          && !ranges.blocked(range)) {
+          && !ranges.mayHaveUnreportedTasks(range)) {
         Optional<MachineType> type = types.cheapestFor(range.spec());
         if (type.isPresent()) {
           demands.add(demand(range, type.get(), nowMs));
@@ -171,7 +171,7 @@
     return !worker.isDraining()
         && !(worker.isLeaseExpired() && health.isSilent(worker, nowMs))
         && kind.isServedBy(worker)
-        && !failures.avoids(kind.range(), worker);
+        && !failures.mustAvoid(kind.range(), worker);
   }
 
   /** Adds the seconds for which a worker's tasks take a whole machine of a type. */
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -51,7 +51,7 @@
    */
   boolean acceptsConcurrentFetch(WaitingTasks tasks, long nowMs) {
     return context.isLatencySensitive(tasks.range().spec())
-        && (!downloads.shared() || usedSlackShare(tasks, nowMs) > SHARES_BANDWIDTH_AT);
+        && (!downloads.isBandwidthShared() || usedSlackShare(tasks, nowMs) > SHARES_BANDWIDTH_AT);
   }
 
   /** Whether a task has waited for so much of its slack that any worker with room will do. */
--- a/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
@@ -24,11 +24,11 @@
         && (spec.spot() || !worker.isSpot())
         && range.mayPlaceInZone(worker.zone())
         && worker.attempt(new TaskId(range.key().job(), range.record().from() + offset)) == null
-        && !failures.avoids(range, worker);
+        && !failures.mustAvoid(range, worker);
   }
 
   /** Whether some job is kept from a worker by a failure, so that it differs from its kind. */
   boolean isAvoidedByAnyJob(Worker worker) {
-    return failures.avoidsAny(worker);
+    return failures.hasFailuresOn(worker);
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -95,7 +95,7 @@
     if (range.spec() == null
         || term.policy().mustStop(range)
         || range.isWriting()
-        || ranges.blocked(range)
+        || ranges.mayHaveUnreportedTasks(range)
         || !range.record().zoneLimits().isEmpty()
         || context.stateCache().rangesOf(range.key().job()).size() + OTHER_OPERATIONS
             > context.settings().state().txnOps()) {
@@ -169,9 +169,9 @@
         committed -> {
           writing = false;
           if (committed) {
-            ranges.progress().endWrite(range);
+            ranges.progressWriter().endWrite(range);
           } else {
-            ranges.progress().settleReassignment(range, moving);
+            ranges.progressWriter().settleReassignment(range, moving);
           }
         });
   }
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -64,7 +64,7 @@
   }
 
   private boolean mayStart(TaskRange range) {
-    if (ranges.blocked(range)) {
+    if (ranges.mayHaveUnreportedTasks(range)) {
       policy.countRefusal(StartRefusal.MACHINES_UNRESOLVED);
       return false;
     }
--- a/src/main/java/org/fieldtrestle/scheduling/WorkerSelector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WorkerSelector.java
@@ -40,7 +40,7 @@
       if (!hasImage && (bestHasImage || fetchIsUnwanted)) {
         continue;
       }
-      double left = free.after(spec);
+      double left = free.remainingFractionAfter(spec);
       boolean better =
           best == null
               || (hasImage && !bestHasImage)
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -35,7 +35,7 @@
 
   @Override
   public long nextAttempt() {
-    return term.nextAttempt();
+    return term.nextAttemptNumber();
   }
 
   @Override
--- a/src/main/java/org/fieldtrestle/shard/HeartbeatReplies.java
+++ b/src/main/java/org/fieldtrestle/shard/HeartbeatReplies.java
@@ -40,7 +40,7 @@
       refuse(reply);
       return;
     }
-    List<WorkerCommand> commands = heartbeats.answer(worker);
+    List<WorkerCommand> commands = heartbeats.assembleAnswer(worker);
     reply.accept(
         new Http.Response(
             OK, WorkerProtocol.writeHeartbeatAnswer(worker.fencingToken(), commands)));
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -195,7 +195,7 @@
     if (term.isLeading()) {
       parts.quotaShares.tick();
       context.metrics().work.run(Activity.FLEET_SIZING, () -> parts.autoscaler.tick(now));
-      parts.ranges.progress().writeDue(parts.ranges.all(), now);
+      parts.ranges.progressWriter().writeDue(parts.ranges.all(), now);
       parts.reassignment.tick(now);
       log.logSummary(now);
       placement.request();
--- a/src/main/java/org/fieldtrestle/worker/FailureTracker.java
+++ b/src/main/java/org/fieldtrestle/worker/FailureTracker.java
@@ -168,7 +168,7 @@
    * Whether tasks of the range must not be placed on a worker because the job has failed there.
    * This does not apply to suspect jobs, which fail on every worker.
    */
-  public boolean avoids(TaskRange range, Worker worker) {
+  public boolean mustAvoid(TaskRange range, Worker worker) {
     JobRecord job = jobs.get(range.key().job());
     return job != null && !job.suspect && job.failedOn.contains(worker.id());
   }
@@ -177,7 +177,7 @@
    * Whether any job has failed on a worker. If none has, the worker is equivalent to all others of
    * its machine type.
    */
-  public boolean avoidsAny(Worker worker) {
+  public boolean hasFailuresOn(Worker worker) {
     return workersWithFailures.contains(worker.id());
   }
 
--- a/src/main/java/org/fieldtrestle/worker/FreeResources.java
+++ b/src/main/java/org/fieldtrestle/worker/FreeResources.java
@@ -70,7 +70,7 @@
    * fractions of the machine's total amounts. Bin packing selects the worker with the lowest
    * result.
    */
-  public double after(JobSpec spec) {
+  public double remainingFractionAfter(JobSpec spec) {
     return part(cpus - spec.cpus(), machineType.cpus())
         + part(gpus - spec.gpus(), machineType.gpus())
         + part(memoryGb - spec.memoryGb(), machineType.memoryGb());
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
@@ -93,7 +93,7 @@
   }
 
   /** Returns the commands for the answer to a heartbeat. The answer renews the worker's lease. */
-  public List<WorkerCommand> answer(Worker worker) {
+  public List<WorkerCommand> assembleAnswer(Worker worker) {
     worker.connection().renewLease(context.now());
     if (!workers.mayReceiveCommands(worker)) {
       return List.of();
--- a/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
+++ b/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
@@ -45,16 +45,18 @@
     if (aloneS < reportingDelayS) {
       return; // the reporting delay would dominate the measurement
     }
-    boolean wasShared = shared();
+    boolean wasShared = isBandwidthShared();
     double multiple = Math.min((tookS - reportingDelayS) / aloneS, MAX_OBSERVED);
     averageMultiple += (multiple - averageMultiple) * WEIGHT;
-    if (shared() != wasShared) {
-      LOG.atInfo().addKeyValue("shared", shared()).log("sharing of image bandwidth changes");
+    if (isBandwidthShared() != wasShared) {
+      LOG.atInfo()
+          .addKeyValue("shared", isBandwidthShared())
+          .log("sharing of image bandwidth changes");
     }
   }
 
   /** Whether images that a worker fetches at the same time share its bandwidth. */
-  public boolean shared() {
+  public boolean isBandwidthShared() {
     return averageMultiple > SHARED_FROM;
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -36,7 +36,7 @@
    * @return empty if the job does not end with this change or has too many ranges for one
    *     transaction
    */
-  static Optional<Transaction> byLastRange(
+  static Optional<Transaction> ifLastRange(
       ControllerContext context, StateKey.RangeKey key, RangeRecord next) {
     ActiveJob job = context.stateCache().job(key.job());
     if (job == null || job.ranges().size() + CHANGES_OF_JOB > context.settings().state().txnOps()) {
@@ -90,7 +90,7 @@
     StateKey.RangeKey key = new StateKey.RangeKey(jobId, any.getKey());
     KeyValueProtocol.Condition unchanged =
         new KeyValueProtocol.Condition(StateKeys.range(key), any.getValue().version());
-    return byLastRange(context, key, any.getValue().record())
+    return ifLastRange(context, key, any.getValue().record())
         .map(
             ending -> {
               List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
--- a/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
+++ b/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
@@ -104,7 +104,7 @@
   }
 
   /** Returns an attempt number that no other start of the same task has. */
-  public long nextAttempt() {
+  public long nextAttemptNumber() {
     return firstToken() + ++attempts;
   }
 
--- a/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
@@ -134,7 +134,7 @@
     RangeRecord next = range.recordWithFinished();
     List<KeyValueProtocol.Condition> conditions = unchanged(range);
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
-    Optional<Transaction> jobEnd = JobCompletion.byLastRange(context, range.key(), next);
+    Optional<Transaction> jobEnd = JobCompletion.ifLastRange(context, range.key(), next);
     if (jobEnd.isPresent()) {
       conditions.addAll(jobEnd.get().conditions());
       changes.addAll(jobEnd.get().changes());
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -95,7 +95,7 @@
   }
 
   private void noteDuplicate(Worker worker, TaskStatus reported) {
-    TaskRange range = ranges.of(reported.task());
+    TaskRange range = ranges.containing(reported.task());
     if (range != null
         && reported.state() != TaskState.EXITED
         && !range.isDone(reported.task().index() - range.record().from())) {
@@ -111,7 +111,7 @@
    *     attempt is to be stopped and cleared
    */
   private TaskAttempt discover(Worker worker, TaskStatus reported, TaskAttempt expected) {
-    TaskRange range = ranges.of(reported.task());
+    TaskRange range = ranges.containing(reported.task());
     if (range == null) {
       return null;
     }
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -67,7 +67,7 @@
   }
 
   /** Returns the range of a task, or {@code null} if it does not belong to this shard. */
-  TaskRange of(TaskId task) {
+  TaskRange containing(TaskId task) {
     for (TaskRange range : ofJob(task.job())) {
       if (range.contains(task.index())) {
         return range;
@@ -88,12 +88,12 @@
   }
 
   /** Whether tasks of the range may be on a worker that has not reported in this term. */
-  public boolean blocked(TaskRange range) {
+  public boolean mayHaveUnreportedTasks(TaskRange range) {
     return workers.mayHoldTasksOf(range);
   }
 
   /** Returns the writer of the ranges' records. */
-  public RangeProgressWriter progress() {
+  public RangeProgressWriter progressWriter() {
     return progress;
   }
 
--- a/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
+++ b/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
@@ -29,12 +29,12 @@
     SplittableRandom random = new SplittableRandom(seed);
     ImageDownloads downloads = new ImageDownloads(4);
     images(downloads, random, aloneS, 1);
-    assertEquals(false, downloads.shared(), "each has bandwidth of its own");
+    assertEquals(false, downloads.isBandwidthShared(), "each has bandwidth of its own");
     images(downloads, random, aloneS, 2.4);
-    assertEquals(true, downloads.shared(), "beside one or two others");
+    assertEquals(true, downloads.isBandwidthShared(), "beside one or two others");
     images(downloads, random, 0.5, 1);
-    assertEquals(true, downloads.shared(), "images that take no time show nothing");
+    assertEquals(true, downloads.isBandwidthShared(), "images that take no time show nothing");
     images(downloads, random, aloneS, 1);
-    assertEquals(false, downloads.shared(), "no longer");
+    assertEquals(false, downloads.isBandwidthShared(), "no longer");
   }
 }
