--- a/src/main/java/org/fieldtrestle/worker/AttemptTable.java
+++ b/src/main/java/org/fieldtrestle/worker/AttemptTable.java
@@ -14,8 +14,8 @@
 final class AttemptTable {
   private final Map<TaskId, TaskAttempt> attempts = new HashMap<>();
   private final TeamUsage teamUsage;
-  private int live;
-  private int beforeImage;
+  private int liveCount;
+  private int awaitingImage;
   private double usedCpus;
   private double usedGpus;
   private double usedMemoryGb;
@@ -41,9 +41,9 @@
   }
 
   void put(TaskAttempt attempt) {
-    TaskAttempt before = attempts.put(attempt.task(), attempt);
-    if (before != null) {
-      count(before, -1);
+    TaskAttempt previous = attempts.put(attempt.task(), attempt);
+    if (previous != null) {
+      count(previous, -1);
     }
     count(attempt, 1);
   }
@@ -63,7 +63,7 @@
     if (counted) {
       count(attempt, -1);
     }
-    attempt.enter(next);
+    attempt.setState(next);
     if (counted) {
       count(attempt, 1);
     }
@@ -73,8 +73,8 @@
     if (!attempt.isLive()) {
       return;
     }
-    live += sign;
-    beforeImage += attempt.state().isBeforeImage() ? sign : 0;
+    liveCount += sign;
+    awaitingImage += attempt.state().isAwaitingImage() ? sign : 0;
     usedCpus += sign * attempt.cpus();
     usedGpus += sign * attempt.gpus();
     usedMemoryGb += sign * attempt.memoryGb();
@@ -83,7 +83,7 @@
     } else {
       teamUsage.remove(attempt);
     }
-    if (live == 0) { // removes rounding errors
+    if (liveCount == 0) { // removes rounding errors
       usedCpus = 0;
       usedGpus = 0;
       usedMemoryGb = 0;
@@ -92,12 +92,12 @@
 
   /** Whether all attempts on the worker have ended. */
   boolean isEmpty() {
-    return live == 0;
+    return liveCount == 0;
   }
 
   /** Whether any attempt is still waiting for its image. */
   boolean isFetching() {
-    return beforeImage > 0;
+    return awaitingImage > 0;
   }
 
   double usedCpus() {
--- a/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
+++ b/src/main/java/org/fieldtrestle/worker/CommandPolicy.java
@@ -82,8 +82,10 @@
   }
 
   /** Whether a record assigns its range to this shard in this epoch or an earlier one. */
-  boolean belongsToTerm(Versioned<RangeRecord> kept) {
-    return kept != null && kept.record().shard().equals(shard) && kept.record().epoch() <= epoch;
+  boolean belongsToTerm(Versioned<RangeRecord> stored) {
+    return stored != null
+        && stored.record().shard().equals(shard)
+        && stored.record().epoch() <= epoch;
   }
 
   /** Whether the range's job has ended or is cancelled, in which case its tasks must be stopped. */
--- a/src/main/java/org/fieldtrestle/worker/DirectCommands.java
+++ b/src/main/java/org/fieldtrestle/worker/DirectCommands.java
@@ -55,7 +55,7 @@
     if (!term.isLeading()) {
       return;
     }
-    for (Iterator<Worker> pending = commands.pending(); pending.hasNext(); ) {
+    for (Iterator<Worker> pending = commands.pendingWorkers(); pending.hasNext(); ) {
       Worker worker = pending.next();
       if (!CommandAssembler.hasUnsent(worker)) {
         pending.remove();
@@ -89,12 +89,12 @@
             WorkerProtocol.COMMANDS_PATH,
             WorkerProtocol.writeCommands(worker.fencingToken(), worker.incarnation(), toSend),
             context.heartbeatIntervalsMs(TIMEOUT_INTERVALS),
-            outcome -> answered(worker, outcome));
+            outcome -> handleOutcome(worker, outcome));
   }
 
-  private void answered(Worker worker, Http.Outcome outcome) {
+  private void handleOutcome(Worker worker, Http.Outcome outcome) {
     worker.fencing().endDirectCommand();
-    if (outcome instanceof Http.NotSent || isProcessed(worker, outcome)) {
+    if (outcome instanceof Http.NotSent || processAnswer(worker, outcome)) {
       return;
     }
     // The outcome is unknown: the command may be executed minutes later as long as its fencing
@@ -103,7 +103,7 @@
     worker.fencing().raise();
     for (TaskAttempt attempt : worker.attempts()) {
       if (attempt.state() == TaskAttempt.State.STARTING && attempt.isStartSent()) {
-        attempt.awaitInHeartbeatAfter(worker.connection().order().sequence());
+        attempt.expectReportAfter(worker.connection().order().sequence());
       }
     }
   }
@@ -112,7 +112,7 @@
    * Applies the worker's answer; returns whether the worker has answered, so that the outcome of
    * the command is known.
    */
-  private boolean isProcessed(Worker worker, Http.Outcome outcome) {
+  private boolean processAnswer(Worker worker, Http.Outcome outcome) {
     if (!(outcome instanceof Http.Answer answer)
         || (answer.status() != OK && answer.status() != CONFLICT)) {
       return false;
--- a/src/main/java/org/fieldtrestle/worker/DuplicateAttempts.java
+++ b/src/main/java/org/fieldtrestle/worker/DuplicateAttempts.java
@@ -10,19 +10,19 @@
  * started on any other worker until they are gone from that worker.
  */
 final class DuplicateAttempts {
-  private final Map<TaskId, Worker> holders = new HashMap<>();
+  private final Map<TaskId, Worker> workersByTask = new HashMap<>();
 
   void add(TaskId task, Worker holder) {
-    holders.put(task, holder);
+    workersByTask.put(task, holder);
   }
 
   /** Forgets everything that the worker has reported before. */
   void forgetWorker(Worker worker) {
-    holders.values().removeIf(holder -> holder == worker);
+    workersByTask.values().removeIf(holder -> holder == worker);
   }
 
   boolean contains(TaskRange range, int offset) {
-    return !holders.isEmpty()
-        && holders.containsKey(new TaskId(range.key().job(), range.record().from() + offset));
+    return !workersByTask.isEmpty()
+        && workersByTask.containsKey(new TaskId(range.key().job(), range.record().from() + offset));
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/FailureHistory.java
+++ b/src/main/java/org/fieldtrestle/worker/FailureHistory.java
@@ -6,19 +6,19 @@
 
 /** The evidence that a worker is faulty: failures since its last success, and slow tasks. */
 final class FailureHistory {
-  private int failures;
+  private int failureCount;
   private final Set<String> failedJobs = new HashSet<>();
   private final Set<TaskId> slowTasks = new HashSet<>();
 
   /** Called when a task has finished on the worker. */
   void clearFailures() {
-    failures = 0;
+    failureCount = 0;
     failedJobs.clear();
   }
 
   /** Called when a task of the job has failed on the worker. */
   void addFailure(String job) {
-    failures++;
+    failureCount++;
     failedJobs.add(job);
   }
 
@@ -28,16 +28,16 @@
    *
    * @return whether a task of the job had failed on this worker
    */
-  boolean dismissJob(String job) {
+  boolean forgetJob(String job) {
     if (!failedJobs.remove(job)) {
       return false;
     }
-    failures = failedJobs.size();
+    failureCount = failedJobs.size();
     return true;
   }
 
-  int failures() {
-    return failures;
+  int failureCount() {
+    return failureCount;
   }
 
   /**
@@ -48,7 +48,7 @@
     return slowTasks.add(task);
   }
 
-  int slowTasks() {
+  int slowTaskCount() {
     return slowTasks.size();
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/FailureTracker.java
+++ b/src/main/java/org/fieldtrestle/worker/FailureTracker.java
@@ -25,10 +25,10 @@
   private static final int FAULTY_AFTER_FAILURES = 2;
 
   /** A task counts as slow from this multiple of its job's average run time. */
-  private static final double SLOW_FROM = 2.5;
+  private static final double SLOW_RUN_TIME_MULTIPLE = 2.5;
 
   /** Number of a job's tasks that must have finished before their average run time is used. */
-  private static final int USUAL_AFTER_RUNS = 3;
+  private static final int MIN_RUNS_FOR_AVERAGE = 3;
 
   /** Number of slow tasks on a worker after which the worker is replaced. */
   private static final int DRAIN_AFTER_SLOW_TASKS = 2;
@@ -41,9 +41,9 @@
 
   private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
-  private static final String FAULTY = "fails its tasks";
+  private static final String FAULTY_DRAIN_REASON = "fails its tasks";
 
-  private static final class JobRecord {
+  private static final class JobHistory {
     private double totalRunS;
     private int runs;
     private final Set<String> failedOn = new HashSet<>();
@@ -51,7 +51,7 @@
     private boolean suspect;
 
     private boolean isSlow(double elapsedS) {
-      return runs >= USUAL_AFTER_RUNS && elapsedS >= SLOW_FROM * totalRunS / runs;
+      return runs >= MIN_RUNS_FOR_AVERAGE && elapsedS >= SLOW_RUN_TIME_MULTIPLE * totalRunS / runs;
     }
 
     private boolean becomesSuspect() {
@@ -61,7 +61,7 @@
 
   private final ControllerContext context;
   private final WorkerRegistry workers;
-  private final Map<String, JobRecord> jobs = new HashMap<>();
+  private final Map<String, JobHistory> jobs = new HashMap<>();
 
   /** Workers on which some job has failed. */
   private final Set<String> workersWithFailures = new HashSet<>();
@@ -74,8 +74,8 @@
 
   /** Called when a task has finished. */
   void succeeded(TaskAttempt attempt, long nowMs) {
-    attempt.worker().failures().clearFailures();
-    JobRecord job = jobs.computeIfAbsent(attempt.task().job(), j -> new JobRecord());
+    attempt.worker().failureHistory().clearFailures();
+    JobHistory job = jobs.computeIfAbsent(attempt.task().job(), j -> new JobHistory());
     job.succeeded = true;
     job.suspect = false;
     checkRunTime(attempt, nowMs);
@@ -93,12 +93,12 @@
    * because estimates are often wrong by half and therefore say little about a worker.
    */
   public void checkRunTime(TaskAttempt attempt, long nowMs) {
-    JobRecord job = jobs.get(attempt.task().job());
+    JobHistory job = jobs.get(attempt.task().job());
     Worker worker = attempt.worker();
     if (job == null
         || !job.isSlow(attempt.elapsedS(nowMs))
-        || !worker.failures().addSlowTask(attempt.task())
-        || worker.failures().slowTasks() < DRAIN_AFTER_SLOW_TASKS
+        || !worker.failureHistory().addSlowTask(attempt.task())
+        || worker.failureHistory().slowTaskCount() < DRAIN_AFTER_SLOW_TASKS
         || worker.isDraining()) {
       return;
     }
@@ -120,7 +120,7 @@
   void failed(TaskAttempt attempt, Retry retry, int failures, long nowMs) {
     String jobId = attempt.task().job();
     Worker worker = attempt.worker();
-    JobRecord job = jobs.computeIfAbsent(jobId, j -> new JobRecord());
+    JobHistory job = jobs.computeIfAbsent(jobId, j -> new JobHistory());
     job.failedOn.add(worker.id());
     workersWithFailures.add(worker.id());
     if (job.becomesSuspect()) {
@@ -129,7 +129,7 @@
           .addKeyValue("job", jobId)
           .addKeyValue("workers", job.failedOn)
           .log("job fails on every worker");
-      clearWorkersOf(jobId);
+      clearFailuresOf(jobId);
     }
     if (job.suspect) {
       long firstBackoffMs = context.heartbeatIntervalsMs(RETRY_BACKOFF_INTERVALS);
@@ -137,10 +137,10 @@
       return;
     }
     retry.delayUntil(nowMs);
-    worker.failures().addFailure(jobId);
+    worker.failureHistory().addFailure(jobId);
     worker.quarantineUntil(nowMs + context.heartbeatIntervalsMs(QUARANTINE_INTERVALS));
-    if (worker.failures().failures() >= FAULTY_AFTER_FAILURES && !worker.isDraining()) {
-      worker.drain(FAULTY);
+    if (worker.failureHistory().failureCount() >= FAULTY_AFTER_FAILURES && !worker.isDraining()) {
+      worker.drain(FAULTY_DRAIN_REASON);
       LOG.atWarn()
           .addKeyValue("worker", worker.id())
           .addKeyValue("job", jobId)
@@ -152,12 +152,12 @@
    * Called when a job becomes suspect. Its failures no longer count against the workers on which it
    * failed.
    */
-  private void clearWorkersOf(String jobId) {
+  private void clearFailuresOf(String jobId) {
     for (Worker worker : workers.all()) {
-      if (worker.failures().dismissJob(jobId)) {
+      if (worker.failureHistory().forgetJob(jobId)) {
         worker.endQuarantine();
-        if (worker.failures().failures() < FAULTY_AFTER_FAILURES
-            && worker.drainReason().equals(FAULTY)) {
+        if (worker.failureHistory().failureCount() < FAULTY_AFTER_FAILURES
+            && worker.drainReason().equals(FAULTY_DRAIN_REASON)) {
           worker.stopDraining();
         }
       }
@@ -169,7 +169,7 @@
    * This does not apply to suspect jobs, which fail on every worker.
    */
   public boolean mustAvoid(TaskRange range, Worker worker) {
-    JobRecord job = jobs.get(range.key().job());
+    JobHistory job = jobs.get(range.key().job());
     return job != null && !job.suspect && job.failedOn.contains(worker.id());
   }
 
--- a/src/main/java/org/fieldtrestle/worker/FreeResources.java
+++ b/src/main/java/org/fieldtrestle/worker/FreeResources.java
@@ -6,7 +6,7 @@
 /** The free resources of a worker during a placement pass. */
 public final class FreeResources {
   /** Tolerance for rounding errors in sums of fractions. */
-  private static final double ROUNDING = 1e-6;
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private final Worker worker;
   private final MachineType machineType;
@@ -30,10 +30,10 @@
   }
 
   /** Whether these amounts are free; memory is in GB. */
-  public boolean has(double ofCpus, double ofGpus, double ofMemoryGb) {
-    return ofCpus <= cpus + ROUNDING
-        && ofGpus <= gpus + ROUNDING
-        && ofMemoryGb <= memoryGb + ROUNDING;
+  public boolean has(double neededCpus, double neededGpus, double neededMemoryGb) {
+    return neededCpus <= cpus + ROUNDING_TOLERANCE
+        && neededGpus <= gpus + ROUNDING_TOLERANCE
+        && neededMemoryGb <= memoryGb + ROUNDING_TOLERANCE;
   }
 
   /** Adds the resources of a task of the job that no longer uses them. */
@@ -71,13 +71,13 @@
    * result.
    */
   public double remainingFractionAfter(JobSpec spec) {
-    return part(cpus - spec.cpus(), machineType.cpus())
-        + part(gpus - spec.gpus(), machineType.gpus())
-        + part(memoryGb - spec.memoryGb(), machineType.memoryGb());
+    return fraction(cpus - spec.cpus(), machineType.cpus())
+        + fraction(gpus - spec.gpus(), machineType.gpus())
+        + fraction(memoryGb - spec.memoryGb(), machineType.memoryGb());
   }
 
-  private static double part(double left, double of) {
-    return of > 0 ? left / of : 0;
+  private static double fraction(double remaining, double total) {
+    return total > 0 ? remaining / total : 0;
   }
 
   /** Returns the worker's machine type. */
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
@@ -28,13 +28,13 @@
   /**
    * A task is stopped at once if its remaining run time exceeds this multiple of the spot notice.
    */
-  private static final double MAX_REST_PER_NOTICE = 1.5;
+  private static final double MAX_REMAINING_TIME_PER_NOTICE = 1.5;
 
   /**
    * Fraction of the spot notice that a task gets as its grace period for saving its work; the rest
    * is left for delivering the commands.
    */
-  private static final double GRACE_PER_NOTICE = 0.8;
+  private static final double GRACE_PERIOD_PER_NOTICE = 0.8;
 
   private final ControllerContext context;
   private final LeadershipTerm term;
@@ -85,7 +85,7 @@
     boolean changed = apply(worker, heartbeat);
     checkResponsiveness(worker, heartbeat.sequence(), now);
     connection.order().acceptHeartbeat(heartbeat.sequence());
-    if (worker.reportUp()) {
+    if (worker.markUpReported()) {
       LOG.debug("machine {} is up after {} s", worker.id(), worker.ageMs(now) / 1000);
       events.workerUp(worker.id());
     }
@@ -98,14 +98,14 @@
     if (!workers.mayReceiveCommands(worker)) {
       return List.of();
     }
-    List<WorkerCommand> answered = commands.assembleFor(worker);
-    for (WorkerCommand command : answered) {
+    List<WorkerCommand> assembled = commands.assembleFor(worker);
+    for (WorkerCommand command : assembled) {
       TaskAttempt attempt = worker.attempt(command.task());
       if (attempt != null && command instanceof WorkerCommand.Start) {
-        attempt.awaitInHeartbeatAfter(worker.connection().order().sequence());
+        attempt.expectReportAfter(worker.connection().order().sequence());
       }
     }
-    return answered;
+    return assembled;
   }
 
   /**
@@ -174,13 +174,13 @@
    * up waiting for it.
    */
   private void checkResponsiveness(Worker worker, long sequence, long nowMs) {
-    boolean lacks = false;
-    boolean shows = false;
+    boolean anyMissing = false;
+    boolean anyReported = false;
     for (TaskAttempt attempt : worker.attempts()) {
-      if (attempt.isAwaitedIn(sequence)) {
-        lacks |= attempt.state() == TaskAttempt.State.STARTING;
-        shows |= attempt.state() != TaskAttempt.State.STARTING;
-        attempt.stopAwaiting();
+      if (attempt.isReportExpectedIn(sequence)) {
+        anyMissing |= attempt.state() == TaskAttempt.State.STARTING;
+        anyReported |= attempt.state() != TaskAttempt.State.STARTING;
+        attempt.stopExpectingReport();
       }
     }
     if (worker.isUnresponsive()) {
@@ -189,16 +189,16 @@
         LOG.atInfo().addKeyValue("worker", worker.id()).log("worker is responsive again");
         events.requestPlacementPass();
       }
-    } else if (shows) {
+    } else if (anyReported) {
       worker.connection().markResponsive();
-    } else if (lacks && worker.connection().countUnacknowledgedAnswer(nowMs)) {
+    } else if (anyMissing && worker.connection().countUnacknowledgedAnswer(nowMs)) {
       LOG.atWarn().addKeyValue("worker", worker.id()).log("worker is unresponsive");
     }
   }
 
   private void applySpotNotice(Worker worker, double noticeS) {
     long now = context.now();
-    worker.giveSpotNotice(now + Math.round(noticeS * 1000));
+    worker.recordSpotNotice(now + Math.round(noticeS * 1000));
     if (!worker.isDraining()) {
       worker.drain("spot notice");
       LOG.atInfo()
@@ -212,10 +212,11 @@
           && attempt.range() != null
           && attempt.range().spec() != null) {
         JobSpec spec = attempt.range().spec();
-        double restS = attempt.remainingS(now, spec.estimateS());
-        if (!attempt.hasRun() || restS > MAX_REST_PER_NOTICE * noticeS) {
-          boolean saves = spec.hasCheckpoints() && spec.saveS() < noticeS;
-          commands.stop(attempt, saves ? Math.max(spec.saveS(), noticeS * GRACE_PER_NOTICE) : 0);
+        double remainingS = attempt.remainingS(now, spec.estimateS());
+        if (!attempt.hasRun() || remainingS > MAX_REMAINING_TIME_PER_NOTICE * noticeS) {
+          boolean canSave = spec.hasCheckpoints() && spec.saveS() < noticeS;
+          commands.stop(
+              attempt, canSave ? Math.max(spec.saveS(), noticeS * GRACE_PERIOD_PER_NOTICE) : 0);
         }
       }
     }
--- a/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
+++ b/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
@@ -13,16 +13,16 @@
   private static final Logger LOG = LoggerFactory.getLogger(ImageDownloads.class);
 
   /** Weight of a new observation in the moving average. */
-  private static final double WEIGHT = 0.1;
+  private static final double OBSERVATION_WEIGHT = 0.1;
 
   /**
    * Bandwidth counts as shared if images take, on average, more than this multiple of the time that
    * they take alone.
    */
-  private static final double SHARED_FROM = 1.6;
+  private static final double SHARED_ABOVE_MULTIPLE = 1.6;
 
   /** Upper limit of a single observation, because a worker may hang. */
-  private static final double MAX_OBSERVED = 4;
+  private static final double MAX_OBSERVED_MULTIPLE = 4;
 
   /** Average delay of the start command and of the heartbeat that reports the task, in seconds. */
   private final double reportingDelayS;
@@ -39,15 +39,15 @@
    *
    * @param tookS time from the placement of the task to the heartbeat that reports it as running,
    *     in seconds
-   * @param aloneS how long the image takes if it is fetched alone, in seconds
+   * @param uncontendedS how long the image takes if it is fetched alone, in seconds
    */
-  void record(double tookS, double aloneS) {
-    if (aloneS < reportingDelayS) {
+  void record(double tookS, double uncontendedS) {
+    if (uncontendedS < reportingDelayS) {
       return; // the reporting delay would dominate the measurement
     }
     boolean wasShared = isBandwidthShared();
-    double multiple = Math.min((tookS - reportingDelayS) / aloneS, MAX_OBSERVED);
-    averageMultiple += (multiple - averageMultiple) * WEIGHT;
+    double multiple = Math.min((tookS - reportingDelayS) / uncontendedS, MAX_OBSERVED_MULTIPLE);
+    averageMultiple += (multiple - averageMultiple) * OBSERVATION_WEIGHT;
     if (isBandwidthShared() != wasShared) {
       LOG.atInfo()
           .addKeyValue("shared", isBandwidthShared())
@@ -57,6 +57,6 @@
 
   /** Whether images that a worker fetches at the same time share its bandwidth. */
   public boolean isBandwidthShared() {
-    return averageMultiple > SHARED_FROM;
+    return averageMultiple > SHARED_ABOVE_MULTIPLE;
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -43,8 +43,8 @@
       return Optional.empty();
     }
     int tasks = 0;
-    for (Map.Entry<Integer, Versioned<RangeRecord>> one : job.ranges().entrySet()) {
-      RangeRecord range = one.getKey() == key.index() ? next : one.getValue().record();
+    for (Map.Entry<Integer, Versioned<RangeRecord>> entry : job.ranges().entrySet()) {
+      RangeRecord range = entry.getKey() == key.index() ? next : entry.getValue().record();
       if (!range.isComplete()) {
         return Optional.empty();
       }
@@ -53,20 +53,20 @@
     if (tasks != job.job().record().spec().tasks()) {
       return Optional.empty();
     }
-    return Optional.of(ending(job, key, tasks));
+    return Optional.of(endTransaction(job, key, tasks));
   }
 
-  private static Transaction ending(ActiveJob job, StateKey.RangeKey key, int tasks) {
+  private static Transaction endTransaction(ActiveJob job, StateKey.RangeKey key, int tasks) {
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(StateKeys.job(key.job()), job.job().version()));
     changes.add(new KeyValueProtocol.Delete(StateKeys.job(key.job())));
-    for (Map.Entry<Integer, Versioned<RangeRecord>> one : job.ranges().entrySet()) {
-      String rangeKey = StateKeys.range(new StateKey.RangeKey(key.job(), one.getKey()));
-      if (one.getKey() != key.index()) {
-        conditions.add(new KeyValueProtocol.Condition(rangeKey, one.getValue().version()));
+    for (Map.Entry<Integer, Versioned<RangeRecord>> entry : job.ranges().entrySet()) {
+      String rangeKey = StateKeys.range(new StateKey.RangeKey(key.job(), entry.getKey()));
+      if (entry.getKey() != key.index()) {
+        conditions.add(new KeyValueProtocol.Condition(rangeKey, entry.getValue().version()));
       }
-      if (one.getValue().version() != 0) {
+      if (entry.getValue().version() != 0) {
         changes.add(new KeyValueProtocol.Delete(rangeKey));
       }
     }
@@ -86,17 +86,17 @@
     if (job == null || !job.isComplete()) {
       return Optional.empty();
     }
-    Map.Entry<Integer, Versioned<RangeRecord>> any = job.ranges().firstEntry();
-    StateKey.RangeKey key = new StateKey.RangeKey(jobId, any.getKey());
+    Map.Entry<Integer, Versioned<RangeRecord>> firstRange = job.ranges().firstEntry();
+    StateKey.RangeKey key = new StateKey.RangeKey(jobId, firstRange.getKey());
     KeyValueProtocol.Condition unchanged =
-        new KeyValueProtocol.Condition(StateKeys.range(key), any.getValue().version());
-    return ifLastRange(context, key, any.getValue().record())
+        new KeyValueProtocol.Condition(StateKeys.range(key), firstRange.getValue().version());
+    return ifLastRange(context, key, firstRange.getValue().record())
         .map(
-            ending -> {
+            endTransaction -> {
               List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
               conditions.add(unchanged);
-              conditions.addAll(ending.conditions());
-              return new Transaction(conditions, ending.changes());
+              conditions.addAll(endTransaction.conditions());
+              return new Transaction(conditions, endTransaction.changes());
             });
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
+++ b/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
@@ -34,7 +34,7 @@
   private final CommandPolicy policy;
   private boolean active;
   private boolean over;
-  private long attempts;
+  private long attemptCount;
 
   /**
    * Creates a term that begins with this epoch. The shard is not led before {@link #activate}.
@@ -105,7 +105,7 @@
 
   /** Returns an attempt number that no other start of the same task has. */
   public long nextAttemptNumber() {
-    return firstToken() + ++attempts;
+    return firstToken() + ++attemptCount;
   }
 
   /**
@@ -142,12 +142,12 @@
       List<KeyValueProtocol.Condition> conditions,
       List<KeyValueProtocol.Change> changes,
       Consumer<Boolean> done) {
-    List<KeyValueProtocol.Condition> all = new ArrayList<>(conditions);
-    all.add(guard());
+    List<KeyValueProtocol.Condition> allConditions = new ArrayList<>(conditions);
+    allConditions.add(guard());
     context
         .store()
         .commit(
-            new Transaction(all, changes),
+            new Transaction(allConditions, changes),
             result -> {
               if (result instanceof CommitResult.Committed committed) {
                 context.stateCache().applyCommit(changes, committed.revision());
--- a/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
@@ -45,7 +45,7 @@
    * Returns the conditions that a range is unchanged. A range without a record of its own is
    * defined by the record of its job.
    */
-  private List<KeyValueProtocol.Condition> unchanged(TaskRange range) {
+  private List<KeyValueProtocol.Condition> unchangedConditions(TaskRange range) {
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(StateKeys.range(range.key()), range.version()));
     if (range.version() == 0) {
@@ -81,7 +81,7 @@
     }
     String key = StateKeys.range(range.key());
     term.write(
-        unchanged(range),
+        unchangedConditions(range),
         List.of(StateChanges.put(key, range.record())),
         committed -> {
           if (!committed) {
@@ -101,12 +101,12 @@
   public void endWrite(TaskRange range) {
     range.writes().end();
     if (!range.finishedOffsets().isEmpty() && !range.isReleased()) {
-      write(range);
+      requestWrite(range);
     }
   }
 
   /** Called when a task of the range has finished and its completion is to be written. */
-  void write(TaskRange range) {
+  void requestWrite(TaskRange range) {
     if (range.isWriting()) {
       return;
     }
@@ -132,7 +132,7 @@
       return;
     }
     RangeRecord next = range.recordWithFinished();
-    List<KeyValueProtocol.Condition> conditions = unchanged(range);
+    List<KeyValueProtocol.Condition> conditions = unchangedConditions(range);
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     Optional<Transaction> jobEnd = JobCompletion.ifLastRange(context, range.key(), next);
     if (jobEnd.isPresent()) {
@@ -170,7 +170,7 @@
       if (batch.size() >= context.settings().state().txnOps() / 2 || bytes > MAX_BATCH_BYTES) {
         break;
       }
-      conditions.addAll(unchanged(range));
+      conditions.addAll(unchangedConditions(range));
       changes.add(put);
       range.beginWrite();
       range.writes().cancelScheduled();
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -46,7 +46,7 @@
    */
   boolean reconcile(Worker worker, Heartbeat heartbeat) {
     boolean changed = false;
-    int shown = 0;
+    int reportedCount = 0;
     worker.clearUnknownTasks();
     workers.duplicates().forgetWorker(worker);
     for (TaskStatus reported : heartbeat.tasks()) {
@@ -57,14 +57,14 @@
       }
       if (attempt == null) {
         worker.addUnknownTask(reported);
-        noteDuplicate(worker, reported);
+        recordDuplicate(worker, reported);
       } else {
-        shown += attempt.isShownIn(heartbeat.sequence()) ? 0 : 1;
-        attempt.markShownIn(heartbeat.sequence());
-        changed |= follow(attempt, reported);
+        reportedCount += attempt.isReportedIn(heartbeat.sequence()) ? 0 : 1;
+        attempt.markReportedIn(heartbeat.sequence());
+        changed |= applyReport(attempt, reported);
       }
     }
-    if (shown != worker.attempts().size()) {
+    if (reportedCount != worker.attempts().size()) {
       changed |= dropAbsent(worker, heartbeat.sequence());
     }
     return changed;
@@ -77,7 +77,7 @@
   private boolean dropAbsent(Worker worker, long sequence) {
     boolean changed = false;
     for (TaskAttempt attempt : worker.copyOfAttempts()) {
-      if (attempt.isShownIn(sequence)) {
+      if (attempt.isReportedIn(sequence)) {
         continue;
       }
       if (!attempt.isLive()) {
@@ -94,7 +94,7 @@
     return changed;
   }
 
-  private void noteDuplicate(Worker worker, TaskStatus reported) {
+  private void recordDuplicate(Worker worker, TaskStatus reported) {
     TaskRange range = ranges.containing(reported.task());
     if (range != null
         && reported.state() != TaskState.EXITED
@@ -168,21 +168,21 @@
   }
 
   /** Applies the reported state; returns whether resources or an image have become available. */
-  private boolean follow(TaskAttempt attempt, TaskStatus reported) {
+  private boolean applyReport(TaskAttempt attempt, TaskStatus reported) {
     attempt.markStartSent();
-    boolean wasBeforeImage = attempt.state().isBeforeImage();
-    boolean ended = followState(attempt, reported);
-    noteImage(attempt);
+    boolean wasAwaitingImage = attempt.state().isAwaitingImage();
+    boolean ended = applyState(attempt, reported);
+    recordImage(attempt);
     // Other tasks may be waiting for the image that was fetched.
-    return ended || (wasBeforeImage && !attempt.state().isBeforeImage());
+    return ended || (wasAwaitingImage && !attempt.state().isAwaitingImage());
   }
 
-  private boolean followState(TaskAttempt attempt, TaskStatus reported) {
+  private boolean applyState(TaskAttempt attempt, TaskStatus reported) {
     Worker worker = attempt.worker();
     switch (reported.state()) {
       case FETCHING -> worker.changeState(attempt, TaskAttempt.State.FETCHING);
       case RUNNING -> {
-        noteRunning(attempt);
+        recordRunning(attempt);
         worker.changeState(attempt, TaskAttempt.State.RUNNING);
       }
       case SAVING -> worker.changeState(attempt, TaskAttempt.State.SAVING);
@@ -198,18 +198,18 @@
     return false;
   }
 
-  private void noteRunning(TaskAttempt attempt) {
+  private void recordRunning(TaskAttempt attempt) {
     if (attempt.hasRun()) {
       return;
     }
     long now = context.now();
     attempt.markRunning(now);
-    if (attempt.concurrentFetchAloneS() > 0) {
-      downloads.record((now - attempt.placedAtMs()) / 1000.0, attempt.concurrentFetchAloneS());
+    if (attempt.uncontendedFetchS() > 0) {
+      downloads.record((now - attempt.placedAtMs()) / 1000.0, attempt.uncontendedFetchS());
     }
   }
 
-  private void noteImage(TaskAttempt attempt) {
+  private void recordImage(TaskAttempt attempt) {
     if (attempt.range() == null || attempt.range().spec() == null || !attempt.isLive()) {
       return;
     }
--- a/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
@@ -19,7 +19,7 @@
     EXITED;
 
     /** Whether the image is, as far as is known, not on the worker yet. */
-    boolean isBeforeImage() {
+    boolean isAwaitingImage() {
       return this == STARTING || this == FETCHING;
     }
   }
@@ -59,14 +59,14 @@
   private boolean discovered;
   private boolean exemptFromPreemption;
   private long runningSinceMs = NOT_RUNNING;
-  private long lastShownIn = NO_SEQUENCE;
-  private long startSentAfter = NO_SEQUENCE;
+  private long lastReportedIn = NO_SEQUENCE;
+  private long startSentAfterSequence = NO_SEQUENCE;
 
   /**
    * How long the image would take to fetch alone, in seconds, if the worker was fetching another
    * image at the same time; otherwise 0.
    */
-  private double concurrentFetchAloneS;
+  private double uncontendedFetchS;
 
   /**
    * Creates an attempt that is placed on a worker, or discovered there, at the given time.
@@ -91,7 +91,7 @@
   // ---- transitions
 
   /** Called only by {@link AttemptTable#changeState}, which keeps sums by state. */
-  void enter(State next) {
+  void setState(State next) {
     state = next;
   }
 
@@ -116,18 +116,18 @@
    * Records that the start command was sent after the heartbeat with this sequence. Later
    * heartbeats show whether the command has arrived.
    */
-  void awaitInHeartbeatAfter(long sequence) {
-    startSentAfter = sequence;
+  void expectReportAfter(long sequence) {
+    startSentAfterSequence = sequence;
   }
 
   /** Called when a heartbeat has shown whether the start command has arrived. */
-  void stopAwaiting() {
-    startSentAfter = NO_SEQUENCE;
+  void stopExpectingReport() {
+    startSentAfterSequence = NO_SEQUENCE;
   }
 
   /** Records that the heartbeat with this sequence reports the attempt. */
-  void markShownIn(long sequence) {
-    lastShownIn = sequence;
+  void markReportedIn(long sequence) {
+    lastReportedIn = sequence;
   }
 
   /** Lets the worker forget the attempt, whose outcome is durable or no longer needed. */
@@ -158,10 +158,10 @@
   /**
    * Records that the image shares the worker's download bandwidth with another image.
    *
-   * @param aloneS how long the image would take to fetch alone, in seconds
+   * @param uncontendedS how long the image would take to fetch alone, in seconds
    */
-  public void markConcurrentFetch(double aloneS) {
-    concurrentFetchAloneS = aloneS;
+  public void markConcurrentFetch(double uncontendedS) {
+    uncontendedFetchS = uncontendedS;
   }
 
   // ---- queries
@@ -190,12 +190,12 @@
   }
 
   /** Whether the heartbeat with this sequence shows if the start command has arrived. */
-  boolean isAwaitedIn(long sequence) {
-    return startSentAfter != NO_SEQUENCE && startSentAfter < sequence;
+  boolean isReportExpectedIn(long sequence) {
+    return startSentAfterSequence != NO_SEQUENCE && startSentAfterSequence < sequence;
   }
 
-  boolean isShownIn(long sequence) {
-    return lastShownIn == sequence;
+  boolean isReportedIn(long sequence) {
+    return lastReportedIn == sequence;
   }
 
   boolean isClearable() {
@@ -252,8 +252,8 @@
    * Returns how long the image would take to fetch alone, in seconds, if it shares the download
    * bandwidth with another image; otherwise 0.
    */
-  double concurrentFetchAloneS() {
-    return concurrentFetchAloneS;
+  double uncontendedFetchS() {
+    return uncontendedFetchS;
   }
 
   /** Returns the grace period that the worker gives the task for saving its work, in seconds. */
--- a/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
@@ -18,7 +18,7 @@
   private final ControllerContext context;
   private final WorkerRegistry workers;
   private final FailureTracker failures;
-  private final RangeProgressWriter progress;
+  private final RangeProgressWriter progressWriter;
   private final ShardEvents events;
 
   /** Creates a handler for the tasks on these workers. */
@@ -26,12 +26,12 @@
       ControllerContext context,
       WorkerRegistry workers,
       FailureTracker failures,
-      RangeProgressWriter progress,
+      RangeProgressWriter progressWriter,
       ShardEvents events) {
     this.context = context;
     this.workers = workers;
     this.failures = failures;
-    this.progress = progress;
+    this.progressWriter = progressWriter;
     this.events = events;
   }
 
@@ -46,7 +46,7 @@
       attempt.markClearable();
       if (attempt.range().placed().get(attempt.offset()) == attempt) {
         retry(attempt);
-        progress.removeIfEnded(attempt.range());
+        progressWriter.removeIfEnded(attempt.range());
       }
     }
   }
@@ -59,7 +59,7 @@
       attempt.markClearable();
     } else {
       range.finishedTasks().hold(attempt);
-      progress.write(range);
+      progressWriter.requestWrite(range);
     }
   }
 
@@ -94,7 +94,7 @@
     int offset = attempt.offset();
     if (range.placed().get(offset) == attempt) {
       range.retry(offset, attempt.waitingSinceMs());
-      progress.removeIfEnded(range);
+      progressWriter.removeIfEnded(range);
     }
   }
 
--- a/src/main/java/org/fieldtrestle/worker/TaskRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -41,7 +41,7 @@
 
   private final long waitingSinceMs;
 
-  private final FinishedTasks finished = new FinishedTasks();
+  private final FinishedTasks finishedTasks = new FinishedTasks();
   private final Int2ObjectMap<TaskAttempt> placed = new Int2ObjectOpenHashMap<>();
 
   private final UnplacedTasks unplaced;
@@ -70,7 +70,7 @@
     record = next;
     version = nextVersion;
     unplaced.followRecord(record.size(), record.done());
-    finished.followDone(record.done());
+    finishedTasks.followDone(record.done());
   }
 
   /** Called when the job's record is known. */
@@ -82,7 +82,7 @@
   /** Called when the range no longer belongs to this shard. */
   void release() {
     released = true;
-    finished.detachAllHeld();
+    finishedTasks.detachAllHeld();
   }
 
   // ---- its tasks
@@ -99,7 +99,7 @@
     placed.remove(offset);
     Retry retry = new Retry(retryWaitingSinceMs);
     withheldSinceMs = NOT_WITHHELD;
-    if (!isDone(offset) && !finished.offsets().get(offset)) {
+    if (!isDone(offset) && !finishedTasks.offsets().get(offset)) {
       unplaced.addRetry(offset, retry);
     }
     return retry;
@@ -111,7 +111,7 @@
     placed.remove(offset);
     unplaced.remove(offset);
     if (!isDone(offset)) {
-      finished.add(offset);
+      finishedTasks.add(offset);
     }
   }
 
@@ -172,12 +172,12 @@
    */
   RangeRecord recordWithFinished() {
     BitSet done = (BitSet) record.done().clone();
-    done.or(finished.offsets());
+    done.or(finishedTasks.offsets());
     return record.withDone(done);
   }
 
   boolean isFinished() {
-    return record.done().cardinality() + finished.offsets().cardinality() >= record.size();
+    return record.done().cardinality() + finishedTasks.offsets().cardinality() >= record.size();
   }
 
   // ---- queries
@@ -244,12 +244,12 @@
   }
 
   FinishedTasks finishedTasks() {
-    return finished;
+    return finishedTasks;
   }
 
   /** Returns the tasks that have finished but whose completion is not durable yet. */
   public BitSet finishedOffsets() {
-    return finished.offsets();
+    return finishedTasks.offsets();
   }
 
   /** Returns the waiting tasks that have not been on a worker in this term. */
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -26,7 +26,7 @@
   private final CommandPolicy policy;
   private final WorkerRegistry workers;
   private final WorkerCommands commands;
-  private final RangeProgressWriter progress;
+  private final RangeProgressWriter progressWriter;
   private final TaskOutcomes outcomes;
   private final ShardEvents events;
   private final TreeMap<StateKey.RangeKey, TaskRange> ranges = new TreeMap<>();
@@ -38,7 +38,7 @@
       LeadershipTerm term,
       WorkerRegistry workers,
       WorkerCommands commands,
-      RangeProgressWriter progress,
+      RangeProgressWriter progressWriter,
       TaskOutcomes outcomes,
       ShardEvents events) {
     this.context = context;
@@ -46,7 +46,7 @@
     this.policy = term.policy();
     this.workers = workers;
     this.commands = commands;
-    this.progress = progress;
+    this.progressWriter = progressWriter;
     this.outcomes = outcomes;
     this.events = events;
   }
@@ -94,7 +94,7 @@
 
   /** Returns the writer of the ranges' records. */
   public RangeProgressWriter progressWriter() {
-    return progress;
+    return progressWriter;
   }
 
   /** Returns the handler of tasks that have ended or were lost. */
@@ -119,36 +119,36 @@
    * shard.
    */
   public boolean sync(StateKey.RangeKey key) {
-    Versioned<RangeRecord> kept = context.stateCache().range(key);
+    Versioned<RangeRecord> stored = context.stateCache().range(key);
     TaskRange range = ranges.get(key);
     // A range that was assigned to a later epoch of this shard does not belong to this term, which
     // may not know yet that it has ended. Otherwise both terms would start the range's tasks.
-    if (!policy.belongsToTerm(kept)) {
+    if (!policy.belongsToTerm(stored)) {
       if (range != null) {
         release(range);
       }
       return range != null;
     }
     if (range == null) {
-      range = add(key, kept);
+      range = add(key, stored);
       refreshJob(range);
       events.rangeAdded(range);
       return true;
     }
-    range.followRecord(kept.record(), kept.version());
+    range.followRecord(stored.record(), stored.version());
     refreshJob(range);
     return true;
   }
 
-  private TaskRange add(StateKey.RangeKey key, Versioned<RangeRecord> kept) {
+  private TaskRange add(StateKey.RangeKey key, Versioned<RangeRecord> stored) {
     ActiveJob job = context.stateCache().job(key.job());
     long ageMs =
         job == null
             ? 0
             : Math.max(0, context.reactor().wall() - job.job().record().acceptedWallMs());
-    boolean inherited = kept.record().epoch() < term.epoch();
+    boolean inherited = stored.record().epoch() < term.epoch();
     TaskRange range =
-        new TaskRange(key, kept.record(), kept.version(), inherited, context.now() - ageMs);
+        new TaskRange(key, stored.record(), stored.version(), inherited, context.now() - ageMs);
     if (context.cancellations().wasHeard(key.job())) {
       range.stopState().markCancelled();
     }
@@ -162,21 +162,21 @@
    * returns whether a range of the job belongs or belonged to this shard.
    */
   public boolean syncJob(String job) {
-    boolean any = false;
+    boolean anyOwned = false;
     for (int index : List.copyOf(context.stateCache().rangesOf(job).keySet())) {
-      any |= sync(new StateKey.RangeKey(job, index));
+      anyOwned |= sync(new StateKey.RangeKey(job, index));
     }
     for (TaskRange range : List.copyOf(ofJob(job))) {
-      any |= sync(range.key());
+      anyOwned |= sync(range.key());
     }
-    return any;
+    return anyOwned;
   }
 
   private void release(TaskRange range) {
     ranges.remove(range.key());
-    List<TaskRange> same = byJob.get(range.key().job());
-    same.remove(range);
-    if (same.isEmpty()) {
+    List<TaskRange> rangesOfJob = byJob.get(range.key().job());
+    rangesOfJob.remove(range);
+    if (rangesOfJob.isEmpty()) {
       byJob.remove(range.key().job());
     }
     for (TaskAttempt attempt : range.placed().values()) {
@@ -205,7 +205,7 @@
       stopAll(range);
       range.finishedTasks().clearAllHeld();
       events.sendCommands();
-      progress.removeIfEnded(range);
+      progressWriter.removeIfEnded(range);
     }
   }
 
--- a/src/main/java/org/fieldtrestle/worker/TeamUsage.java
+++ b/src/main/java/org/fieldtrestle/worker/TeamUsage.java
@@ -13,33 +13,34 @@
     double gpus;
   }
 
-  private final Object2ObjectOpenHashMap<String, Sum> teams = new Object2ObjectOpenHashMap<>();
+  private final Object2ObjectOpenHashMap<String, Sum> usageByTeam =
+      new Object2ObjectOpenHashMap<>();
 
   void add(TaskAttempt attempt) {
-    Sum sum = teams.computeIfAbsent(attempt.team(), t -> new Sum());
+    Sum sum = usageByTeam.computeIfAbsent(attempt.team(), t -> new Sum());
     sum.tasks++;
     sum.cpus += attempt.cpus();
     sum.gpus += attempt.gpus();
   }
 
   void remove(TaskAttempt attempt) {
-    Sum sum = teams.get(attempt.team());
+    Sum sum = usageByTeam.get(attempt.team());
     sum.cpus -= attempt.cpus();
     sum.gpus -= attempt.gpus();
     if (--sum.tasks == 0) {
-      teams.remove(attempt.team()); // removes rounding errors
+      usageByTeam.remove(attempt.team()); // removes rounding errors
     }
   }
 
   /** Returns the CPUs that the team's tasks use. */
   public double cpus(String team) {
-    Sum sum = teams.get(team);
+    Sum sum = usageByTeam.get(team);
     return sum == null ? 0 : sum.cpus;
   }
 
   /** Returns the GPUs that the team's tasks use. */
   public double gpus(String team) {
-    Sum sum = teams.get(team);
+    Sum sum = usageByTeam.get(team);
     return sum == null ? 0 : sum.gpus;
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -20,7 +20,7 @@
   private final long rentedBeforeMs;
 
   private final WorkerConnection connection;
-  private final FailureHistory failures = new FailureHistory();
+  private final FailureHistory failureHistory = new FailureHistory();
   private final AttemptTable attempts;
   private final ImageCache images = new ImageCache();
 
@@ -157,8 +157,8 @@
     return connection.order().incarnation();
   }
 
-  FailureHistory failures() {
-    return failures;
+  FailureHistory failureHistory() {
+    return failureHistory;
   }
 
   // ---- its tasks
--- a/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerCommands.java
@@ -18,7 +18,7 @@
   private final CommandPolicy policy;
 
   /** Workers for which there may be unsent commands. */
-  private final Set<Worker> pending = new LinkedHashSet<>();
+  private final Set<Worker> pendingWorkers = new LinkedHashSet<>();
 
   /** Creates the commands of this term to these workers. */
   public WorkerCommands(
@@ -34,19 +34,19 @@
 
   /** Called when there may be unsent commands for the worker. */
   public void addPending(Worker worker) {
-    pending.add(worker);
+    pendingWorkers.add(worker);
   }
 
   /** Called when the worker no longer belongs to this shard. */
   void forget(Worker worker) {
-    pending.remove(worker);
+    pendingWorkers.remove(worker);
   }
 
   /**
    * Returns an iterator over the workers for which there may be unsent commands; supports removal.
    */
-  Iterator<Worker> pending() {
-    return pending.iterator();
+  Iterator<Worker> pendingWorkers() {
+    return pendingWorkers.iterator();
   }
 
   /** Returns the commands for a worker, decided from the state that is known at this moment. */
@@ -95,7 +95,7 @@
     if (attempt.state() == TaskAttempt.State.STARTING && !attempt.isStartSent()) {
       outcomes.gone(attempt);
     } else {
-      pending.add(attempt.worker());
+      pendingWorkers.add(attempt.worker());
     }
   }
 
--- a/src/main/java/org/fieldtrestle/worker/WorkerConnection.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerConnection.java
@@ -14,7 +14,7 @@
    * Number of heartbeats in a row without the tasks that their answers started, after which the
    * worker counts as unresponsive.
    */
-  private static final int UNRESPONSIVE_AFTER = 2;
+  private static final int UNRESPONSIVE_AFTER_ANSWERS = 2;
 
   private final HeartbeatOrder order = new HeartbeatOrder();
   private final FencingState fencing;
@@ -77,7 +77,7 @@
    * @return whether the worker counts as unresponsive from now on
    */
   boolean countUnacknowledgedAnswer(long nowMs) {
-    if (++unacknowledgedAnswers < UNRESPONSIVE_AFTER) {
+    if (++unacknowledgedAnswers < UNRESPONSIVE_AFTER_ANSWERS) {
       return false;
     }
     unresponsiveSinceMs = nowMs;
--- a/src/main/java/org/fieldtrestle/worker/WorkerLifecycle.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerLifecycle.java
@@ -48,7 +48,7 @@
    * Called when a heartbeat was accepted; returns whether the record that the machine is up has to
    * be written.
    */
-  boolean reportUp() {
+  boolean markUpReported() {
     if (up || upReported) {
       return false;
     }
@@ -87,7 +87,7 @@
   }
 
   /** Records the cloud's notice that it will take the machine back at this time. */
-  void giveSpotNotice(long untilMs) {
+  void recordSpotNotice(long untilMs) {
     spotNoticeUntilMs = untilMs;
   }
 
--- a/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
@@ -23,7 +23,7 @@
   private final LeadershipTerm term;
   private final ControllerContext context;
   private final Map<String, Worker> workers = new TreeMap<>();
-  private final TeamUsage usage = new TeamUsage();
+  private final TeamUsage teamUsage = new TeamUsage();
   private final DuplicateAttempts duplicates = new DuplicateAttempts();
 
   /** Workers that may hold tasks of an earlier term and have not reported in this term. */
@@ -62,7 +62,7 @@
 
   /** Returns the resources that each team's tasks use on these workers. */
   public TeamUsage teamUsage() {
-    return usage;
+    return teamUsage;
   }
 
   DuplicateAttempts duplicates() {
--- a/src/main/java/org/fieldtrestle/worker/WriteSchedule.java
+++ b/src/main/java/org/fieldtrestle/worker/WriteSchedule.java
@@ -5,7 +5,7 @@
   private static final long NOT_SCHEDULED = -1;
 
   private boolean inProgress;
-  private long atMs = NOT_SCHEDULED;
+  private long scheduledAtMs = NOT_SCHEDULED;
 
   /** Called when a write begins; no other write may begin before it has ended. */
   void begin() {
@@ -23,17 +23,17 @@
 
   /** Schedules a write of the progress at this time, unless one is already scheduled. */
   void scheduleAt(long timeMs) {
-    if (atMs == NOT_SCHEDULED) {
-      atMs = timeMs;
+    if (scheduledAtMs == NOT_SCHEDULED) {
+      scheduledAtMs = timeMs;
     }
   }
 
   /** Cancels the scheduled write. Called when a write begins that includes the progress so far. */
   void cancelScheduled() {
-    atMs = NOT_SCHEDULED;
+    scheduledAtMs = NOT_SCHEDULED;
   }
 
   boolean isDue(long nowMs) {
-    return atMs != NOT_SCHEDULED && !inProgress && atMs <= nowMs;
+    return scheduledAtMs != NOT_SCHEDULED && !inProgress && scheduledAtMs <= nowMs;
   }
 }
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -73,7 +73,8 @@
       fixture.context.cancellations().heard("job-" + (100_000 + i));
     }
     assertFalse(
-        fixture.context.cancellations().wasHeard(ShardLeaderFixture.JOB), "forgotten by itself");
+        fixture.context.cancellations().wasHeard(ShardLeaderFixture.JOB),
+        "later notices have displaced it");
     assertEquals(StartRefusal.JOB_CANCELLED, policy.startRefusal(range));
     assertTrue(policy.mustStop(range));
   }
@@ -124,7 +125,7 @@
     assertEquals(StartRefusal.FENCE_CLOSED, policy.startRefusal(range));
     assertFalse(policy.mayAcknowledge());
     fixture.network.runFor(60_000);
-    assertNull(policy.startRefusal(range), "it opens again by itself");
+    assertNull(policy.startRefusal(range), "the fence opens again once the store answers");
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
+++ b/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
@@ -11,30 +11,31 @@
 /** Verifies that the sharing of bandwidth is learned from the durations of image downloads. */
 class ImageDownloadsTest {
   /**
-   * Records images whose download takes {@code times} their time alone, varied by up to a third,
+   * Records images whose download takes {@code multiple} their time alone, varied by up to a third,
    * plus the delay of up to a heartbeat interval with which workers report them.
    */
-  private static void images(
-      ImageDownloads downloads, SplittableRandom random, double aloneS, double times) {
+  private static void recordImages(
+      ImageDownloads downloads, SplittableRandom random, double uncontendedS, double multiple) {
     for (int i = 0; i < 60; i++) {
-      double fetchS = aloneS * times * (0.67 + random.nextDouble() * 0.66);
-      downloads.record(fetchS + random.nextDouble() * 4, aloneS);
+      double fetchS = uncontendedS * multiple * (0.67 + random.nextDouble() * 0.66);
+      downloads.record(fetchS + random.nextDouble() * 4, uncontendedS);
     }
   }
 
   @Property(tries = 200, seed = "51")
   void whetherImagesShareBandwidthIsLearnedWhateverTheirSize(
-      @ForAll @DoubleRange(min = 5, max = 120) double aloneS,
+      @ForAll @DoubleRange(min = 5, max = 120) double uncontendedS,
       @ForAll @LongRange(min = 0) long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     ImageDownloads downloads = new ImageDownloads(4);
-    images(downloads, random, aloneS, 1);
-    assertEquals(false, downloads.isBandwidthShared(), "each has bandwidth of its own");
-    images(downloads, random, aloneS, 2.4);
-    assertEquals(true, downloads.isBandwidthShared(), "beside one or two others");
-    images(downloads, random, 0.5, 1);
-    assertEquals(true, downloads.isBandwidthShared(), "images that take no time show nothing");
-    images(downloads, random, aloneS, 1);
-    assertEquals(false, downloads.isBandwidthShared(), "no longer");
+    recordImages(downloads, random, uncontendedS, 1);
+    assertEquals(false, downloads.isBandwidthShared(), "images that do not share bandwidth");
+    recordImages(downloads, random, uncontendedS, 2.4);
+    assertEquals(
+        true, downloads.isBandwidthShared(), "images that share bandwidth with one or two others");
+    recordImages(downloads, random, 0.5, 1);
+    assertEquals(true, downloads.isBandwidthShared(), "tiny images are no evidence");
+    recordImages(downloads, random, uncontendedS, 1);
+    assertEquals(false, downloads.isBandwidthShared(), "images that no longer share bandwidth");
   }
 }
