--- a/src/main/java/org/fieldtrestle/worker/DuplicateAttempts.java
+++ b/src/main/java/org/fieldtrestle/worker/DuplicateAttempts.java
@@ -5,9 +5,9 @@
 import org.fieldtrestle.protocol.TaskId;
 
 /**
- * Tasks that a worker has reported although they were not placed on it. A former leader of the
- * shard that does not know that its term has ended may have started them there. They must not be
- * started on any other worker until they are gone from that worker.
+ * Tasks that a worker has reported although they are placed on another worker. A former leader of
+ * the shard that does not know that its term has ended may have started them there. They must not
+ * be started anywhere else until they are gone from that worker.
  */
 final class DuplicateAttempts {
   private final Map<TaskId, Worker> workersByTask = new HashMap<>();
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
@@ -15,7 +15,7 @@
 public final class HeartbeatProcessor {
   /** How a heartbeat was processed. */
   public enum Result {
-    /** The heartbeat must not be answered with status 200; none of its content was applied. */
+    /** The heartbeat must not be answered with status 200, and its content does not count. */
     REFUSED,
     /** The heartbeat was accepted and has changed nothing that matters to placement. */
     UNCHANGED,
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -29,9 +29,9 @@
   private JobCompletion() {}
 
   /**
-   * Returns the changes that end the job if all its ranges are complete once {@code key} holds
-   * {@code next}. They include the removal of that range. The caller adds the condition on the
-   * range itself.
+   * Returns the transaction that ends the job if all its ranges are complete once {@code key} holds
+   * {@code next}. It includes the removal of that range. The caller adds the condition on the range
+   * itself.
    *
    * @return empty if the job does not end with this change or has too many ranges for one
    *     transaction
--- a/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
+++ b/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
@@ -15,11 +15,11 @@
  */
 public final class LeadershipTerm {
   /**
-   * Number of low bits that count within an epoch; the epoch itself is in the bits above. Fencing
-   * tokens and attempt numbers of a later epoch are therefore higher than all of an earlier epoch,
-   * without any write.
+   * Position of the epoch in fencing tokens and attempt numbers. The bits below count within the
+   * epoch, so that all values of a later epoch are higher than those of an earlier epoch, without
+   * any write.
    */
-  private static final int EPOCH_BITS = 24;
+  private static final int EPOCH_SHIFT = 24;
 
   /**
    * Watch intervals after which a write of unknown outcome is reported to its caller as not
@@ -95,12 +95,12 @@
 
   /** Returns the lowest fencing token of this term. */
   public long firstToken() {
-    return epoch << EPOCH_BITS;
+    return epoch << EPOCH_SHIFT;
   }
 
   /** Returns the lowest fencing token of the next term. */
   public long firstTokenOfNextEpoch() {
-    return (epoch + 1) << EPOCH_BITS;
+    return (epoch + 1) << EPOCH_SHIFT;
   }
 
   /** Returns an attempt number that no other start of the same task has. */
--- a/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
@@ -110,7 +110,7 @@
     if (range.isWriting()) {
       return;
     }
-    if (!range.isFinished()) {
+    if (!range.hasOnlyFinishedTasks()) {
       // Until all tasks are done, the completed ones are safe on their workers. Progress is written
       // from time to time only to keep heartbeats short and to limit the work that is repeated if a
       // worker is lost.
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -98,7 +98,7 @@
     TaskRange range = ranges.containing(reported.task());
     if (range != null
         && reported.state() != TaskState.EXITED
-        && !range.isDone(reported.task().index() - range.record().from())) {
+        && !range.isDurablyDone(reported.task().index() - range.record().from())) {
       workers.duplicates().add(reported.task(), worker);
     }
   }
@@ -118,7 +118,7 @@
     boolean exited = reported.state() == TaskState.EXITED;
     int offset = reported.task().index() - range.record().from();
     boolean placedElsewhere = expected == null && range.placed().containsKey(offset);
-    if (range.isDone(offset) || placedElsewhere) {
+    if (range.isDurablyDone(offset) || placedElsewhere) {
       if (!exited && range.placed().containsKey(offset)) {
         LOG.atError()
             .addKeyValue("task", reported.task())
--- a/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
@@ -55,7 +55,7 @@
     TaskRange range = attempt.range();
     range.finish(attempt.offset());
     failures.succeeded(attempt, context.now());
-    if (range.stopState().isEnded() || range.isDone(attempt.offset())) {
+    if (range.stopState().isEnded() || range.isDurablyDone(attempt.offset())) {
       attempt.markClearable();
     } else {
       range.finishedTasks().hold(attempt);
@@ -66,7 +66,7 @@
   private void retry(TaskAttempt attempt) {
     TaskRange range = attempt.range();
     long now = context.now();
-    Retry retry = range.retry(attempt.offset(), attempt.waitingSinceMs());
+    Retry retry = range.requeue(attempt.offset(), attempt.waitingSinceMs());
     switch (attempt.exitCause()) {
       case ERROR -> {
         // The waiting time starts again. Otherwise a task that fails on every worker would, after a
@@ -93,7 +93,7 @@
     range.finishedTasks().drop(attempt);
     int offset = attempt.offset();
     if (range.placed().get(offset) == attempt) {
-      range.retry(offset, attempt.waitingSinceMs());
+      range.requeue(offset, attempt.waitingSinceMs());
       progressWriter.removeIfEnded(range);
     }
   }
--- a/src/main/java/org/fieldtrestle/worker/TaskRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -85,7 +85,7 @@
     finishedTasks.detachAllHeld();
   }
 
-  // ---- its tasks
+  // ---- tasks
 
   /** Records that the task is on a worker or is to be started there. */
   public void place(int offset, TaskAttempt attempt) {
@@ -95,11 +95,11 @@
   }
 
   /** Records that the task is no longer on a worker and waits again. */
-  Retry retry(int offset, long retryWaitingSinceMs) {
+  Retry requeue(int offset, long retryWaitingSinceMs) {
     placed.remove(offset);
     Retry retry = new Retry(retryWaitingSinceMs);
     withheldSinceMs = NOT_WITHHELD;
-    if (!isDone(offset) && !finishedTasks.offsets().get(offset)) {
+    if (!isDurablyDone(offset) && !finishedTasks.offsets().get(offset)) {
       unplaced.addRetry(offset, retry);
     }
     return retry;
@@ -110,7 +110,7 @@
     withheldSinceMs = NOT_WITHHELD;
     placed.remove(offset);
     unplaced.remove(offset);
-    if (!isDone(offset)) {
+    if (!isDurablyDone(offset)) {
       finishedTasks.add(offset);
     }
   }
@@ -150,7 +150,7 @@
     withheldSinceMs = NOT_WITHHELD;
   }
 
-  // ---- writes of its record
+  // ---- writes of the record
 
   /** Records that a write of the range's record is in progress; no other write may begin. */
   public void beginWrite() {
@@ -176,7 +176,7 @@
     return record.withDone(done);
   }
 
-  boolean isFinished() {
+  boolean hasOnlyFinishedTasks() {
     return record.done().cardinality() + finishedTasks.offsets().cardinality() >= record.size();
   }
 
@@ -186,7 +186,7 @@
     return taskIndex >= record.from() && taskIndex < record.to();
   }
 
-  boolean isDone(int offset) {
+  boolean isDurablyDone(int offset) {
     return record.done().get(offset);
   }
 
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -93,7 +93,7 @@
     return nowMs - knownSinceMs + rentedBeforeMs;
   }
 
-  // ---- its messages and its lease
+  // ---- messages and lease
 
   WorkerConnection connection() {
     return connection;
@@ -161,7 +161,7 @@
     return failureHistory;
   }
 
-  // ---- its tasks
+  // ---- tasks
 
   /** Returns the attempt at a task that is or may be on the worker, or {@code null}. */
   public TaskAttempt attempt(TaskId task) {
