--- a/src/main/java/org/fieldtrestle/worker/FinishedTasks.java
+++ b/src/main/java/org/fieldtrestle/worker/FinishedTasks.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Allows all held attempts to be cleared. Called when the job has ended, so that no completion
-   * has to be written any more.
+   * Allows all held attempts to be cleared. Called when the job has ended and no completion remains
+   * to be written.
    */
   void clearAllHeld() {
     for (TaskAttempt attempt : heldAttempts) {
--- a/src/main/java/org/fieldtrestle/worker/LeaseMonitor.java
+++ b/src/main/java/org/fieldtrestle/worker/LeaseMonitor.java
@@ -20,9 +20,9 @@
 
   /**
    * Expires the leases of workers that were silent for the whole duration of their lease; no task
-   * is on them any more. Time counts only up to the moment up to which the state is known: another
-   * controller that has taken over the shard in the meantime may have renewed the leases, while
-   * this controller, cut off from the key-value store, may still act on other workers for a while.
+   * is on them after that. Only the time up to which the state is known counts: another controller
+   * that has taken over the shard may have renewed the leases since, while this controller, cut off
+   * from the key-value store, may still act on other workers for a while.
    */
   public void expireLeases() {
     long leaseMs = workers.leaseExpiryMs();
--- a/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
@@ -18,13 +18,13 @@
     /** Ended, but kept until the worker was told to clear it and no longer reports it. */
     EXITED;
 
-    /** Whether the image is, as far as is known, not on the worker yet. */
+    /** Whether the worker has not yet reported that it has the image. */
     boolean isAwaitingImage() {
       return this == STARTING || this == FETCHING;
     }
   }
 
-  /** Value of a heartbeat's sequence that stands for no heartbeat. */
+  /** A sequence that no heartbeat has. */
   static final long NO_SEQUENCE = -1;
 
   private static final long NOT_RUNNING = -1;
