--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -53,7 +53,7 @@
       int waitingTasks = 0;
       int placedTasks = 0;
       for (TaskRange range : shard.ranges().all()) {
-        waitingTasks += range.waiting();
+        waitingTasks += range.waitingCount();
         placedTasks += range.placed().size();
       }
       parent
--- a/src/main/java/org/fieldtrestle/scheduling/GuaranteedShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/GuaranteedShares.java
@@ -60,7 +60,7 @@
       return false;
     }
     double shards = context.settings().peers().size() + 1;
-    TeamUsage usage = workers.usage();
+    TeamUsage usage = workers.teamUsage();
     return (claimant.cpus() > 0
             && usage.cpus(team) < claimant.cpus() / shards
             && usage.cpus(otherTeam) > other.cpus() / shards)
--- a/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
@@ -23,9 +23,9 @@
     JobSpec spec = range.spec();
     return (spec.types().isEmpty() || spec.types().contains(worker.machineType()))
         && (spec.spot() || !worker.isSpot())
-        && range.zoneAllows(worker.zone())
+        && range.mayPlaceInZone(worker.zone())
         && worker.attempt(new TaskId(range.key().job(), range.record().from() + offset)) == null
-        && !failures.avoids(range, worker);
+        && !failures.mustAvoid(range, worker);
   }
 
   /**
@@ -33,6 +33,6 @@
    * others of its machine type and zone.
    */
   boolean isAvoidedByAnyJob(Worker worker) {
-    return failures.avoidsAny(worker);
+    return failures.hasFailuresOn(worker);
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -130,7 +130,7 @@
    * this term counts with all its resources.
    */
   private QuotaAmount used(String team) {
-    TeamUsage usage = workers.usage();
+    TeamUsage usage = workers.teamUsage();
     double cpus = usage.cpus(team);
     double gpus = usage.gpus(team);
     for (Worker worker : workers.unreconciled()) {
@@ -266,11 +266,11 @@
     double leastCpus = Double.MAX_VALUE;
     double leastGpus = Double.MAX_VALUE;
     for (TaskRange range : ranges.all()) {
-      if (range.waiting() > 0
+      if (range.waitingCount() > 0
           && range.record().team().equals(team)
           && !term.policy().mustStop(range)) {
-        cpus += range.waiting() * range.record().cpus();
-        gpus += range.waiting() * range.record().gpus();
+        cpus += range.waitingCount() * range.record().cpus();
+        gpus += range.waitingCount() * range.record().gpus();
         leastCpus = Math.min(leastCpus, range.record().cpus());
         leastGpus = Math.min(leastGpus, range.record().gpus());
       }
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -35,7 +35,7 @@
 
   @Override
   public long nextAttempt() {
-    return term.nextAttempt();
+    return term.nextAttemptNumber();
   }
 
   @Override
@@ -47,7 +47,7 @@
   public void place(TaskRange range, int offset, Worker worker, long attemptNumber) {
     long nowMs = context.nowMs();
     Retry retry = range.retries().get(offset);
-    long waitingSinceMs = retry == null ? range.waitingSince() : retry.waitingSince();
+    long waitingSinceMs = retry == null ? range.waitingSinceMs() : retry.waitingSinceMs();
     long waitedMs = nowMs - waitingSinceMs;
     TaskId task = new TaskId(range.key().job(), range.record().from() + offset);
     TaskAttempt attempt =
@@ -55,14 +55,14 @@
     JobSpec spec = range.spec();
     MachineType type = context.machineType(worker.machineType());
     boolean mustFetchImage = !worker.hasImage(spec.image());
-    if (mustFetchImage && worker.fetching()) {
-      attempt.expectConcurrentFetch(type.imageFetchS(spec));
+    if (mustFetchImage && worker.isFetchingImage()) {
+      attempt.markConcurrentFetch(type.imageFetchS(spec));
     }
     worker.put(attempt);
     range.place(offset, attempt);
     worker.markBusy(nowMs);
     commands.addPending(worker);
-    worker.usesImage(spec.image(), spec.imageGb(), type.cacheGb());
+    worker.recordImageUse(spec.image(), spec.imageGb(), type.cacheGb());
     countPlacement(mustFetchImage, waitedMs);
     logFirstStart(attempt);
     LOG.debug(
--- a/src/main/java/org/fieldtrestle/worker/DuplicateAttempts.java
+++ b/src/main/java/org/fieldtrestle/worker/DuplicateAttempts.java
@@ -5,24 +5,24 @@
 import org.fieldtrestle.protocol.TaskId;
 
 /**
- * Tasks that a worker has reported though they are placed on another one. A former leader of the
- * shard that does not know of the end of its term may have started them there. Until they are gone
- * from that worker they must not be started anywhere else.
+ * Tasks that a worker has reported although they are placed on another worker. A former leader of
+ * the shard that does not know that its term has ended may have started them there. They must not
+ * be started anywhere else until they are gone from that worker.
  */
 final class DuplicateAttempts {
-  private final Map<TaskId, Worker> holders = new HashMap<>();
+  private final Map<TaskId, Worker> workersByTask = new HashMap<>();
 
   void add(TaskId task, Worker holder) {
-    holders.put(task, holder);
+    workersByTask.put(task, holder);
   }
 
-  /** Nothing that the worker has reported before counts any more. */
+  /** Forgets everything that the worker has reported before. */
   void forgetWorker(Worker worker) {
-    holders.values().removeIf(holder -> holder == worker);
+    workersByTask.values().removeIf(holder -> holder == worker);
   }
 
   boolean contains(TaskRange range, int offset) {
-    return !holders.isEmpty()
-        && holders.containsKey(new TaskId(range.key().job(), range.record().from() + offset));
+    return !workersByTask.isEmpty()
+        && workersByTask.containsKey(new TaskId(range.key().job(), range.record().from() + offset));
   }
 }
