--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -60,7 +60,8 @@
     KeyValueProtocol.Put put =
         StateChanges.put(
             StateKeys.job(spec.id()),
-            new JobRecord(spec, context.reactor().wall(), zone, recordedParts(parts, epochs)));
+            new JobRecord(
+                spec, context.reactor().wallClockMs(), zone, recordedParts(parts, epochs)));
     return new Plan(
         parts,
         new Transaction(conditions(spec, epochs), List.of(put)),
--- a/src/main/java/org/fieldtrestle/api/ReadBarrier.java
+++ b/src/main/java/org/fieldtrestle/api/ReadBarrier.java
@@ -82,7 +82,7 @@
    * call; with false if that failed or timed out.
    */
   void await(Consumer<Boolean> callback) {
-    pendingReads.addLast(new PendingRead(reactor.now(), callback));
+    pendingReads.addLast(new PendingRead(reactor.nowMs(), callback));
     requestRevision();
     scheduleExpiry();
   }
@@ -97,7 +97,7 @@
       return;
     }
     requestPending = true;
-    long delayMs = nextRequestAtMs - reactor.now();
+    long delayMs = nextRequestAtMs - reactor.nowMs();
     if (delayMs > 0) {
       reactor.schedule(delayMs, this::sendRevisionRequest);
     } else {
@@ -111,7 +111,7 @@
       requestPending = false;
       return;
     }
-    nextRequestAtMs = reactor.now() + minRequestIntervalMs;
+    nextRequestAtMs = reactor.nowMs() + minRequestIntervalMs;
     context.store().compare(REVISION_REQUEST, result -> onRevision(reads, result));
   }
 
@@ -144,14 +144,14 @@
     }
     expiryScheduled = true;
     long expiresAtMs = pendingReads.peekFirst().requestedAtMs + timeoutMs;
-    reactor.schedule(Math.max(0, expiresAtMs - reactor.now()), this::expire);
+    reactor.schedule(Math.max(0, expiresAtMs - reactor.nowMs()), this::expire);
   }
 
   private void expire() {
     expiryScheduled = false;
     List<PendingRead> expired = new ArrayList<>();
     for (PendingRead read : pendingReads) {
-      if (read.requestedAtMs + timeoutMs > reactor.now()) {
+      if (read.requestedAtMs + timeoutMs > reactor.nowMs()) {
         break;
       }
       expired.add(read);
--- a/src/main/java/org/fieldtrestle/cloud/RateLimitedQueue.java
+++ b/src/main/java/org/fieldtrestle/cloud/RateLimitedQueue.java
@@ -39,14 +39,14 @@
 
   private void sendDue() {
     while (!sendScheduled && !(changes.isEmpty() && reads.isEmpty())) {
-      long waitMs = nextSendAtMs - reactor.now();
+      long waitMs = nextSendAtMs - reactor.nowMs();
       if (waitMs > 0) {
         sendScheduled = true;
         reactor.schedule(waitMs, this::resume);
         return;
       }
       // After a pause three requests are sent at once, as the cloud allows bursts.
-      nextSendAtMs = Math.max(nextSendAtMs + intervalMs, reactor.now() - intervalMs);
+      nextSendAtMs = Math.max(nextSendAtMs + intervalMs, reactor.nowMs() - intervalMs);
       (changes.isEmpty() ? reads : changes).removeFirst().run();
     }
   }
--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -66,7 +66,7 @@
 
   /** The reactor's steady clock, in ms. */
   public long now() {
-    return reactor.now();
+    return reactor.nowMs();
   }
 
   /** Whether this controller may send commands and acknowledge heartbeats now. */
--- a/src/main/java/org/fieldtrestle/controller/PeerBroadcaster.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerBroadcaster.java
@@ -67,6 +67,6 @@
   }
 
   private ByteBuffer encode(PeerMessage message) {
-    return PeerProtocol.encode(context.reactor().wall(), message);
+    return PeerProtocol.encode(context.reactor().wallClockMs(), message);
   }
 }
--- a/src/main/java/org/fieldtrestle/controller/PeerLiveness.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerLiveness.java
@@ -23,7 +23,7 @@
   }
 
   void received(PeerMessage.Liveness message) {
-    lastMessages.put(message.sender(), new LastMessage(reactor.now(), message.storeAvailable()));
+    lastMessages.put(message.sender(), new LastMessage(reactor.nowMs(), message.storeAvailable()));
   }
 
   /** The labels of all controllers that were ever heard. */
@@ -37,7 +37,7 @@
 
   /** For how long a controller that was heard before has been silent. */
   long silentMs(String peer) {
-    return reactor.now() - lastMessages.get(peer).receivedAtMs();
+    return reactor.nowMs() - lastMessages.get(peer).receivedAtMs();
   }
 
   boolean anyAlive() {
--- a/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
@@ -53,7 +53,7 @@
       shards.tellAll(new ShardLeader.JobCancelled(cancelled.job()));
       return;
     }
-    if (Math.abs(context.reactor().wall() - frame.sentWallMs()) > maxAgeMs) {
+    if (Math.abs(context.reactor().wallClockMs() - frame.sentWallMs()) > maxAgeMs) {
       return; // delayed in the network: its sender's status may be another one now
     }
     if (message instanceof PeerMessage.ShardLoad load && !shards.contains(load.shard())) {
--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -79,7 +79,7 @@
   /** Asks for a lease and registers under it, again and again until that succeeds. */
   void register() {
     state = State.REGISTERING;
-    long sentAtMs = reactor.now();
+    long sentAtMs = reactor.nowMs();
     store.grant(
         leaseMs,
         granted -> {
@@ -96,7 +96,7 @@
     if (state == State.REGISTERING) {
       return;
     }
-    long sentAtMs = reactor.now();
+    long sentAtMs = reactor.nowMs();
     long renewed = lease;
     store.renew(
         renewed,
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
@@ -63,7 +63,7 @@
 
   /** Whether this controller may take its own shard back from another leader. */
   boolean mayReclaimOwnShard() {
-    return reactor.now() >= transferHoldUntilMs;
+    return reactor.nowMs() >= transferHoldUntilMs;
   }
 
   /** Whether the shard's recorded leader is another controller whose lease still exists. */
@@ -78,7 +78,7 @@
   void keyChanged(StateKey key) {
     if (key instanceof StateKey.ShardKey shardKey) {
       String shard = shardKey.shard();
-      changedAtMs.put(shard, reactor.now());
+      changedAtMs.put(shard, reactor.nowMs());
       endIfSuperseded(shard);
       acquireIfTransferredHere(shard);
     }
@@ -113,7 +113,7 @@
   }
 
   private void holdAfterTransfer() {
-    transferHoldUntilMs = reactor.now() + leaseMs * TRANSFER_HOLD_LEASES;
+    transferHoldUntilMs = reactor.nowMs() + leaseMs * TRANSFER_HOLD_LEASES;
   }
 
   /** Acquires a shard whose leader may still act, unless it has changed hands within a lease. */
@@ -121,7 +121,7 @@
     Versioned<ShardRecord> current = stateCache.shard(shard);
     if (current != null
         && !ledShards.contains(shard)
-        && reactor.now() - changedAtMs.getOrDefault(shard, 0L) > leaseMs) {
+        && reactor.nowMs() - changedAtMs.getOrDefault(shard, 0L) > leaseMs) {
       acquire(shard, current.record().leader(), current.version());
     }
   }
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipFence.java
@@ -59,7 +59,7 @@
 
   /** Whether commands may be sent and heartbeats acknowledged now; logs each change. */
   boolean isOpen() {
-    long oldestMs = reactor.now() - usableMs;
+    long oldestMs = reactor.nowMs() - usableMs;
     boolean open = leaseSentAtMs > oldestMs && stateCache.freshAsOf() > oldestMs;
     if (open != wasOpen) {
       wasOpen = open;
@@ -85,7 +85,7 @@
   }
 
   private long ageMs(long sentAtMs) {
-    return sentAtMs == NEVER ? -1 : reactor.now() - sentAtMs;
+    return sentAtMs == NEVER ? -1 : reactor.nowMs() - sentAtMs;
   }
 
   private void logChange(boolean open) {
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
@@ -79,13 +79,13 @@
         .computeIfAbsent(to, controller -> new HashMap<>())
         .merge(
             machine,
-            new Redirects(reactor.now(), 1),
+            new Redirects(reactor.nowMs(), 1),
             (before, now) ->
                 new Redirects(now.lastAtMs(), isRecent(before) ? before.consecutive() + 1 : 1));
   }
 
   private boolean isRecent(Redirects machine) {
-    return reactor.now() - machine.lastAtMs()
+    return reactor.nowMs() - machine.lastAtMs()
         <= settings.heartbeatIntervalsMs(REDIRECT_EXPIRY_INTERVALS);
   }
 
@@ -104,7 +104,7 @@
   /** Takes in another controller's report; one that is meant for a third controller is ignored. */
   public void reportReceived(PeerMessage.RedirectCount report) {
     if (report.to().equals(settings.label())) {
-      reports.put(report.sender(), new RedirectReport(reactor.now(), report.machines()));
+      reports.put(report.sender(), new RedirectReport(reactor.nowMs(), report.machines()));
     }
   }
 
@@ -155,7 +155,7 @@
   }
 
   private boolean isCurrent(RedirectReport report) {
-    return reactor.now() - report.receivedAtMs()
+    return reactor.nowMs() - report.receivedAtMs()
         <= settings.heartbeatIntervalsMs(REPORT_EXPIRY_INTERVALS);
   }
 }
--- a/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
+++ b/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
@@ -79,8 +79,8 @@
       leaderlessSinceMs.remove(shard);
       return;
     }
-    long sinceMs = leaderlessSinceMs.computeIfAbsent(shard, s -> reactor.now());
-    if (reclaim || reactor.now() - sinceMs >= delayMs) {
+    long sinceMs = leaderlessSinceMs.computeIfAbsent(shard, s -> reactor.nowMs());
+    if (reclaim || reactor.nowMs() - sinceMs >= delayMs) {
       leadershipChanges.acquire(shard, leader, current.version());
     }
   }
--- a/src/main/java/org/fieldtrestle/routing/ShardLoads.java
+++ b/src/main/java/org/fieldtrestle/routing/ShardLoads.java
@@ -61,12 +61,12 @@
       return;
     }
     report.load = load;
-    report.receivedAtMs = reactor.now();
+    report.receivedAtMs = reactor.nowMs();
     report.assignedCpus = 0;
   }
 
   private boolean isFresh(Report report) {
-    return reactor.now() - report.receivedAtMs <= maxAgeMs;
+    return reactor.nowMs() - report.receivedAtMs <= maxAgeMs;
   }
 
   /**
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -45,7 +45,7 @@
 
   /** Adds a machine that this shard has rented, unless another shard has already adopted it. */
   void addRented(String id, String type, String zone, boolean spot) {
-    long rentedAtWallMs = context.reactor().wall();
+    long rentedAtWallMs = context.reactor().wallClockMs();
     MachineRecord machine = new MachineRecord(term.shard(), 0, type, zone, spot, rentedAtWallMs, 0);
     update(id, new PendingUpdate.Add(machine, false, () -> {}));
   }
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -64,7 +64,7 @@
 
   /** For how long the store has answered nothing, in ms; 0 while it does answer. */
   public long unavailableForMs() {
-    return unavailableSince == AVAILABLE ? 0 : reactor.now() - unavailableSince;
+    return unavailableSince == AVAILABLE ? 0 : reactor.nowMs() - unavailableSince;
   }
 
   /** Latencies in ms of all requests but pages and watches. */
@@ -264,7 +264,7 @@
 
   private void call(
       String method, String path, byte[] body, long withinMs, Consumer<Http.Outcome> done) {
-    long sentAt = reactor.now();
+    long sentAt = reactor.nowMs();
     caller.call(
         address,
         method,
@@ -274,7 +274,7 @@
         outcome -> {
           noteAvailability(outcome);
           if (withinMs == timeoutMs) {
-            latency.recordValue(Math.min(MAX_LATENCY_MS, Math.max(0, reactor.now() - sentAt)));
+            latency.recordValue(Math.min(MAX_LATENCY_MS, Math.max(0, reactor.nowMs() - sentAt)));
           }
           done.accept(outcome);
         });
@@ -285,7 +285,7 @@
     if (outcome instanceof Http.Answer answer && answer.status() < FIRST_SERVER_ERROR) {
       unavailableSince = AVAILABLE;
     } else if (unavailableSince == AVAILABLE) {
-      unavailableSince = reactor.now();
+      unavailableSince = reactor.nowMs();
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/state/RequestQueue.java
+++ b/src/main/java/org/fieldtrestle/state/RequestQueue.java
@@ -51,7 +51,7 @@
 
   /** Counts a request that is sent without waiting. */
   void sentDirectly() {
-    requests.take(reactor.now(), 1);
+    requests.take(reactor.nowMs(), 1);
   }
 
   /**
@@ -124,7 +124,7 @@
     if (waitingReads.isEmpty()) {
       return NOTHING_WAITS;
     }
-    long now = reactor.now();
+    long now = reactor.nowMs();
     return Math.max(requests.waitMs(now, 1), reads.waitMs(now, 1));
   }
 
@@ -132,27 +132,27 @@
     if (waitingWrites.isEmpty()) {
       return NOTHING_WAITS;
     }
-    long now = reactor.now();
+    long now = reactor.nowMs();
     return Math.max(
         requests.waitMs(now, 1), changes.waitMs(now, waitingWrites.peekFirst().changes()));
   }
 
   private void sendRead() {
     Request request = waitingReads.removeFirst();
-    reads.take(reactor.now(), 1);
+    reads.take(reactor.nowMs(), 1);
     readsNext = false;
     send(request);
   }
 
   private void sendWrite() {
     Request request = waitingWrites.removeFirst();
-    changes.take(reactor.now(), request.changes());
+    changes.take(reactor.nowMs(), request.changes());
     readsNext = true;
     send(request);
   }
 
   private void send(Request request) {
-    requests.take(reactor.now(), 1);
+    requests.take(reactor.nowMs(), 1);
     request.send().run();
   }
 }
--- a/src/main/java/org/fieldtrestle/state/StateCache.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -185,12 +185,12 @@
       done.accept(true);
       return;
     }
-    waiters.add(new Waiter(revision, reactor.now() + timeoutMs, done));
+    waiters.add(new Waiter(revision, reactor.nowMs() + timeoutMs, done));
     reactor.schedule(timeoutMs, this::expireWaiters);
   }
 
   private void expireWaiters() {
-    release(waiter -> waiter.deadline() <= reactor.now(), false);
+    release(waiter -> waiter.deadline() <= reactor.nowMs(), false);
   }
 
   private void release(Predicate<Waiter> which, boolean seen) {
--- a/src/main/java/org/fieldtrestle/state/StoreFollower.java
+++ b/src/main/java/org/fieldtrestle/state/StoreFollower.java
@@ -80,7 +80,7 @@
    * kept, as what has changed since the first one comes by the watch that begins there.
    */
   private final class Reload {
-    private final long startedAt = reactor.now();
+    private final long startedAt = reactor.nowMs();
     private final Set<String> seen = new HashSet<>();
     private String lastKey = "";
     private long firstRevision = -1;
@@ -137,7 +137,7 @@
       return;
     }
     watching = true;
-    watchSentAt = reactor.now();
+    watchSentAt = reactor.nowMs();
     store.watch(StateKeys.LIVE_PREFIX, cache.appliedRevision(), watchWaitMs, this::watchEnded);
   }
 
@@ -159,7 +159,7 @@
     failedWatches = 0;
     events.events().forEach(cache::apply);
     cache.advance(events.revision(), watchSentAt);
-    long pauseMs = Math.max(0, watchSentAt + watchIntervalMs - reactor.now());
+    long pauseMs = Math.max(0, watchSentAt + watchIntervalMs - reactor.nowMs());
     reactor.schedule(pauseMs, this::watch);
   }
 
@@ -174,7 +174,7 @@
    */
   private void watchFailed() {
     failedWatches++;
-    boolean stale = reactor.now() - cache.freshAsOf() > staleAfterMs();
+    boolean stale = reactor.nowMs() - cache.freshAsOf() > staleAfterMs();
     if (failedWatches >= MAX_FAILED_WATCHES && stale) {
       LOG.atWarn()
           .addKeyValue("fromRevision", cache.appliedRevision())
--- a/src/main/java/org/fieldtrestle/transport/NettyReactor.java
+++ b/src/main/java/org/fieldtrestle/transport/NettyReactor.java
@@ -20,7 +20,7 @@
   }
 
   @Override
-  public long now() {
+  public long nowMs() {
     return (System.nanoTime() - originNanos) / NANOS_PER_MS;
   }
 
@@ -30,7 +30,7 @@
   }
 
   @Override
-  public long wall() {
+  public long wallClockMs() {
     return System.currentTimeMillis();
   }
 
--- a/src/main/java/org/fieldtrestle/transport/Reactor.java
+++ b/src/main/java/org/fieldtrestle/transport/Reactor.java
@@ -6,14 +6,14 @@
  */
 public interface Reactor {
   /** Steady clock in milliseconds; its origin has no meaning. */
-  long now();
+  long nowMs();
 
   /** Time of day in milliseconds, exact within the bound that the settings name. */
-  long wall();
+  long wallClockMs();
 
   /** Steady clock in nanoseconds, for measuring only. */
   default long nanoTime() {
-    return now() * 1_000_000;
+    return nowMs() * 1_000_000;
   }
 
   /** Runs a task after all that were queued before it. */
--- a/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
+++ b/src/main/java/org/fieldtrestle/worker/InventoryFollower.java
@@ -66,7 +66,8 @@
   }
 
   private Worker add(String id, MachineRecord record, boolean inherited) {
-    long rentedBeforeMs = Math.max(0, context.reactor().wall() - record.bootingSinceWallMs());
+    long rentedBeforeMs =
+        Math.max(0, context.reactor().wallClockMs() - record.bootingSinceWallMs());
     Worker worker =
         new Worker(id, record, term.firstToken(), context.now(), rentedBeforeMs, workers.usage());
     if (inherited) {
--- a/src/main/java/org/fieldtrestle/worker/TaskRanges.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRanges.java
@@ -142,7 +142,7 @@
     long ageMs =
         job == null
             ? 0
-            : Math.max(0, context.reactor().wall() - job.job().record().acceptedWallMs());
+            : Math.max(0, context.reactor().wallClockMs() - job.job().record().acceptedWallMs());
     boolean inherited = kept.record().epoch() < term.epoch();
     TaskRange range =
         new TaskRange(key, kept.record(), kept.version(), inherited, context.now() - ageMs);
--- a/src/test/java/org/fieldtrestle/cloud/RateLimitedQueueTest.java
+++ b/src/test/java/org/fieldtrestle/cloud/RateLimitedQueueTest.java
@@ -22,12 +22,12 @@
     private long nowMs = 1000;
 
     @Override
-    public long now() {
+    public long nowMs() {
       return nowMs;
     }
 
     @Override
-    public long wall() {
+    public long wallClockMs() {
       return nowMs;
     }
 
@@ -57,7 +57,7 @@
   private final List<String> sent = new ArrayList<>();
 
   private Runnable request(String name) {
-    return () -> sent.add(name + "@" + reactor.now());
+    return () -> sent.add(name + "@" + reactor.nowMs());
   }
 
   @Test
@@ -83,7 +83,7 @@
   void requestsMayAddRequests() {
     queue.addChange(
         () -> {
-          sent.add("c1@" + reactor.now());
+          sent.add("c1@" + reactor.nowMs());
           queue.addRead(request("r1"));
           queue.addChange(request("c2"));
           queue.addRead(request("r2"));
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -161,7 +161,7 @@
             -1);
     return new JobRecord(
         spec,
-        context.reactor().wall(),
+        context.reactor().wallClockMs(),
         null,
         List.of(new InitialRange(LABEL, epoch, 0, TASKS, Map.of())));
   }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
@@ -61,12 +61,12 @@
     long begun = now;
     return new Reactor() {
       @Override
-      public long now() {
+      public long nowMs() {
         return Math.round((now - begun) * (1 + drift));
       }
 
       @Override
-      public long wall() {
+      public long wallClockMs() {
         return 1_700_000_000_000L + now + wallOff;
       }
 
