--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -102,7 +102,7 @@
       parent
           .putObject(activity.printedName())
           .put("count", meter.count(activity))
-          .put("ms", Math.round(meter.millis(activity)));
+          .put("ms", Math.round(meter.totalMs(activity)));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/transport/EventLoopMeter.java
+++ b/src/main/java/org/fieldtrestle/transport/EventLoopMeter.java
@@ -101,7 +101,7 @@
   }
 
   /** How many milliseconds an activity has taken so far. */
-  public double millis(Activity activity) {
+  public double totalMs(Activity activity) {
     return totals.get(activity).nanos / NANOS_PER_MS;
   }
 
@@ -115,7 +115,7 @@
     StringBuilder text = new StringBuilder();
     Arrays.stream(Activity.values())
         .filter(activity -> count(activity) > 0)
-        .sorted((a, b) -> Double.compare(millis(b), millis(a)))
+        .sorted((a, b) -> Double.compare(totalMs(b), totalMs(a)))
         .forEach(
             activity ->
                 text.append(text.length() == 0 ? "" : ", ")
@@ -123,7 +123,7 @@
                     .append(' ')
                     .append(count(activity))
                     .append(" in ")
-                    .append(Math.round(millis(activity)))
+                    .append(Math.round(totalMs(activity)))
                     .append(" ms"));
     return text.toString();
   }
--- a/src/main/java/org/fieldtrestle/transport/Http.java
+++ b/src/main/java/org/fieldtrestle/transport/Http.java
@@ -21,10 +21,10 @@
    * A response of this process.
    *
    * @param retryAfterS value of the {@code Retry-After} header in seconds; 0 leaves the header out
-   * @param close whether to close the connection, so that the client comes back on another one,
-   *     maybe to another controller
+   * @param closeConnection whether to close the connection, so that the client comes back on
+   *     another one, maybe to another controller
    */
-  public record Response(int status, byte[] body, int retryAfterS, boolean close) {
+  public record Response(int status, byte[] body, int retryAfterS, boolean closeConnection) {
     /** An empty body. */
     public static final byte[] EMPTY = {};
 
--- a/src/main/java/org/fieldtrestle/transport/HttpClient.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpClient.java
@@ -24,7 +24,7 @@
    * unlimited watch may give, would need more memory than the process has. The caller sees a closed
    * connection.
    */
-  public static final int MAX_RESPONSE = 4 * 1024 * 1024;
+  public static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
   private static final int MAX_INITIAL_LINE_BYTES = 4096;
   private static final int MAX_HEADER_BYTES = 8192;
@@ -191,7 +191,7 @@
       channel
           .pipeline()
           .addLast(new HttpClientCodec(config, false, false))
-          .addLast(new HttpObjectAggregator(MAX_RESPONSE))
+          .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
           .addLast(connection);
     }
   }
--- a/src/main/java/org/fieldtrestle/transport/HttpExchangeHandler.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpExchangeHandler.java
@@ -114,7 +114,7 @@
       return;
     }
     DefaultFullHttpResponse message = encode(response);
-    if (keepAlive && !response.close()) {
+    if (keepAlive && !response.closeConnection()) {
       connections.responseKeepsConnection(ctx.channel());
       ctx.writeAndFlush(message);
     } else {
--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -67,7 +67,7 @@
             .machines(MACHINES)
             .deployment(Deployment.timberFleet())
             .start();
-    cluster.network.limitAnswers(HttpClient.MAX_RESPONSE);
+    cluster.network.limitAnswers(HttpClient.MAX_RESPONSE_BYTES);
     List<SimulatedJob> jobs = submitJobs(cluster);
     cluster.time.runUntil(SETTLED_MS);
     List<SimulatedJob> running =
--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -215,7 +215,7 @@
     cluster.time.runUntil(21_000);
     Answered answered = ask(cluster, "trestle-1", "job-77");
     assertEquals(503, answered.response().status());
-    assertTrue(answered.response().close(), "the next question goes elsewhere");
+    assertTrue(answered.response().closeConnection(), "the next question goes elsewhere");
     assertEquals(200, ask(cluster, "trestle-0", "job-77").response().status());
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
@@ -56,7 +56,7 @@
   private static void day(Deployment deployment, long seed) {
     SimulatedCluster cluster =
         SimulatedCluster.builder().seed(seed).machines(MACHINES).deployment(deployment).start();
-    cluster.network.limitAnswers(HttpClient.MAX_RESPONSE);
+    cluster.network.limitAnswers(HttpClient.MAX_RESPONSE_BYTES);
     UserAnswerLog answers = new UserAnswerLog(cluster);
     submitAll(cluster, answers);
     List<Integer> kinds = new ArrayList<>();
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -140,7 +140,8 @@
         response -> {
           told(job, response, asked);
           if (!ended.contains(job.id())) {
-            boolean stays = response.status() > 0 && !response.close() && cluster.isReady(label);
+            boolean stays =
+                response.status() > 0 && !response.closeConnection() && cluster.isReady(label);
             time.after(USER_ASKS_EVERY_MS, () -> ask(job, stays ? label : anyReady()));
           }
         });
--- a/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
+++ b/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
@@ -28,8 +28,8 @@
           pass(1);
         });
     pass(100);
-    assertEquals(11, meter.millis(Activity.HTTP_SERVER_READ));
-    assertEquals(7, meter.millis(Activity.WORKER_REPORT));
+    assertEquals(11, meter.totalMs(Activity.HTTP_SERVER_READ));
+    assertEquals(7, meter.totalMs(Activity.WORKER_REPORT));
     assertEquals(1, meter.count(Activity.WORKER_REPORT));
     assertEquals("http_server_read 1 in 11 ms, worker_report 1 in 7 ms", meter.summary());
   }
@@ -47,7 +47,7 @@
                 }));
     pass(50);
     meter.run(Activity.PEER_FRAME, () -> pass(2));
-    assertEquals(3, meter.millis(Activity.PLACEMENT));
-    assertEquals(2, meter.millis(Activity.PEER_FRAME));
+    assertEquals(3, meter.totalMs(Activity.PLACEMENT));
+    assertEquals(2, meter.totalMs(Activity.PEER_FRAME));
   }
 }
