--- a/src/main/java/org/fieldtrestle/ClassListRecorder.java
+++ b/src/main/java/org/fieldtrestle/ClassListRecorder.java
@@ -42,10 +42,10 @@
 
   /** Takes the path of the program's jar; exits with 1 if the run has failed. */
   public static void main(String[] args) {
-    int status = 1;
+    int exitStatus = 1;
     try {
       run(args[0]);
-      status = 0;
+      exitStatus = 0;
     } catch (IOException
         | InterruptedException
         | InvalidSettingException
@@ -59,7 +59,7 @@
           .setCause(e)
           .log("class list recording failed");
     } finally {
-      System.exit(status); // event loops would go on
+      System.exit(exitStatus); // event loops would go on
     }
   }
 
@@ -90,7 +90,7 @@
     int port = server.start(anyLoopbackPort());
     ControllerProcess controller = new ControllerProcess(settings(port), OperatorSettings.DEFAULT);
     int controllerPort = controller.start(anyLoopbackPort(), anyLoopbackPort()).get();
-    services.start(loopback(port), loopback(controllerPort));
+    services.start(loopbackAddress(port), loopbackAddress(controllerPort));
     if (!finished.await(TIMEOUT_S, TimeUnit.SECONDS)) {
       // The archive only makes starts faster, so an incomplete one need not fail the build.
       System.err.println("class list recorder: timeout, the archive lacks some classes");
@@ -101,7 +101,7 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   }
 
-  private static String loopback(int port) {
+  private static String loopbackAddress(int port) {
     return InetAddress.getLoopbackAddress().getHostAddress() + ":" + port;
   }
 
--- a/src/main/java/org/fieldtrestle/ControllerMain.java
+++ b/src/main/java/org/fieldtrestle/ControllerMain.java
@@ -63,6 +63,6 @@
           "fieldtrestle: cannot listen on " + userAddress + ": " + e.getCause().getMessage());
       System.exit(EXIT_CANNOT_LISTEN); // the event loop would go on
     }
-    process.await();
+    process.awaitTermination();
   }
 }
--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -26,19 +26,19 @@
   private static final int WORKER_CALLS_DIVISOR = 5;
 
   /** Connections from each other controller: after a restart its old ones may still be open. */
-  private static final int INBOUND_PER_PEER = 8;
+  private static final int MAX_INBOUND_PER_PEER = 8;
 
   /** Worker leases after which an idle connection is closed. */
-  private static final int IDLE_LEASES = 2;
+  private static final int IDLE_TIMEOUT_LEASES = 2;
 
   /** Part of a worker's lease within which a request has to arrive. */
-  private static final int REQUEST_LEASE_DIVISOR = 2;
+  private static final int REQUEST_TIMEOUT_LEASE_DIVISOR = 2;
 
   private static final long SHUTDOWN_TIMEOUT_S = 1;
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final NettyReactor reactor = new NettyReactor(group.next());
-  private final PeerTransport peers;
+  private final PeerTransport peerTransport;
   private final Controller controller;
   private final HttpServer server;
 
@@ -46,7 +46,7 @@
     EventLoopMeter meter = new EventLoopMeter(System::nanoTime);
     int maxConnections = settings.limits().maxConnections();
     SocketBudget sockets = new SocketBudget(maxConnections);
-    long idleMs = settings.workerLeaseMs() * IDLE_LEASES;
+    long idleTimeoutMs = settings.workerLeaseMs() * IDLE_TIMEOUT_LEASES;
     HttpClient client =
         new HttpClient(
             group.next(),
@@ -54,25 +54,31 @@
             new HashSet<>(List.of(settings.stateAddress(), settings.cloudAddress())),
             maxConnections / WORKER_CALLS_DIVISOR,
             meter);
-    peers =
+    peerTransport =
         new PeerTransport(
             group,
             sockets,
             PeerProtocol.MAX_FRAME_BYTES,
-            INBOUND_PER_PEER * (settings.peers().size() + 1),
-            idleMs,
+            MAX_INBOUND_PER_PEER * (settings.peers().size() + 1),
+            idleTimeoutMs,
             settings.heartbeatIntervalsMs(1));
     controller =
         new Controller(
-            settings, operatorSettings, reactor, new SplittableRandom(), client, peers, meter);
+            settings,
+            operatorSettings,
+            reactor,
+            new SplittableRandom(),
+            client,
+            peerTransport,
+            meter);
     server =
         new HttpServer(
             group,
             controller,
             sockets,
             WorkerProtocol.HEARTBEAT_PATH::equals,
-            idleMs,
-            settings.workerLeaseMs() / REQUEST_LEASE_DIVISOR,
+            idleTimeoutMs,
+            settings.workerLeaseMs() / REQUEST_TIMEOUT_LEASE_DIVISOR,
             meter);
   }
 
@@ -83,22 +89,22 @@
    */
   CompletableFuture<Integer> start(InetSocketAddress userAddress, InetSocketAddress peerAddress)
       throws InterruptedException {
-    peers.start(peerAddress, this::receiveFrame);
-    CompletableFuture<Integer> listening = new CompletableFuture<>();
-    reactor.execute(() -> controller.start(() -> listen(userAddress, listening)));
-    return listening;
+    peerTransport.start(peerAddress, this::receiveFrame);
+    CompletableFuture<Integer> boundPort = new CompletableFuture<>();
+    reactor.execute(() -> controller.start(() -> listen(userAddress, boundPort)));
+    return boundPort;
   }
 
   @SuppressWarnings("FutureReturnValueIgnored") // both outcomes are passed on
-  private void listen(InetSocketAddress userAddress, CompletableFuture<Integer> listening) {
+  private void listen(InetSocketAddress userAddress, CompletableFuture<Integer> boundPort) {
     server
         .bind(userAddress)
         .whenComplete(
             (port, failure) -> {
               if (failure == null) {
-                listening.complete(port);
+                boundPort.complete(port);
               } else {
-                listening.completeExceptionally(failure);
+                boundPort.completeExceptionally(failure);
               }
             });
   }
@@ -109,7 +115,7 @@
   }
 
   /** Waits for as long as the controller runs. */
-  void await() throws InterruptedException {
+  void awaitTermination() throws InterruptedException {
     group.terminationFuture().sync();
   }
 
--- a/src/main/java/org/fieldtrestle/StubKeyValueStore.java
+++ b/src/main/java/org/fieldtrestle/StubKeyValueStore.java
@@ -10,7 +10,7 @@
 /** A key-value store without conditions and leases, for {@link ClassListRecorder}. */
 final class StubKeyValueStore {
   /** The change that has written each key last. */
-  private final Map<String, JsonNode> changes = new TreeMap<>();
+  private final Map<String, JsonNode> lastChangeByKey = new TreeMap<>();
 
   private long revision = 1;
 
@@ -22,9 +22,9 @@
 
   private void apply(JsonNode change) {
     if (change.has("write")) {
-      changes.put(change.path("write").asText(), change);
+      lastChangeByKey.put(change.path("write").asText(), change);
     } else {
-      changes.remove(change.path("remove").asText());
+      lastChangeByKey.remove(change.path("remove").asText());
     }
   }
 
@@ -36,7 +36,7 @@
   ObjectNode list(Map<String, String> query) {
     ObjectNode listing = Json.object().put("more", false).put("ledger", revision);
     ArrayNode items = listing.putArray("items");
-    for (String key : changes.keySet()) {
+    for (String key : lastChangeByKey.keySet()) {
       if (key.startsWith(query.get("prefix"))
           && key.compareTo(query.getOrDefault("from", "")) > 0) {
         items.add(entry(key));
@@ -47,7 +47,7 @@
 
   private ObjectNode entry(String key) {
     ObjectNode entry = Json.object().put("key", key).put("entry", revision);
-    entry.set("v", changes.get(key).path("v"));
+    entry.set("v", lastChangeByKey.get(key).path("v"));
     return entry;
   }
 
--- a/src/main/java/org/fieldtrestle/StubServices.java
+++ b/src/main/java/org/fieldtrestle/StubServices.java
@@ -14,13 +14,13 @@
  * for a controller to run a job to its end and to cancel another. All listen on one address.
  */
 final class StubServices implements Http.Handler {
-  private static final long HEARTBEAT_MS = 50;
-  private static final long WATCH_MS = 50;
-  private static final long TIMEOUT_MS = 2000;
+  private static final long HEARTBEAT_INTERVAL_MS = 50;
+  private static final long WATCH_ANSWER_DELAY_MS = 50;
+  private static final long CALL_TIMEOUT_MS = 2000;
 
   private final Reactor reactor;
   private final Http.Caller caller;
-  private final Runnable finished;
+  private final Runnable onFinished;
   private final StubKeyValueStore store = new StubKeyValueStore();
   private final StubCloud cloud = new StubCloud();
   private final StubWorker worker = new StubWorker();
@@ -28,12 +28,12 @@
   private String controllerAddress;
 
   /**
-   * @param finished run once all requests of the user have been answered
+   * @param onFinished run once all requests of the user have been answered
    */
-  StubServices(Reactor reactor, Http.Caller caller, Runnable finished) {
+  StubServices(Reactor reactor, Http.Caller caller, Runnable onFinished) {
     this.reactor = reactor;
     this.caller = caller;
-    this.finished = finished;
+    this.onFinished = onFinished;
   }
 
   /** Begins to send heartbeats and to submit jobs, once the addresses are known. */
@@ -42,7 +42,7 @@
         () -> {
           ownAddress = address;
           controllerAddress = controller;
-          new StubUser(reactor, this::call, finished).start();
+          new StubUser(reactor, this::call, onFinished).start();
           heartbeat();
         });
   }
@@ -51,7 +51,7 @@
   public void handle(Http.Request request, Consumer<Http.Response> reply) {
     String path = request.path();
     if (path.equals(KeyValueProtocol.WATCH_PATH)) {
-      reactor.schedule(WATCH_MS, () -> reply.accept(ok(store.watch())));
+      reactor.schedule(WATCH_ANSWER_DELAY_MS, () -> reply.accept(ok(store.watch())));
     } else if (path.equals(CloudProtocol.MACHINES_PATH) && request.method().equals("POST")) {
       reply.accept(cloud.rent());
     } else {
@@ -86,19 +86,19 @@
       worker.advanceTasks();
       call("POST", WorkerProtocol.HEARTBEAT_PATH, worker.heartbeat(ownAddress), worker::execute);
     }
-    reactor.schedule(HEARTBEAT_MS, this::heartbeat);
+    reactor.schedule(HEARTBEAT_INTERVAL_MS, this::heartbeat);
   }
 
-  private void call(String method, String path, JsonNode body, Consumer<JsonNode> answered) {
+  private void call(String method, String path, JsonNode body, Consumer<JsonNode> onAnswer) {
     byte[] bytes = method.equals("GET") ? Http.Response.EMPTY : Json.bytes(body);
     caller.call(
         controllerAddress,
         method,
         path,
         bytes,
-        TIMEOUT_MS,
+        CALL_TIMEOUT_MS,
         outcome ->
-            answered.accept(
+            onAnswer.accept(
                 outcome instanceof Http.Answer answer
                     ? Json.parseOrEmpty(answer.body())
                     : Json.object()));
--- a/src/main/java/org/fieldtrestle/StubUser.java
+++ b/src/main/java/org/fieldtrestle/StubUser.java
@@ -15,26 +15,26 @@
   private static final String FIRST_JOB = "job-000001";
   private static final String CANCELLED_JOB = "job-000002";
   private static final String UNKNOWN_JOB = "job-000003";
-  private static final long RETRY_MS = 50;
+  private static final long RETRY_DELAY_MS = 50;
   private static final int TASKS = 3;
 
-  /** Makes a call to the controller; an empty object stands for a call that was not answered. */
+  /** Makes a call to the controller; an empty object stands for a call that was not onAnswer. */
   interface ControllerCaller {
-    void call(String method, String path, JsonNode body, Consumer<JsonNode> answered);
+    void call(String method, String path, JsonNode body, Consumer<JsonNode> onAnswer);
   }
 
   private final Reactor reactor;
   private final ControllerCaller controller;
-  private final Runnable finished;
-  private boolean cancelling;
+  private final Runnable onFinished;
+  private boolean cancelRequested;
 
   /**
-   * @param finished run once all requests have been answered
+   * @param onFinished run once all requests have been answered
    */
-  StubUser(Reactor reactor, ControllerCaller controller, Runnable finished) {
+  StubUser(Reactor reactor, ControllerCaller controller, Runnable onFinished) {
     this.reactor = reactor;
     this.controller = controller;
-    this.finished = finished;
+    this.onFinished = onFinished;
   }
 
   void start() {
@@ -68,20 +68,20 @@
   }
 
   private void poll(String id) {
-    get(UserProtocol.JOBS_PATH + "/" + id, answer -> polled(id, answer));
+    get(UserProtocol.JOBS_PATH + "/" + id, answer -> handlePollAnswer(id, answer));
   }
 
-  private void polled(String id, JsonNode answer) {
+  private void handlePollAnswer(String id, JsonNode answer) {
     String stage = answer.path("stage").asText();
     if (id.equals(FIRST_JOB) && stage.equals("done")) {
       submit(CANCELLED_JOB);
-    } else if (id.equals(CANCELLED_JOB) && !cancelling) {
-      cancelling = true;
+    } else if (id.equals(CANCELLED_JOB) && !cancelRequested) {
+      cancelRequested = true;
       cancel(id);
     } else if (!stage.isEmpty()) {
-      reactor.schedule(RETRY_MS, () -> poll(id));
+      reactor.schedule(RETRY_DELAY_MS, () -> poll(id));
     } else {
-      reactor.schedule(RETRY_MS, () -> submit(id));
+      reactor.schedule(RETRY_DELAY_MS, () -> submit(id));
     }
   }
 
@@ -96,10 +96,10 @@
         unknown ->
             get(
                 UserProtocol.READY_PATH,
-                ready -> get(UserProtocol.STATS_PATH, statistics -> finished.run())));
+                ready -> get(UserProtocol.STATS_PATH, statistics -> onFinished.run())));
   }
 
-  private void get(String path, Consumer<JsonNode> answered) {
-    controller.call("GET", path, Json.object(), answered);
+  private void get(String path, Consumer<JsonNode> onAnswer) {
+    controller.call("GET", path, Json.object(), onAnswer);
   }
 }
--- a/src/main/java/org/fieldtrestle/transport/Actor.java
+++ b/src/main/java/org/fieldtrestle/transport/Actor.java
@@ -1,9 +1,10 @@
 package org.fieldtrestle.transport;
 
 /**
- * Owner of some state that is reached by messages only, all on the reactor's thread.
+ * Owns state that other classes access only by sending messages. All messages are handled on the
+ * reactor's thread.
  *
- * @param <M> the type of its messages
+ * @param <M> the type of the messages
  */
 public abstract class Actor<M> {
   protected final Reactor reactor;
@@ -12,7 +13,7 @@
     this.reactor = reactor;
   }
 
-  /** Queues a message; it is received after all that were queued before it. */
+  /** Queues a message, to be handled after all messages and tasks that were queued earlier. */
   public final void tell(M message) {
     reactor.execute(() -> receive(message));
   }
--- a/src/main/java/org/fieldtrestle/transport/EventLoopMeter.java
+++ b/src/main/java/org/fieldtrestle/transport/EventLoopMeter.java
@@ -7,12 +7,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts how often the event loop does each kind of work and how long that takes. The time of an
- * activity within another one counts for the inner one alone, so that the times add up. Used on one
- * event loop only.
+ * Counts how often the event loop performs each kind of work and measures how long that takes. The
+ * time of a nested activity counts only for the nested one, so the times add up to the total time
+ * spent. Not thread-safe: all calls must be made on one event loop.
  */
 public final class EventLoopMeter {
-  /** The kinds of work. Their names are keys of the statistics page. */
+  /** The kinds of work. Their lower-case names are keys of the statistics page. */
   public enum Activity {
     HTTP_SERVER_READ,
     HTTP_SERVER_WRITE,
@@ -33,7 +33,7 @@
     FLEET_SIZING,
     PLACEMENT;
 
-    /** The name of this activity in the log and on the statistics page. */
+    /** Returns the name of this activity in the log and on the statistics page. */
     public String printedName() {
       return name().toLowerCase(Locale.ROOT);
     }
@@ -49,12 +49,16 @@
   private final LongSupplier nanoTime;
   private final Map<Activity, Total> totals = new EnumMap<>(Activity.class);
 
-  /** The activity that the time since {@code currentSinceNanos} counts for; null for none. */
-  private Activity current;
+  /**
+   * The activity that the time since {@code currentSinceNanos} counts for, or null if none runs.
+   */
+  private Activity currentActivity;
 
   private long currentSinceNanos;
 
   /**
+   * Creates a meter with all counts and times at zero.
+   *
    * @param nanoTime a steady clock in nanoseconds
    */
   public EventLoopMeter(LongSupplier nanoTime) {
@@ -64,7 +68,7 @@
     }
   }
 
-  /** Runs a task and counts it as an activity. */
+  /** Runs a task and measures it as an activity. */
   public void run(Activity activity, Runnable task) {
     Activity outer = begin(activity);
     try {
@@ -75,42 +79,48 @@
   }
 
   /**
-   * Begins an activity.
+   * Begins an activity, which interrupts the current one.
    *
-   * @return the interrupted activity, or null; to be passed to {@link #end}
+   * @return the interrupted activity, to be passed to {@link #end}; null if none was running
    */
   public Activity begin(Activity activity) {
-    Activity outer = current;
+    Activity outer = currentActivity;
     switchTo(activity);
     totals.get(activity).count++;
     return outer;
   }
 
-  /** Ends the activity that began last. */
+  /**
+   * Ends the current activity and resumes the one that it interrupted.
+   *
+   * @param outer what {@link #begin} returned
+   */
   public void end(Activity outer) {
     switchTo(outer);
   }
 
   private void switchTo(Activity next) {
     long now = nanoTime.getAsLong();
-    if (current != null) {
-      totals.get(current).nanos += now - currentSinceNanos;
+    if (currentActivity != null) {
+      totals.get(currentActivity).nanos += now - currentSinceNanos;
     }
-    current = next;
+    currentActivity = next;
     currentSinceNanos = now;
   }
 
-  /** How many milliseconds an activity has taken so far. */
+  /** Returns the time in milliseconds that an activity has taken so far. */
   public double totalMs(Activity activity) {
     return totals.get(activity).nanos / NANOS_PER_MS;
   }
 
-  /** How often an activity was done so far. */
+  /** Returns how often an activity has begun so far. */
   public long count(Activity activity) {
     return totals.get(activity).count;
   }
 
-  /** All activities that were done at all, with count and time, the longest first. */
+  /**
+   * Returns a text with the count and time of each activity that has occurred, by descending time.
+   */
   public String summary() {
     StringBuilder text = new StringBuilder();
     Arrays.stream(Activity.values())
--- a/src/main/java/org/fieldtrestle/transport/HttpClient.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpClient.java
@@ -12,17 +12,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.fieldtrestle.transport.SocketBudget.Use;
+import org.fieldtrestle.transport.SocketBudget.Priority;
 
 /**
- * Makes HTTP/1.1 calls over pooled connections, one call at a time on each. Used on one event loop
- * only.
+ * Makes HTTP/1.1 calls over pooled connections, with at most one call in progress on each. Not
+ * thread-safe: calls must be made on the client's event loop.
  */
 public final class HttpClient implements Http.Caller {
   /**
-   * The largest response in bytes, a few pages of the key-value store; a larger one, as an
-   * unlimited watch may give, would need more memory than the process has. The caller sees a closed
-   * connection.
+   * The size of the largest accepted response body in bytes, which is a few pages of the key-value
+   * store. A larger response, which an unlimited watch may return, would need more memory than the
+   * process has. A call whose response is too large ends as if the connection had been closed.
    */
   public static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
@@ -35,33 +35,35 @@
   private final EventLoop loop;
   private final SocketBudget sockets;
   private final Set<String> essentialAddresses;
-  private final int maxOrdinary;
+  private final int maxOrdinaryConnections;
   private final EventLoopMeter meter;
 
-  /** Idle connections by address, the longest idle first. */
-  private final Map<String, ArrayDeque<HttpConnection>> idle = new HashMap<>();
+  /** Idle connections by address; the one that has been idle longest is first in each queue. */
+  private final Map<String, ArrayDeque<HttpConnection>> idleConnections = new HashMap<>();
 
-  /** Open connections to other than essential addresses. */
-  private int ordinaryCount;
+  /** The number of open connections to addresses that are not essential. */
+  private int ordinaryConnectionCount;
 
   /**
    * Creates a client without connections.
    *
-   * @param essentialAddresses calls to these never wait for a socket that others use
-   * @param maxOrdinary most connections to all other addresses together, as those to unreachable
-   *     machines stay open for long
-   * @param meter meters the writing of requests and the handling of answers
+   * @param sockets the socket budget that all connections of this client count towards
+   * @param essentialAddresses addresses whose connections may use the reserved sockets and are
+   *     never closed to make room, so that calls to them need not wait for sockets in other use
+   * @param maxOrdinaryConnections the largest number of connections to all other addresses
+   *     together; it is limited because connections to unreachable machines stay open for long
+   * @param meter measures the writing of requests and the handling of responses
    */
   public HttpClient(
       EventLoop loop,
       SocketBudget sockets,
       Set<String> essentialAddresses,
-      int maxOrdinary,
+      int maxOrdinaryConnections,
       EventLoopMeter meter) {
     this.loop = loop;
     this.sockets = sockets;
     this.essentialAddresses = essentialAddresses;
-    this.maxOrdinary = maxOrdinary;
+    this.maxOrdinaryConnections = maxOrdinaryConnections;
     this.meter = meter;
   }
 
@@ -72,27 +74,27 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<Http.Outcome> done) {
+      Consumer<Http.Outcome> callback) {
     meter.run(
         EventLoopMeter.Activity.HTTP_CLIENT_WRITE,
-        () -> call(new PendingCall(address, method, path, body, done), timeoutMs));
+        () -> call(new PendingCall(address, method, path, body, callback), timeoutMs));
   }
 
   private void call(PendingCall call, long timeoutMs) {
-    HttpConnection connection = takeIdle(call.address());
+    HttpConnection connection = takeFromPool(call.address());
     if (connection != null) {
       call.startTimeout(loop, timeoutMs, connection);
       connection.send(call);
-    } else if (hasRoomFor(call.address())) {
+    } else if (makeRoomFor(call.address())) {
       connect(call, timeoutMs);
     } else {
       loop.execute(() -> call.finish(new Http.NotSent("no free socket")));
     }
   }
 
-  /** Takes the connection out of the pool that was idle the shortest; null if there is none. */
-  private HttpConnection takeIdle(String address) {
-    ArrayDeque<HttpConnection> connections = idle.get(address);
+  /** Takes the most recently used idle connection from the pool; returns null if there is none. */
+  private HttpConnection takeFromPool(String address) {
+    ArrayDeque<HttpConnection> connections = idleConnections.get(address);
     while (connections != null && !connections.isEmpty()) {
       HttpConnection connection = connections.pollLast();
       sockets.markBusy(connection.channel());
@@ -103,14 +105,14 @@
     return null;
   }
 
-  private boolean hasRoomFor(String address) {
+  private boolean makeRoomFor(String address) {
     return isEssential(address)
-        ? sockets.makeRoom(Use.ESSENTIAL)
-        : makeRoomForOrdinary() && sockets.makeRoom(Use.ORDINARY);
+        ? sockets.makeRoom(Priority.ESSENTIAL)
+        : makeRoomForOrdinary() && sockets.makeRoom(Priority.ORDINARY);
   }
 
   private boolean makeRoomForOrdinary() {
-    while (ordinaryCount >= maxOrdinary) {
+    while (ordinaryConnectionCount >= maxOrdinaryConnections) {
       if (!sockets.closeIdleOutbound()) {
         return false;
       }
@@ -122,18 +124,21 @@
     return essentialAddresses.contains(address);
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // futures are listened to, or the end is seen
+  @SuppressWarnings("FutureReturnValueIgnored") // listeners observe connecting and closing
   private void connect(PendingCall call, long timeoutMs) {
     HttpConnection connection = new HttpConnection(this, meter, call.address());
-    int ordinary = isEssential(call.address()) ? 0 : 1;
-    ordinaryCount += ordinary;
+    int ordinaryIncrement = isEssential(call.address()) ? 0 : 1;
+    ordinaryConnectionCount += ordinaryIncrement;
     ChannelFuture connecting =
         NettyBootstraps.client(
                 loop, Math.min(timeoutMs, MAX_CONNECT_TIMEOUT_MS), new Initializer(connection))
             .connect(SocketAddresses.parse(call.address()));
     connection.setChannel(connecting.channel());
     sockets.register(connecting.channel());
-    connecting.channel().closeFuture().addListener(closed -> ordinaryCount -= ordinary);
+    connecting
+        .channel()
+        .closeFuture()
+        .addListener(closed -> ordinaryConnectionCount -= ordinaryIncrement);
     call.startTimeout(loop, timeoutMs, connection);
     connecting.addListener(
         connected -> {
@@ -148,10 +153,14 @@
         });
   }
 
-  /** Puts a connection into the pool; false if there are enough idle ones to its address. */
-  boolean keepIdle(HttpConnection connection) {
+  /**
+   * Puts a connection into the pool.
+   *
+   * @return false if the pool has enough idle connections to the address already
+   */
+  boolean returnToPool(HttpConnection connection) {
     ArrayDeque<HttpConnection> connections =
-        idle.computeIfAbsent(connection.address(), address -> new ArrayDeque<>());
+        idleConnections.computeIfAbsent(connection.address(), address -> new ArrayDeque<>());
     if (connections.size() >= MAX_IDLE_PER_ADDRESS) {
       return false;
     }
@@ -163,12 +172,12 @@
   }
 
   /** Removes a closed connection from the pool. */
-  void forget(HttpConnection connection) {
-    ArrayDeque<HttpConnection> connections = idle.get(connection.address());
+  void removeFromPool(HttpConnection connection) {
+    ArrayDeque<HttpConnection> connections = idleConnections.get(connection.address());
     if (connections != null) {
       connections.remove(connection);
       if (connections.isEmpty()) {
-        idle.remove(connection.address());
+        idleConnections.remove(connection.address());
       }
     }
   }
--- a/src/main/java/org/fieldtrestle/transport/HttpConnection.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpConnection.java
@@ -6,14 +6,15 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
 
-/** A connection of the HTTP client, with one call at most at a time. */
-@SuppressWarnings("FutureReturnValueIgnored") // channelInactive() sees each connection's end
+/** A connection of the HTTP client with at most one call in progress. */
+@SuppressWarnings(
+    "FutureReturnValueIgnored") // channelInactive() is called when the connection closes
 final class HttpConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
   private final HttpClient client;
   private final EventLoopMeter meter;
   private final String address;
   private Channel channel;
-  private PendingCall current;
+  private PendingCall currentCall;
 
   HttpConnection(HttpClient client, EventLoopMeter meter, String address) {
     this.client = client;
@@ -21,7 +22,7 @@
     this.address = address;
   }
 
-  /** Sets the channel, which exists only once connecting has begun. */
+  /** Sets the channel, which does not exist before connecting has begun. */
   void setChannel(Channel channel) {
     this.channel = channel;
   }
@@ -35,13 +36,13 @@
   }
 
   void send(PendingCall call) {
-    current = call;
-    channel.writeAndFlush(call.toSend());
+    currentCall = call;
+    channel.writeAndFlush(call.encodeAndMarkSent());
   }
 
-  /** Closes the connection without an outcome for its call. */
+  /** Closes the connection without reporting an outcome for its call. */
   void abandon() {
-    current = null;
+    currentCall = null;
     channel.close();
   }
 
@@ -51,26 +52,26 @@
   }
 
   private void read(ChannelHandlerContext ctx, FullHttpResponse message) {
-    PendingCall answered = current;
-    current = null;
+    PendingCall answeredCall = currentCall;
+    currentCall = null;
     byte[] body = new byte[message.content().readableBytes()];
     message.content().readBytes(body);
-    boolean reusable = answered != null && HttpUtil.isKeepAlive(message);
-    if (!reusable || !client.keepIdle(this)) {
+    boolean reusable = answeredCall != null && HttpUtil.isKeepAlive(message);
+    if (!reusable || !client.returnToPool(this)) {
       ctx.close();
     }
-    if (answered != null) {
-      answered.finish(new Http.Answer(message.status().code(), body));
+    if (answeredCall != null) {
+      answeredCall.finish(new Http.Answer(message.status().code(), body));
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    client.forget(this);
-    if (current != null) {
-      PendingCall lost = current;
-      current = null;
-      lost.finish(new Http.Unknown("connection closed"));
+    client.removeFromPool(this);
+    if (currentCall != null) {
+      PendingCall lostCall = currentCall;
+      currentCall = null;
+      lostCall.finish(new Http.Unknown("connection closed"));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/transport/HttpExchangeHandler.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpExchangeHandler.java
@@ -18,8 +18,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Handles the requests of one connection of the HTTP server, one at a time. */
-@SuppressWarnings("FutureReturnValueIgnored") // InboundConnections sees each connection's end
+/** Handles the requests on one connection of the HTTP server, one at a time. */
+@SuppressWarnings(
+    "FutureReturnValueIgnored") // InboundConnections listens for the close of each connection
 final class HttpExchangeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
   private static final Logger LOG = LoggerFactory.getLogger(HttpExchangeHandler.class);
   private static final Http.Response BAD_REQUEST = new Http.Response(400, Http.Response.EMPTY);
@@ -48,7 +49,8 @@
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest message) {
     if (requestInProgress || !ctx.channel().isWritable()) {
-      // Pipelining is outside the protocol, and responses that nobody reads would pile up.
+      // Pipelined requests are not supported, and the responses that a client does not read would
+      // accumulate in memory.
       ctx.close();
       return;
     }
@@ -61,11 +63,11 @@
     Http.Request request;
     try {
       request = read(message);
-    } catch (IllegalArgumentException e) { // from the decoder of the path and the query
+    } catch (IllegalArgumentException e) { // thrown by QueryStringDecoder
       send(ctx, false, BAD_REQUEST);
       return;
     }
-    handle(ctx, request, keepsConnection(message, request.path()));
+    handle(ctx, request, mayKeepConnection(message, request.path()));
   }
 
   private static Http.Request read(FullHttpRequest message) {
@@ -78,9 +80,9 @@
     return new Http.Request(message.method().name(), path, query, body);
   }
 
-  private boolean keepsConnection(FullHttpRequest message, String path) {
+  private boolean mayKeepConnection(FullHttpRequest message, String path) {
     return HttpUtil.isKeepAlive(message)
-        && !sockets.closesAfterResponse(expendablePaths.test(path));
+        && !sockets.mustCloseAfterResponse(expendablePaths.test(path));
   }
 
   private void handle(ChannelHandlerContext ctx, Http.Request request, boolean keepAlive) {
@@ -115,11 +117,11 @@
     }
     DefaultFullHttpResponse message = encode(response);
     if (keepAlive && !response.closeConnection()) {
-      connections.responseKeepsConnection(ctx.channel());
+      connections.respondedWithKeepAlive(ctx.channel());
       ctx.writeAndFlush(message);
     } else {
       message.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-      connections.responseEndsConnection(ctx.channel());
+      connections.respondedWithClose(ctx.channel());
       ctx.writeAndFlush(message).addListener(ChannelFutureListener.CLOSE);
     }
   }
@@ -142,7 +144,10 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    LOG.debug("connection {} dropped: {}", ctx.channel().remoteAddress(), cause.toString());
+    LOG.debug(
+        "closing connection from {} after an error: {}",
+        ctx.channel().remoteAddress(),
+        cause.toString());
     ctx.close();
   }
 }
--- a/src/main/java/org/fieldtrestle/transport/HttpServer.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpServer.java
@@ -16,9 +16,12 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import org.fieldtrestle.transport.SocketBudget.Use;
+import org.fieldtrestle.transport.SocketBudget.Priority;
 
-/** Serves HTTP/1.1, one request at a time on each connection. Used on one event loop only. */
+/**
+ * Serves HTTP/1.1, one request at a time on each connection. The state is not thread-safe, so the
+ * group must have a single event loop.
+ */
 public final class HttpServer {
   private static final int MAX_BODY_BYTES = 64 * 1024;
   private static final int MAX_INITIAL_LINE_BYTES = 4096;
@@ -26,49 +29,56 @@
   private static final int MAX_CHUNK_BYTES = 4096;
 
   /**
-   * Connections that may wait to be accepted: after a restart all workers connect at once. Those
-   * beyond it retry.
+   * The number of connections that may wait to be accepted. It is large because all workers connect
+   * at once after a restart. Connections beyond this number are retried by their clients.
    */
   private static final int BACKLOG = 4096;
 
-  /** Overdue connections are looked for this often in the time limit of a request. */
-  private static final int CHECKS_PER_REQUEST_LIMIT = 4;
+  /** How often connections are checked against the time limits during one request timeout. */
+  private static final int CHECKS_PER_REQUEST_TIMEOUT = 4;
 
   private final EventLoopGroup group;
   private final Http.Handler handler;
   private final SocketBudget sockets;
   private final Predicate<String> expendablePaths;
-  private final long requestMs;
+  private final long requestTimeoutMs;
   private final EventLoopMeter meter;
   private final InboundConnections connections;
 
   /**
    * Creates a server that does not listen yet.
    *
-   * @param expendablePaths paths whose clients' connections are closed first when sockets are
-   *     scarce
-   * @param idleMs a connection without a request is closed after this time
-   * @param requestMs a new connection, or a request that has begun, has to be complete within this
-   * @param meter meters the reading of requests and the writing of responses
+   * @param sockets the socket budget that all connections of this server count towards
+   * @param expendablePaths whether a path is one whose connections are closed first when sockets
+   *     are scarce
+   * @param idleTimeoutMs the time in milliseconds after which a connection without a request is
+   *     closed
+   * @param requestTimeoutMs the time in milliseconds within which a request must be complete, from
+   *     the opening of a new connection or from the first byte of a later request
+   * @param meter measures the reading of requests and the writing of responses
    */
   public HttpServer(
       EventLoopGroup group,
       Http.Handler handler,
       SocketBudget sockets,
       Predicate<String> expendablePaths,
-      long idleMs,
-      long requestMs,
+      long idleTimeoutMs,
+      long requestTimeoutMs,
       EventLoopMeter meter) {
     this.group = group;
     this.handler = handler;
     this.sockets = sockets;
     this.expendablePaths = expendablePaths;
-    this.requestMs = requestMs;
+    this.requestTimeoutMs = requestTimeoutMs;
     this.meter = meter;
-    this.connections = new InboundConnections(sockets, idleMs, requestMs);
+    this.connections = new InboundConnections(sockets, idleTimeoutMs, requestTimeoutMs);
   }
 
-  /** Listens, waits until that is possible and returns the port. */
+  /**
+   * Binds the address, waits until the server listens, and returns the port.
+   *
+   * @throws IllegalStateException if the address cannot be bound
+   */
   public int start(InetSocketAddress address) throws InterruptedException {
     try {
       return bind(address).get();
@@ -77,8 +87,8 @@
     }
   }
 
-  /** Begins to listen; completes with the port, or with the failure. */
-  @SuppressWarnings("FutureReturnValueIgnored") // addListener() returns the future listened to
+  /** Begins to listen. The returned future completes with the port or with the failure. */
+  @SuppressWarnings("FutureReturnValueIgnored") // addListener() returns the bind future itself
   public CompletableFuture<Integer> bind(InetSocketAddress address) {
     CompletableFuture<Integer> bound = new CompletableFuture<>();
     bootstrap()
@@ -95,9 +105,9 @@
     return bound;
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // ends with the event loop
+  @SuppressWarnings("FutureReturnValueIgnored") // the task ends with the event loop
   private void closeOverduePeriodically(Channel channel) {
-    long intervalMs = Math.max(1, requestMs / CHECKS_PER_REQUEST_LIMIT);
+    long intervalMs = Math.max(1, requestTimeoutMs / CHECKS_PER_REQUEST_TIMEOUT);
     channel
         .eventLoop()
         .scheduleWithFixedDelay(
@@ -112,13 +122,13 @@
 
   private final class Initializer extends ChannelInitializer<SocketChannel> {
     @Override
-    @SuppressWarnings("FutureReturnValueIgnored") // a connection that is refused needs no care
+    @SuppressWarnings("FutureReturnValueIgnored") // a refused connection needs no further handling
     protected void initChannel(SocketChannel channel) {
-      if (!sockets.makeRoom(Use.ORDINARY)) {
+      if (!sockets.makeRoom(Priority.ORDINARY)) {
         channel.close();
         return;
       }
-      connections.opened(channel);
+      connections.connectionOpened(channel);
       channel
           .pipeline()
           .addLast(new ReadHandler())
@@ -128,7 +138,10 @@
     }
   }
 
-  /** Notes the first byte of each request, and meters all that reading it causes. */
+  /**
+   * Reports received bytes to {@link InboundConnections} and measures the reading and handling of
+   * requests.
+   */
   private final class ReadHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
--- a/src/main/java/org/fieldtrestle/transport/InboundConnections.java
+++ b/src/main/java/org/fieldtrestle/transport/InboundConnections.java
@@ -5,35 +5,47 @@
 import java.util.Map;
 
 /**
- * Time limits of the HTTP server's connections, so that a client that never sends or never finishes
- * a request holds no socket for long. Used on one event loop only.
+ * Enforces the time limits of the HTTP server's connections, so that a client that never sends or
+ * never completes a request does not occupy a socket for long. Not thread-safe: all calls must be
+ * made on one event loop.
  */
 final class InboundConnections {
   private static final long NANOS_PER_MS = 1_000_000;
 
   private final SocketBudget sockets;
-  private final long idleMs;
-  private final long requestMs;
+  private final long idleTimeoutMs;
+  private final long requestTimeoutMs;
 
-  /** Connections with an unfinished request, or a response that ends them, and since when. */
+  /**
+   * The connections whose request is incomplete or whose last response is being sent, with the time
+   * at which that began.
+   */
   private final Map<Channel, Long> unfinishedSinceMs = new LinkedHashMap<>();
 
-  /** Connections that may send another request, and since when, the longest first. */
+  /**
+   * The connections that wait for another request, with the time at which each became idle. The one
+   * that has been idle longest is first.
+   */
   private final Map<Channel, Long> idleSinceMs = new LinkedHashMap<>();
 
   /**
-   * @param idleMs a connection without a request is closed after this time
-   * @param requestMs a new connection, or a request that has begun, has to be complete within this
+   * Creates an empty set of connections.
+   *
+   * @param idleTimeoutMs the time in milliseconds after which a connection without a request is
+   *     closed
+   * @param requestTimeoutMs the time in milliseconds within which a request must be complete, from
+   *     the opening of a new connection or from the first byte of a later request; also the limit
+   *     for sending a last response
    */
-  InboundConnections(SocketBudget sockets, long idleMs, long requestMs) {
+  InboundConnections(SocketBudget sockets, long idleTimeoutMs, long requestTimeoutMs) {
     this.sockets = sockets;
-    this.idleMs = idleMs;
-    this.requestMs = requestMs;
+    this.idleTimeoutMs = idleTimeoutMs;
+    this.requestTimeoutMs = requestTimeoutMs;
   }
 
-  /** Begins to count a new connection, from which a request is expected. */
-  @SuppressWarnings("FutureReturnValueIgnored") // the future is the one listened to
-  void opened(Channel channel) {
+  /** Called when a client has opened a connection, on which a request is now expected. */
+  @SuppressWarnings("FutureReturnValueIgnored") // addListener() returns the close future itself
+  void connectionOpened(Channel channel) {
     sockets.register(channel);
     unfinishedSinceMs.put(channel, nowMs());
     channel
@@ -45,7 +57,7 @@
             });
   }
 
-  /** Bytes have arrived: on an idle connection they begin the next request. */
+  /** Called when bytes have arrived; on an idle connection they begin the next request. */
   void bytesReceived(Channel channel) {
     if (idleSinceMs.remove(channel) != null) {
       sockets.markBusy(channel);
@@ -53,33 +65,33 @@
     }
   }
 
-  /** A request is complete; its response has no time limit. */
+  /** Called when a request is complete; the time until its response is not limited. */
   void requestReceived(Channel channel) {
     unfinishedSinceMs.remove(channel);
   }
 
-  /** A response is being sent, after which the next request may come. */
-  void responseKeepsConnection(Channel channel) {
+  /** Called when a response is sent that keeps the connection open for the next request. */
+  void respondedWithKeepAlive(Channel channel) {
     idleSinceMs.put(channel, nowMs());
     sockets.markIdleInbound(channel);
   }
 
-  /** A response is being sent, after which the connection is closed. */
-  void responseEndsConnection(Channel channel) {
+  /** Called when a response is sent after which the connection is closed. */
+  void respondedWithClose(Channel channel) {
     unfinishedSinceMs.put(channel, nowMs());
   }
 
-  /** Closes all connections that have exceeded a limit. */
+  /** Closes all connections that have exceeded a time limit. */
   void closeOverdue() {
-    closeOlder(unfinishedSinceMs, nowMs() - requestMs);
-    closeOlder(idleSinceMs, nowMs() - idleMs);
+    closeOlderThan(unfinishedSinceMs, nowMs() - requestTimeoutMs);
+    closeOlderThan(idleSinceMs, nowMs() - idleTimeoutMs);
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // opened() listens to the channel's end
-  private static void closeOlder(Map<Channel, Long> sinceMs, long thanMs) {
+  @SuppressWarnings("FutureReturnValueIgnored") // connectionOpened() listens for the close
+  private static void closeOlderThan(Map<Channel, Long> sinceMs, long cutoffMs) {
     while (!sinceMs.isEmpty()) {
       Map.Entry<Channel, Long> oldest = sinceMs.entrySet().iterator().next();
-      if (oldest.getValue() > thanMs) {
+      if (oldest.getValue() > cutoffMs) {
         return;
       }
       Channel channel = oldest.getKey();
--- a/src/main/java/org/fieldtrestle/transport/NettyBootstraps.java
+++ b/src/main/java/org/fieldtrestle/transport/NettyBootstraps.java
@@ -8,7 +8,7 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** The options that all clients and all servers of this process have in common. */
+/** Creates Netty bootstraps with the options that all clients or all servers here share. */
 final class NettyBootstraps {
   private NettyBootstraps() {}
 
--- a/src/main/java/org/fieldtrestle/transport/NettyReactor.java
+++ b/src/main/java/org/fieldtrestle/transport/NettyReactor.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The reactor of a real process: a Netty event loop and the system's clocks. */
+/** A reactor on a Netty event loop and the clocks of the system, for production use. */
 public final class NettyReactor implements Reactor {
   private static final Logger LOG = LoggerFactory.getLogger(NettyReactor.class);
   private static final long NANOS_PER_MS = 1_000_000;
@@ -14,7 +14,7 @@
   private final EventLoop loop;
   private final long originNanos = System.nanoTime();
 
-  /** A reactor whose steady clock begins now. */
+  /** Creates a reactor whose steady clock starts at zero. */
   public NettyReactor(EventLoop loop) {
     this.loop = loop;
   }
@@ -35,22 +35,22 @@
   }
 
   @Override
-  public void execute(Runnable work) {
-    loop.execute(logFailures(work));
+  public void execute(Runnable task) {
+    loop.execute(logFailures(task));
   }
 
   @Override
-  public Timer schedule(long delayMs, Runnable work) {
+  public Timer schedule(long delayMs, Runnable task) {
     Future<?> pending =
-        loop.schedule(logFailures(work), Math.max(0, delayMs), TimeUnit.MILLISECONDS);
+        loop.schedule(logFailures(task), Math.max(0, delayMs), TimeUnit.MILLISECONDS);
     return () -> pending.cancel(false);
   }
 
-  /** A failure in one task must not end the loop that all others share. */
-  private static Runnable logFailures(Runnable work) {
+  /** Wraps a task so that its failure is logged, because all tasks share the event loop. */
+  private static Runnable logFailures(Runnable task) {
     return () -> {
       try {
-        work.run();
+        task.run();
       } catch (RuntimeException e) {
         LOG.atError().setCause(e).log("task on the event loop failed");
       }
--- a/src/main/java/org/fieldtrestle/transport/PeerTransport.java
+++ b/src/main/java/org/fieldtrestle/transport/PeerTransport.java
@@ -18,20 +18,23 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.fieldtrestle.transport.SocketBudget.Use;
+import org.fieldtrestle.transport.SocketBudget.Priority;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Frames between controllers: each controller sends on connections that it has opened and reads on
- * those that others have opened. A frame that cannot be sent at once is dropped, as the next one
- * replaces it. Used on one event loop only.
+ * Transports frames between controllers. Each controller sends on the connections that it has
+ * opened and reads from those that other controllers have opened. A frame that cannot be sent
+ * immediately is dropped, because the next frame replaces it. The state is not thread-safe, so the
+ * group must have a single event loop, and frames must be sent on it.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // frames may be lost, and closeFuture() is watched
+@SuppressWarnings("FutureReturnValueIgnored") // frames may be lost; listeners observe closing
 public final class PeerTransport implements PeerSender {
   private static final Logger LOG = LoggerFactory.getLogger(PeerTransport.class);
 
-  /** Unsent bytes after which the connection of a peer that reads nothing is closed. */
+  /**
+   * The number of unsent bytes above which a connection is closed, because the peer does not read.
+   */
   private static final int MAX_UNSENT_BYTES = 64 * 1024;
 
   private static final int LENGTH_FIELD_BYTES = 4;
@@ -39,49 +42,53 @@
   private final EventLoopGroup group;
   private final SocketBudget sockets;
   private final int maxFrameBytes;
-  private final int maxInbound;
-  private final long idleMs;
+  private final int maxInboundConnections;
+  private final long idleTimeoutMs;
   private final long connectTimeoutMs;
-  private final Map<String, Channel> outbound = new HashMap<>();
-  private int inboundCount;
+  private final Map<String, Channel> outboundByAddress = new HashMap<>();
+  private int inboundConnectionCount;
 
   /**
    * Creates a transport without connections.
    *
-   * @param maxFrameBytes a longer frame ends its connection
-   * @param maxInbound most connections that others may have opened
-   * @param idleMs an inbound connection on which nothing arrives for so long is closed
-   * @param connectTimeoutMs a connection that is not established by then is tried again
+   * @param group the group of the single event loop
+   * @param sockets the socket budget that all connections of this transport count towards
+   * @param maxFrameBytes the largest frame length in bytes; a longer frame closes its connection
+   * @param maxInboundConnections the largest number of connections opened by other controllers
+   * @param idleTimeoutMs the time in milliseconds after which an inbound connection without any
+   *     received frame is closed
+   * @param connectTimeoutMs the time in milliseconds after which an attempt to connect fails; a
+   *     later frame to the same address starts the next attempt
    */
   public PeerTransport(
       EventLoopGroup group,
       SocketBudget sockets,
       int maxFrameBytes,
-      int maxInbound,
-      long idleMs,
+      int maxInboundConnections,
+      long idleTimeoutMs,
       long connectTimeoutMs) {
     this.group = group;
     this.sockets = sockets;
     this.maxFrameBytes = maxFrameBytes;
-    this.maxInbound = maxInbound;
-    this.idleMs = idleMs;
+    this.maxInboundConnections = maxInboundConnections;
+    this.idleTimeoutMs = idleTimeoutMs;
     this.connectTimeoutMs = connectTimeoutMs;
   }
 
   /**
-   * Listens, and waits until that is possible.
+   * Binds the address and waits until this transport listens on it.
    *
-   * @param frames receives each frame without its length, on the event loop; the buffer is valid
-   *     during the call only
+   * @param frameReceiver receives each frame without its length field, on the event loop; the
+   *     buffer is valid only during the call
    */
-  public void start(InetSocketAddress address, Consumer<ByteBuffer> frames)
+  public void start(InetSocketAddress address, Consumer<ByteBuffer> frameReceiver)
       throws InterruptedException {
-    NettyBootstraps.server(group, new InboundInitializer(frames)).bind(address).sync();
+    NettyBootstraps.server(group, new InboundInitializer(frameReceiver)).bind(address).sync();
   }
 
   @Override
   public void send(String address, ByteBuffer frame) {
-    Channel channel = outbound.get(address);
+    Channel channel = outboundByAddress.get(address);
     if (channel == null) {
       connect(address);
     } else if (channel.isActive()) {
@@ -94,7 +101,7 @@
   }
 
   private void connect(String address) {
-    if (!sockets.makeRoom(Use.ESSENTIAL)) {
+    if (!sockets.makeRoom(Priority.ESSENTIAL)) {
       return;
     }
     ChannelFuture connecting =
@@ -102,8 +109,8 @@
             .connect(SocketAddresses.parse(address));
     Channel channel = connecting.channel();
     sockets.register(channel);
-    outbound.put(address, channel);
-    channel.closeFuture().addListener(closed -> outbound.remove(address, channel));
+    outboundByAddress.put(address, channel);
+    channel.closeFuture().addListener(closed -> outboundByAddress.remove(address, channel));
   }
 
   private static long unsentBytes(Channel channel) {
@@ -112,32 +119,33 @@
   }
 
   private final class InboundInitializer extends ChannelInitializer<SocketChannel> {
-    private final Consumer<ByteBuffer> frames;
+    private final Consumer<ByteBuffer> frameReceiver;
 
-    InboundInitializer(Consumer<ByteBuffer> frames) {
-      this.frames = frames;
+    InboundInitializer(Consumer<ByteBuffer> frameReceiver) {
+      this.frameReceiver = frameReceiver;
     }
 
     @Override
     protected void initChannel(SocketChannel channel) {
-      if (inboundCount >= maxInbound || !sockets.makeRoom(Use.ESSENTIAL)) {
+      if (inboundConnectionCount >= maxInboundConnections
+          || !sockets.makeRoom(Priority.ESSENTIAL)) {
         channel.close();
         return;
       }
-      inboundCount++;
+      inboundConnectionCount++;
       sockets.register(channel);
-      channel.closeFuture().addListener(closed -> inboundCount--);
+      channel.closeFuture().addListener(closed -> inboundConnectionCount--);
       channel
           .pipeline()
-          .addLast(new IdleStateHandler(idleMs, 0, 0, TimeUnit.MILLISECONDS))
+          .addLast(new IdleStateHandler(idleTimeoutMs, 0, 0, TimeUnit.MILLISECONDS))
           .addLast(
               new LengthFieldBasedFrameDecoder(
                   maxFrameBytes, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
-          .addLast(new FrameHandler(frames));
+          .addLast(new FrameHandler(frameReceiver));
     }
   }
 
-  /** What a peer sends on a connection that this controller has opened is dropped. */
+  /** Discards all data that a peer sends on a connection that this controller has opened. */
   private static final class OutboundInitializer extends ChannelInitializer<SocketChannel> {
     @Override
     protected void initChannel(SocketChannel channel) {
@@ -146,18 +154,18 @@
   }
 
   private static final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
-    private final Consumer<ByteBuffer> frames;
+    private final Consumer<ByteBuffer> frameReceiver;
 
-    FrameHandler(Consumer<ByteBuffer> frames) {
-      this.frames = frames;
+    FrameHandler(Consumer<ByteBuffer> frameReceiver) {
+      this.frameReceiver = frameReceiver;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf message) {
-      frames.accept(message.nioBuffer());
+      frameReceiver.accept(message.nioBuffer());
     }
 
-    /** The only event is that of the idle handler. */
+    /** Closes an idle connection; the idle handler is the only source of such events. */
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
       ctx.close();
@@ -165,7 +173,10 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      LOG.debug("peer connection {} dropped: {}", ctx.channel().remoteAddress(), cause.toString());
+      LOG.debug(
+          "closing peer connection {} after an error: {}",
+          ctx.channel().remoteAddress(),
+          cause.toString());
       ctx.close();
     }
   }
--- a/src/main/java/org/fieldtrestle/transport/PendingCall.java
+++ b/src/main/java/org/fieldtrestle/transport/PendingCall.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A call that has no outcome yet. Used on one event loop only. */
+/**
+ * An HTTP call and its progress until its outcome is reported. Not thread-safe: used only on the
+ * client's event loop.
+ */
 final class PendingCall {
   private enum State {
     NOT_SENT,
@@ -24,17 +27,17 @@
   private final String method;
   private final String path;
   private final byte[] body;
-  private final Consumer<Http.Outcome> done;
+  private final Consumer<Http.Outcome> callback;
   private State state = State.NOT_SENT;
   private ScheduledFuture<?> timeout;
 
   PendingCall(
-      String address, String method, String path, byte[] body, Consumer<Http.Outcome> done) {
+      String address, String method, String path, byte[] body, Consumer<Http.Outcome> callback) {
     this.address = address;
     this.method = method;
     this.path = path;
     this.body = body;
-    this.done = done;
+    this.callback = callback;
   }
 
   String address() {
@@ -45,7 +48,7 @@
     return state == State.FINISHED;
   }
 
-  /** Gives the call up, together with its connection, unless it finishes in time. */
+  /** Starts the timeout, after which an unfinished call ends and its connection is closed. */
   void startTimeout(EventLoop loop, long timeoutMs, HttpConnection connection) {
     timeout =
         loop.schedule(
@@ -58,8 +61,8 @@
             TimeUnit.MILLISECONDS);
   }
 
-  /** The request, which is regarded as sent from now on. */
-  FullHttpRequest toSend() {
+  /** Returns the encoded request and marks the call as sent. */
+  FullHttpRequest encodeAndMarkSent() {
     state = State.SENT;
     DefaultFullHttpRequest request =
         new DefaultFullHttpRequest(
@@ -72,7 +75,7 @@
     return request;
   }
 
-  /** Reports the outcome, unless there is one already. */
+  /** Reports the outcome to the callback, unless an outcome has been reported already. */
   void finish(Http.Outcome outcome) {
     if (state == State.FINISHED) {
       return;
@@ -81,6 +84,6 @@
     if (timeout != null) {
       timeout.cancel(false);
     }
-    done.accept(outcome);
+    callback.accept(outcome);
   }
 }
--- a/src/main/java/org/fieldtrestle/transport/Reactor.java
+++ b/src/main/java/org/fieldtrestle/transport/Reactor.java
@@ -1,26 +1,29 @@
 package org.fieldtrestle.transport;
 
 /**
- * The single thread of a controller, and its clocks. All parts that own state run on it, one task
- * at a time; tests use a simulated one.
+ * The single thread of a controller and its clocks. All code that owns state runs on this thread,
+ * one task at a time. Tests use a simulated reactor.
  */
 public interface Reactor {
-  /** Steady clock in milliseconds; its origin has no meaning. */
+  /** Returns the time of a steady clock in milliseconds. Its origin is arbitrary. */
   long nowMs();
 
-  /** Time of day in milliseconds, exact within the bound that the settings name. */
+  /**
+   * Returns the wall-clock time in milliseconds since the epoch. The clocks of the cluster differ
+   * by no more than the bound in the settings.
+   */
   long wallClockMs();
 
-  /** Steady clock in nanoseconds, for measuring only. */
+  /** Returns the time of a steady clock in nanoseconds, for measuring durations only. */
   default long nanoTime() {
     return nowMs() * 1_000_000;
   }
 
-  /** Runs a task after all that were queued before it. */
-  void execute(Runnable work);
+  /** Runs a task after all tasks that were queued earlier. */
+  void execute(Runnable task);
 
   /** Runs a task once, after a delay in milliseconds. */
-  Timer schedule(long delayMs, Runnable work);
+  Timer schedule(long delayMs, Runnable task);
 
   /** A scheduled task that can be cancelled. */
   interface Timer {
--- a/src/main/java/org/fieldtrestle/transport/SocketAddresses.java
+++ b/src/main/java/org/fieldtrestle/transport/SocketAddresses.java
@@ -2,14 +2,14 @@
 
 import java.net.InetSocketAddress;
 
-/** Reads addresses of the form {@code host:port}. */
+/** Parses addresses of the form {@code host:port}. */
 public final class SocketAddresses {
   private SocketAddresses() {}
 
   /**
-   * The socket address of a host and a port; a host name is resolved at once.
+   * Returns the socket address of a host and a port. A host name is resolved immediately.
    *
-   * @throws RuntimeException if the address has no port or an impossible one
+   * @throws RuntimeException if the address has no port or an invalid port
    */
   @SuppressWarnings("AddressSelection") // any address of a host will do
   public static InetSocketAddress parse(String address) {
--- a/src/main/java/org/fieldtrestle/transport/SocketBudget.java
+++ b/src/main/java/org/fieldtrestle/transport/SocketBudget.java
@@ -6,55 +6,66 @@
 import java.util.Set;
 
 /**
- * Shares out the sockets of this process. A controller that is the only one left has connections
- * from all workers beside its users', so that no fixed part of the limit would do for either: a new
- * connection gets a socket while there are any, then in the place of an idle connection. A few are
- * reserved for essential connections. Used on one event loop only.
+ * Allocates the sockets of this process to its connections. Users and workers have no fixed shares
+ * of the limit, because the last remaining controller of a cluster serves the connections of all
+ * workers besides those of its users. Instead, a new connection gets a free socket, or if there is
+ * none, an idle connection is closed to make room for it. Some sockets are reserved for essential
+ * connections. Not thread-safe: all calls must be made on one event loop.
  */
 public final class SocketBudget {
-  /** Share of the limit that is not for connections: files, and sockets that are being closed. */
+  /** The share of the limit that is kept for files and for sockets that are being closed. */
   private static final double OTHER_DESCRIPTORS_SHARE = 0.04;
 
-  /** Share of the limit that is reserved for essential connections. */
+  /** The share of the limit that is reserved for essential connections. */
   private static final double RESERVED_SHARE = 0.04;
 
-  /** Share of open sockets beyond which expendable connections end with their response. */
+  /** The share of sockets in use above which expendable connections close after a response. */
   private static final double CLOSE_EXPENDABLE_SHARE = 0.8;
 
-  /** Share of open sockets beyond which all connections to this process do. */
+  /** The share of sockets in use above which all inbound connections close after a response. */
   private static final double CLOSE_ALL_SHARE = 0.9;
 
-  /** What a connection is for. */
-  enum Use {
-    /** The key-value store, the cloud and other controllers. */
+  /** The priority of a connection when sockets are scarce. */
+  enum Priority {
+    /** A connection with the key-value store, the cloud or another controller. */
     ESSENTIAL,
-    /** Users and workers. */
+    /** A connection with a user or a worker. */
     ORDINARY
   }
 
   private final int maxOpen;
   private final int reserved;
 
-  /** Idle connections of calls, the longest idle first; closed before those of clients. */
+  /**
+   * The idle connections for calls of this process, which are closed before those of clients. The
+   * one that has been idle longest is first.
+   */
   private final Set<Channel> idleOutbound = new LinkedHashSet<>();
 
-  /** Idle connections of clients, the longest idle first. */
+  /** The idle connections of clients; the one that has been idle longest is first. */
   private final Set<Channel> idleInbound = new LinkedHashSet<>();
 
-  private int open;
+  private int openCount;
 
   /**
-   * @param limit how many file descriptors this process may use for connections and all else
+   * Creates a budget without connections.
+   *
+   * @param limit the number of file descriptors that this process may use for connections and for
+   *     everything else
    */
   public SocketBudget(int limit) {
     this.reserved = (int) Math.ceil(limit * RESERVED_SHARE);
     this.maxOpen = Math.max(1, limit - (int) Math.ceil(limit * OTHER_DESCRIPTORS_SHARE));
   }
 
-  /** Whether a socket is free; idle connections are closed to make room for it. */
-  boolean makeRoom(Use use) {
-    int bound = use == Use.ESSENTIAL ? maxOpen : Math.max(1, maxOpen - reserved);
-    while (open >= bound) {
+  /**
+   * Closes idle connections until a socket is free for a new connection.
+   *
+   * @return whether a socket is free
+   */
+  boolean makeRoom(Priority priority) {
+    int bound = priority == Priority.ESSENTIAL ? maxOpen : Math.max(1, maxOpen - reserved);
+    while (openCount >= bound) {
       if (!closeLongestIdle(idleOutbound) && !closeLongestIdle(idleInbound)) {
         return false;
       }
@@ -62,12 +73,16 @@
     return true;
   }
 
-  /** Closes the connection of a call that is idle the longest; false if there is none. */
+  /**
+   * Closes the connection for calls of this process that has been idle longest.
+   *
+   * @return false if no such connection is idle
+   */
   boolean closeIdleOutbound() {
     return closeLongestIdle(idleOutbound);
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // register() listens to the channel's end
+  @SuppressWarnings("FutureReturnValueIgnored") // register() listens for the close
   private static boolean closeLongestIdle(Set<Channel> idle) {
     Iterator<Channel> channels = idle.iterator();
     if (!channels.hasNext()) {
@@ -79,50 +94,50 @@
     return true;
   }
 
-  /** Counts a connection until it is closed. */
-  @SuppressWarnings("FutureReturnValueIgnored") // the future is the one listened to
+  /** Counts a new connection until it is closed. */
+  @SuppressWarnings("FutureReturnValueIgnored") // addListener() returns the close future itself
   void register(Channel channel) {
-    open++;
+    openCount++;
     channel
         .closeFuture()
         .addListener(
             closed -> {
-              open--;
+              openCount--;
               markBusy(channel);
             });
   }
 
   /**
-   * Whether a connection to this process should end with its response.
+   * Whether an inbound connection must be closed after its response because sockets are scarce.
    *
-   * @param expendable whether it is one of those that end first
+   * @param expendable whether the connection is one of those that are closed first
    */
-  boolean closesAfterResponse(boolean expendable) {
-    return open > maxOpen * (expendable ? CLOSE_EXPENDABLE_SHARE : CLOSE_ALL_SHARE);
+  boolean mustCloseAfterResponse(boolean expendable) {
+    return openCount > maxOpen * (expendable ? CLOSE_EXPENDABLE_SHARE : CLOSE_ALL_SHARE);
   }
 
-  /** A connection for calls of this process waits for the next call. */
+  /** Called when a connection for calls of this process has become idle. */
   void markIdleOutbound(Channel channel) {
     if (channel.isActive()) {
       idleOutbound.add(channel);
     }
   }
 
-  /** A connection of a client waits for the next request. */
+  /** Called when a connection of a client has become idle. */
   void markIdleInbound(Channel channel) {
     if (channel.isActive()) {
       idleInbound.add(channel);
     }
   }
 
-  /** A connection is in use again, or closed. */
+  /** Called when a connection is used again or has been closed. */
   void markBusy(Channel channel) {
     idleOutbound.remove(channel);
     idleInbound.remove(channel);
   }
 
-  /** How many connections are open. */
+  /** Returns the number of open connections. */
   public int openCount() {
-    return open;
+    return openCount;
   }
 }
--- a/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
+++ b/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
@@ -13,7 +13,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 import java.util.concurrent.Future;
-import org.fieldtrestle.transport.SocketBudget.Use;
+import org.fieldtrestle.transport.SocketBudget.Priority;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -184,17 +184,17 @@
     EmbeddedChannel[] open = new EmbeddedChannel[95];
     SocketBudget sockets = new SocketBudget(100); // 96 of them
     for (int i = 0; i < open.length; i++) {
-      assertEquals(i > 76, sockets.closesAfterResponse(true), "those that come often, at " + i);
-      assertEquals(i > 86, sockets.closesAfterResponse(false), "all, at " + i);
-      assertEquals(i < 92, sockets.makeRoom(Use.ORDINARY), "for users and workers, at " + i);
-      assertTrue(sockets.makeRoom(Use.ESSENTIAL), "for essential connections, at " + i);
+      assertEquals(i > 76, sockets.mustCloseAfterResponse(true), "those that come often, at " + i);
+      assertEquals(i > 86, sockets.mustCloseAfterResponse(false), "all, at " + i);
+      assertEquals(i < 92, sockets.makeRoom(Priority.ORDINARY), "for users and workers, at " + i);
+      assertTrue(sockets.makeRoom(Priority.ESSENTIAL), "for essential connections, at " + i);
       open[i] = new EmbeddedChannel();
       sockets.register(open[i]);
     }
     sockets.markIdleInbound(open[3]);
     sockets.markIdleOutbound(open[50]);
     assertTrue(
-        sockets.makeRoom(Use.ORDINARY) || !open[50].isOpen(),
+        sockets.makeRoom(Priority.ORDINARY) || !open[50].isOpen(),
         "a call's idle connection goes first");
     assertTrue(!open[50].isOpen() && !open[3].isOpen(), "then one of a client");
     assertEquals(93, sockets.openCount());
