--- a/src/main/java/org/fieldtrestle/ClassListRecorder.java
+++ b/src/main/java/org/fieldtrestle/ClassListRecorder.java
@@ -26,10 +26,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Run by the build only, under a JVM that records the classes it loads for the class data archive:
- * with a small share of a core, loading them anew takes seconds in which workers' leases run out.
- * It loads all classes of the program, and lets a controller run some jobs on a stub worker, so
- * that the classes of the libraries and of the JDK that this takes are recorded too.
+ * Loads the classes that a controller needs, so that the build can put them into a class data
+ * sharing archive. The build runs this program under a JVM that records the loaded classes. The
+ * archive is needed because loading the classes without it takes seconds on a small share of a
+ * core, during which the leases of workers expire.
+ *
+ * <p>The program loads all classes of its own jar. It then lets a controller run some jobs on a
+ * stub worker, so that the classes of the libraries and of the JDK that a controller uses are
+ * recorded too.
  */
 public final class ClassListRecorder {
   private static final String SETTINGS_RESOURCE = "/class-list-recorder.toml";
@@ -40,7 +44,11 @@
 
   private ClassListRecorder() {}
 
-  /** Takes the path of the program's jar; exits with 1 if the run has failed. */
+  /**
+   * Runs the recording and exits with status 0, or with 1 if it has failed.
+   *
+   * @param args the path of the program's jar
+   */
   public static void main(String[] args) {
     int exitStatus = 1;
     try {
@@ -53,13 +61,13 @@
         | ExecutionException
         | RuntimeException e) {
       System.err.println("class list recorder: failed, see its log: " + e);
-      // Not a constant: the library has to be set up before its first logger.
+      // The logger is not a constant, because the library must be set up before its first logger.
       LoggerFactory.getLogger(ClassListRecorder.class)
           .atError()
           .setCause(e)
           .log("class list recording failed");
     } finally {
-      System.exit(exitStatus); // event loops would go on
+      System.exit(exitStatus); // the event loops would keep the process running
     }
   }
 
@@ -92,7 +100,7 @@
     int controllerPort = controller.start(anyLoopbackPort(), anyLoopbackPort()).get();
     services.start(loopbackAddress(port), loopbackAddress(controllerPort));
     if (!finished.await(TIMEOUT_S, TimeUnit.SECONDS)) {
-      // The archive only makes starts faster, so an incomplete one need not fail the build.
+      // The archive only makes starts faster, so an incomplete archive does not fail the build.
       System.err.println("class list recorder: timeout, the archive lacks some classes");
     }
   }
@@ -117,8 +125,8 @@
   }
 
   /**
-   * Settings for a controller of which all services listen on a port of this machine. They are read
-   * from a file, as a controller's are, so that the parser's classes are recorded too.
+   * Returns settings for a controller whose services all listen on one local port. They are read
+   * from a file, like those of any controller, so that the classes of the parser are recorded too.
    */
   static Settings settings(int port) throws IOException, InvalidSettingException {
     Path file = Files.createTempFile("fieldtrestle-class-list", ".toml");
--- a/src/main/java/org/fieldtrestle/ControllerMain.java
+++ b/src/main/java/org/fieldtrestle/ControllerMain.java
@@ -11,22 +11,26 @@
 import org.fieldtrestle.transport.SocketAddresses;
 
 /**
- * Entry point for the platform: starts a controller with the settings file that is its only
- * argument. Loading what {@link Main} needs to read a command line takes seconds on a small share
- * of a core, in which workers' leases run out.
+ * Entry point for the platform, which starts a controller with a settings file as its only
+ * argument. It is separate from {@link Main}, because loading the command-line parser takes seconds
+ * on a small share of a core, during which the leases of workers expire.
  */
 public final class ControllerMain {
-  /** Exit status if a setting is invalid. */
+  /** Exit status if the arguments or a setting are invalid. */
   static final int EXIT_INVALID = 2;
 
-  /** Exit status if the address for users and workers cannot be listened on. */
+  /** Exit status if the controller cannot listen on its address for users and workers. */
   private static final int EXIT_CANNOT_LISTEN = 1;
 
   private static final double BYTES_PER_MB = 1024.0 * 1024.0;
 
   private ControllerMain() {}
 
-  /** Runs a controller until it is killed; exits with a status if it cannot start. */
+  /**
+   * Runs a controller until it is killed, or exits with a nonzero status if it cannot start.
+   *
+   * @param args the path of the settings file
+   */
   public static void main(String[] args) throws InterruptedException {
     LibrarySettings.apply();
     if (args.length != 1) {
@@ -43,7 +47,7 @@
     }
   }
 
-  /** Prints to standard error which limits are too small for the cluster. */
+  /** Prints a warning to standard error for each limit that is too small for the cluster. */
   static void printWarnings(Settings settings) {
     double heapMb = Runtime.getRuntime().maxMemory() / BYTES_PER_MB;
     for (String line : SettingsChecks.warnings(settings, heapMb)) {
@@ -61,7 +65,7 @@
     } catch (ExecutionException e) {
       System.err.println(
           "fieldtrestle: cannot listen on " + userAddress + ": " + e.getCause().getMessage());
-      System.exit(EXIT_CANNOT_LISTEN); // the event loop would go on
+      System.exit(EXIT_CANNOT_LISTEN); // the event loop would keep the process running
     }
     process.awaitTermination();
   }
--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -20,18 +20,23 @@
 import org.fieldtrestle.transport.PeerTransport;
 import org.fieldtrestle.transport.SocketBudget;
 
-/** A controller with its event loop and its connections. */
+/** A controller with its event loop, its HTTP client and server, and its peer transport. */
 final class ControllerProcess {
-  /** Part of all sockets that commands to workers may use. */
+  /**
+   * The limit on connections for commands to workers is the number of all sockets divided by this.
+   */
   private static final int WORKER_CALLS_DIVISOR = 5;
 
-  /** Connections from each other controller: after a restart its old ones may still be open. */
+  /**
+   * The number of inbound connections for each other controller. It is more than one, because the
+   * old connections of a restarted controller may still be open.
+   */
   private static final int MAX_INBOUND_PER_PEER = 8;
 
-  /** Worker leases after which an idle connection is closed. */
+  /** The time after which an idle connection is closed, in worker leases. */
   private static final int IDLE_TIMEOUT_LEASES = 2;
 
-  /** Part of a worker's lease within which a request has to arrive. */
+  /** A request must be complete within the worker lease divided by this. */
   private static final int REQUEST_TIMEOUT_LEASE_DIVISOR = 2;
 
   private static final long SHUTDOWN_TIMEOUT_S = 1;
@@ -83,9 +88,11 @@
   }
 
   /**
-   * Starts the controller, which begins to listen for users and workers once it acts.
+   * Starts the controller. When it begins to listen for users and workers is described at {@link
+   * Controller#start}.
    *
-   * @return completes with the port for users and workers, or with the failure to listen
+   * @return a future that completes with the port for users and workers, or with the failure to
+   *     listen
    */
   CompletableFuture<Integer> start(InetSocketAddress userAddress, InetSocketAddress peerAddress)
       throws InterruptedException {
@@ -95,7 +102,7 @@
     return boundPort;
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // both outcomes are passed on
+  @SuppressWarnings("FutureReturnValueIgnored") // whenComplete() passes on both outcomes
   private void listen(InetSocketAddress userAddress, CompletableFuture<Integer> boundPort) {
     server
         .bind(userAddress)
@@ -114,12 +121,12 @@
     controller.frame(copy);
   }
 
-  /** Waits for as long as the controller runs. */
+  /** Waits until the controller has stopped. */
   void awaitTermination() throws InterruptedException {
     group.terminationFuture().sync();
   }
 
-  /** Ends the controller at once, without any message to others. */
+  /** Stops the controller immediately, without notifying other controllers. */
   void stop() throws InterruptedException {
     group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS).sync();
   }
--- a/src/main/java/org/fieldtrestle/Main.java
+++ b/src/main/java/org/fieldtrestle/Main.java
@@ -10,7 +10,8 @@
 import picocli.CommandLine;
 
 /**
- * Command line for operators: reads both kinds of settings and checks them or runs a controller.
+ * The command line for operators. Reads the settings of the platform and of the operators, and
+ * either checks them or runs a controller.
  */
 @CommandLine.Command(
     name = "fieldtrestle",
@@ -36,7 +37,7 @@
       description = "only check the settings, and say what is wrong with them")
   private boolean check;
 
-  /** The version in the jar's manifest. */
+  /** Provides the version from the manifest of the jar. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -45,7 +46,7 @@
     }
   }
 
-  /** Runs the command line; exits with its status unless that is 0. */
+  /** Runs the command line and exits with its status unless that is 0. */
   public static void main(String[] args) {
     LibrarySettings.apply();
     int status = new CommandLine(new Main()).execute(args);
--- a/src/main/java/org/fieldtrestle/StubCloud.java
+++ b/src/main/java/org/fieldtrestle/StubCloud.java
@@ -5,7 +5,7 @@
 import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.transport.Http;
 
-/** A cloud with one machine, for {@link ClassListRecorder}. */
+/** A stub of a cloud that offers a single machine, for {@link ClassListRecorder}. */
 final class StubCloud {
   static final String MACHINE = "host-000001";
   static final String MACHINE_TYPE = "type";
@@ -39,9 +39,9 @@
   }
 
   /**
-   * The listing of all machines.
+   * Returns the list of all rented machines.
    *
-   * @param address where the machine's worker listens
+   * @param address the address on which the machine's worker listens
    */
   ObjectNode machines(String address) {
     ObjectNode body = Json.object().put("more", false);
--- a/src/main/java/org/fieldtrestle/StubKeyValueStore.java
+++ b/src/main/java/org/fieldtrestle/StubKeyValueStore.java
@@ -7,14 +7,16 @@
 import java.util.TreeMap;
 import org.fieldtrestle.protocol.Json;
 
-/** A key-value store without conditions and leases, for {@link ClassListRecorder}. */
+/**
+ * A stub of a key-value store that ignores conditions and leases, for {@link ClassListRecorder}.
+ */
 final class StubKeyValueStore {
-  /** The change that has written each key last. */
+  /** The last change that has written each key. */
   private final Map<String, JsonNode> lastChangeByKey = new TreeMap<>();
 
   private long revision = 1;
 
-  /** Applies a transaction without looking at its conditions. */
+  /** Applies a transaction without checking its conditions. */
   ObjectNode commit(JsonNode transaction) {
     transaction.path("apply").forEach(this::apply);
     return Json.object().put("ledger", ++revision);
@@ -32,7 +34,7 @@
     return Json.object().put("permit", 1);
   }
 
-  /** All keys of a listing, in one page. */
+  /** Returns all keys that a list request asks for, as a single page. */
   ObjectNode list(Map<String, String> query) {
     ObjectNode listing = Json.object().put("more", false).put("ledger", revision);
     ArrayNode items = listing.putArray("items");
@@ -51,7 +53,7 @@
     return entry;
   }
 
-  /** Answers a watch with the change of another member's key. */
+  /** Answers a watch with a change to the key of another controller's membership. */
   ObjectNode watch() {
     ObjectNode events = Json.object();
     ObjectNode change = events.putArray("log").addObject();
--- a/src/main/java/org/fieldtrestle/StubServices.java
+++ b/src/main/java/org/fieldtrestle/StubServices.java
@@ -10,8 +10,9 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * Everything that a controller talks to, for {@link ClassListRecorder}: just enough of each service
- * for a controller to run a job to its end and to cancel another. All listen on one address.
+ * Stubs of all services that a controller communicates with, for {@link ClassListRecorder}. They
+ * implement just enough for a controller to run a job until it is done and to cancel another job.
+ * All of them listen on one address.
  */
 final class StubServices implements Http.Handler {
   private static final long HEARTBEAT_INTERVAL_MS = 50;
@@ -28,7 +29,9 @@
   private String controllerAddress;
 
   /**
-   * @param onFinished run once all requests of the user have been answered
+   * Creates stubs that do not act before {@link #start} is called.
+   *
+   * @param onFinished run once all requests of the stub user have been answered
    */
   StubServices(Reactor reactor, Http.Caller caller, Runnable onFinished) {
     this.reactor = reactor;
@@ -36,7 +39,12 @@
     this.onFinished = onFinished;
   }
 
-  /** Begins to send heartbeats and to submit jobs, once the addresses are known. */
+  /**
+   * Begins to send heartbeats and to submit jobs.
+   *
+   * @param address the address on which the stubs listen
+   * @param controller the address on which the controller listens for users and workers
+   */
   void start(String address, String controller) {
     reactor.execute(
         () -> {
--- a/src/main/java/org/fieldtrestle/StubUser.java
+++ b/src/main/java/org/fieldtrestle/StubUser.java
@@ -8,8 +8,8 @@
 import org.fieldtrestle.transport.Reactor;
 
 /**
- * A user who submits a job and polls it until it is done, cancels another one, and then makes each
- * other kind of request once.
+ * A stub of a user, who submits a job and polls it until it is done, submits a second job and
+ * cancels it, and then makes each other kind of request once.
  */
 final class StubUser {
   private static final String FIRST_JOB = "job-000001";
@@ -18,7 +18,7 @@
   private static final long RETRY_DELAY_MS = 50;
   private static final int TASKS = 3;
 
-  /** Makes a call to the controller; an empty object stands for a call that was not onAnswer. */
+  /** Makes calls to the controller and passes on an empty object if there is no answer. */
   interface ControllerCaller {
     void call(String method, String path, JsonNode body, Consumer<JsonNode> onAnswer);
   }
@@ -29,6 +29,8 @@
   private boolean cancelRequested;
 
   /**
+   * Creates a user who makes no requests before {@link #start} is called.
+   *
    * @param onFinished run once all requests have been answered
    */
   StubUser(Reactor reactor, ControllerCaller controller, Runnable onFinished) {
--- a/src/main/java/org/fieldtrestle/StubWorker.java
+++ b/src/main/java/org/fieldtrestle/StubWorker.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import org.fieldtrestle.protocol.Json;
 
-/** The worker on the stub cloud's machine: each task is done two heartbeats after its start. */
+/**
+ * A stub of the worker on the machine of {@link StubCloud}. Each task is done two heartbeats after
+ * its start.
+ */
 final class StubWorker {
   private static final String FETCHING = "fetching";
   private static final String RUNNING = "running";
@@ -22,15 +25,15 @@
   private long sequence;
   private long fencingToken;
 
-  /** Moves all tasks on by one stage. */
+  /** Advances each task by one stage. */
   void advanceTasks() {
     tasks.values().forEach(task -> task.stage = task.stage.equals(FETCHING) ? RUNNING : EXITED);
   }
 
   /**
-   * The next heartbeat.
+   * Returns the body of the next heartbeat.
    *
-   * @param address where this worker listens
+   * @param address the address on which this worker listens
    */
   ObjectNode heartbeat(String address) {
     ObjectNode body =
@@ -58,7 +61,7 @@
     return status;
   }
 
-  /** Executes the commands in an answer to a heartbeat or in a direct call. */
+  /** Executes the commands in the answer to a heartbeat or in a direct call from a controller. */
   void execute(JsonNode commands) {
     fencingToken = Math.max(fencingToken, commands.path("warrant").asLong());
     for (JsonNode command : commands.path("orders")) {
--- a/src/main/java/org/fieldtrestle/transport/Http.java
+++ b/src/main/java/org/fieldtrestle/transport/Http.java
@@ -48,7 +48,7 @@
   /** The called service answered. */
   public record Answer(int status, byte[] body) implements Outcome {}
 
-  /** The request never left this process, so the called service does not execute it. */
+  /** The request never left this process, so the called service cannot execute it, now or later. */
   public record NotSent(String reason) implements Outcome {}
 
   /**
--- a/src/main/java/org/fieldtrestle/transport/HttpServer.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpServer.java
@@ -94,12 +94,12 @@
     bootstrap()
         .bind(address)
         .addListener(
-            (ChannelFuture done) -> {
-              if (done.isSuccess()) {
-                closeOverduePeriodically(done.channel());
-                bound.complete(((InetSocketAddress) done.channel().localAddress()).getPort());
+            (ChannelFuture bindFuture) -> {
+              if (bindFuture.isSuccess()) {
+                closeOverduePeriodically(bindFuture.channel());
+                bound.complete(((InetSocketAddress) bindFuture.channel().localAddress()).getPort());
               } else {
-                bound.completeExceptionally(done.cause());
+                bound.completeExceptionally(bindFuture.cause());
               }
             });
     return bound;
--- a/src/main/java/org/fieldtrestle/transport/NettyBootstraps.java
+++ b/src/main/java/org/fieldtrestle/transport/NettyBootstraps.java
@@ -8,7 +8,9 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** Creates Netty bootstraps with the options that all clients or all servers here share. */
+/**
+ * Creates Netty bootstraps with the options that all clients or all servers of this process share.
+ */
 final class NettyBootstraps {
   private NettyBootstraps() {}
 
--- a/src/main/java/org/fieldtrestle/transport/Reactor.java
+++ b/src/main/java/org/fieldtrestle/transport/Reactor.java
@@ -9,8 +9,8 @@
   long nowMs();
 
   /**
-   * Returns the wall-clock time in milliseconds since the epoch. The clocks of the cluster differ
-   * by no more than the bound in the settings.
+   * Returns the wall-clock time in milliseconds since 1970. Its error is within the bound that the
+   * settings give.
    */
   long wallClockMs();
 
--- a/src/test/java/org/fieldtrestle/ArchitectureTest.java
+++ b/src/test/java/org/fieldtrestle/ArchitectureTest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Dependencies between packages point one way, as the drawing in docs/architecture.md shows. */
+/** Checks that packages depend only on lower layers, as drawn in docs/architecture.md. */
 class ArchitectureTest {
   private static final String ROOT = "org.fieldtrestle";
 
-  /** The layers from the programs down; a package may use those of lower layers. */
+  /** The layers from top to bottom; a package may use only packages of lower layers. */
   private static final List<List<String>> LAYERS =
       List.of(
           List.of(""),
--- a/src/test/java/org/fieldtrestle/ClassListRecorderTest.java
+++ b/src/test/java/org/fieldtrestle/ClassListRecorderTest.java
@@ -12,22 +12,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The build records the classes of a controller that is served by {@link StubServices}. If their
- * answers no longer are what the controller expects, the run ends early and starts become slower,
- * which nothing else would show.
+ * The build records the classes that a controller loads while {@link StubServices} serve it. If the
+ * answers of the stubs are not what the controller expects, the recording ends early and
+ * controllers start more slowly, which no other test detects.
  */
 class ClassListRecorderTest {
   private static final int PORT = 4000;
-  private static final String SERVICES = "127.0.0.1:" + PORT;
-  private static final String CONTROLLER = "127.0.0.1:4001";
-  private static final long LONGEST_RUN_MS = 10_000;
+  private static final String SERVICES_ADDRESS = "127.0.0.1:" + PORT;
+  private static final String CONTROLLER_ADDRESS = "127.0.0.1:4001";
+  private static final long MAX_RUN_MS = 10_000;
 
   @Test
-  void recordingRunIsServedToItsEnd() throws IOException, InvalidSettingException {
-    boolean[] served = {false};
+  void stubUserFinishesAllRequests() throws IOException, InvalidSettingException {
+    boolean[] finished = {false};
     SimulatedNetwork network = new SimulatedNetwork();
     StubServices services =
-        new StubServices(network.reactor(), network.caller(), () -> served[0] = true);
+        new StubServices(network.reactor(), network.caller(), () -> finished[0] = true);
     Controller controller =
         new Controller(
             ClassListRecorder.settings(PORT),
@@ -37,12 +37,12 @@
             network.caller(),
             (address, frame) -> {},
             new EventLoopMeter(() -> 0));
-    network.serve(SERVICES, services);
-    controller.start(() -> network.serve(CONTROLLER, controller));
-    services.start(SERVICES, CONTROLLER);
+    network.serve(SERVICES_ADDRESS, services);
+    controller.start(() -> network.serve(CONTROLLER_ADDRESS, controller));
+    services.start(SERVICES_ADDRESS, CONTROLLER_ADDRESS);
 
-    network.runFor(LONGEST_RUN_MS);
+    network.runFor(MAX_RUN_MS);
 
-    assertTrue(served[0], "the recording run should be served to its end");
+    assertTrue(finished[0], "the stub user should finish all its requests");
   }
 }
--- a/src/test/java/org/fieldtrestle/OperationsPageTest.java
+++ b/src/test/java/org/fieldtrestle/OperationsPageTest.java
@@ -15,18 +15,18 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The operators' page explains every log event at info and above, and no other. */
+/** Checks that docs/operations.md documents every log event at info and above, and no others. */
 class OperationsPageTest {
   private static final Path SOURCES = Path.of("src/main/java");
   private static final Path PAGE = Path.of("docs/operations.md");
 
-  /** The argument of the call that ends a logging statement at info or above. */
+  /** Captures the argument of {@code log()} in a logging statement at info or above. */
   private static final Pattern EVENT =
       Pattern.compile("LOG\\s*\\.at(?:Info|Warn|Error)\\(\\)[^;]*?\\.log\\(([^;]*)\\);");
 
   private static final Pattern LITERAL = Pattern.compile("\"([^\"]+)\"");
 
-  /** The shard's leader passes the event's name on. */
+  /** The shard leader passes some event texts to its method {@code logLeadership}. */
   private static final Pattern EVENT_BY_ARGUMENT =
       Pattern.compile("logLeadership\\((\"[^\"]*\")\\);");
 
@@ -38,18 +38,18 @@
   private static final Pattern CODE = Pattern.compile("`([^`]+)`");
 
   @Test
-  void everyEventStandsOnThePage() throws IOException {
-    assertEquals(eventsOfThePage(), eventsOfTheSources());
+  void pageDocumentsExactlyTheLoggedEvents() throws IOException {
+    assertEquals(documentedEvents(), loggedEvents());
   }
 
   @Test
-  void everyEventHasFieldsInPlaceOfText() throws IOException {
+  void everyEventIsStructured() throws IOException {
     for (String source : sources()) {
       assertFalse(UNSTRUCTURED.matcher(source).find(), source);
     }
   }
 
-  private static Set<String> eventsOfTheSources() throws IOException {
+  private static Set<String> loggedEvents() throws IOException {
     Set<String> events = new TreeSet<>();
     for (String source : sources()) {
       for (Pattern pattern : List.of(EVENT, EVENT_BY_ARGUMENT)) {
@@ -61,7 +61,7 @@
     return events;
   }
 
-  private static Set<String> eventsOfThePage() throws IOException {
+  private static Set<String> documentedEvents() throws IOException {
     Set<String> events = new TreeSet<>();
     for (String cell : groups(TABLE_ROW, Files.readString(PAGE))) {
       events.addAll(groups(CODE, cell));
--- a/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
+++ b/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
@@ -6,7 +6,7 @@
 import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.junit.jupiter.api.Test;
 
-/** Times and counts of nested and failing activities. */
+/** Checks the times and counts of nested and of failing activities. */
 class EventLoopMeterTest {
   private static final long MS = 1_000_000;
 
@@ -19,7 +19,7 @@
 
   @Test
   void nestedActivityCountsForItselfAlone() {
-    pass(5); // nothing is done
+    pass(5); // no activity runs
     meter.run(
         Activity.HTTP_SERVER_READ,
         () -> {
--- a/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
+++ b/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Broken HTTP gets a named status or a closed connection, and the next request is served. */
+/**
+ * Checks that malformed HTTP is answered by an error status or a closed connection, that the next
+ * request is served, and that connections are limited in number and time.
+ */
 class HttpServerTest {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
@@ -42,7 +45,7 @@
                   new Http.Response(
                       200, ("got " + request.body().length).getBytes(StandardCharsets.UTF_8)));
             },
-            new SocketBudget(6), // four of them for users and workers
+            new SocketBudget(6), // four of them are for users and workers
             path -> path.equals("/often"),
             60_000,
             requestMs,
@@ -52,10 +55,10 @@
 
   @AfterEach
   void stop() {
-    Future<?> unused = group.shutdownGracefully(); // waiting would take seconds for each test
+    Future<?> unused = group.shutdownGracefully(); // waiting would take seconds in each test
   }
 
-  /** Sends bytes on a connection of its own and reads until the other side closes. */
+  /** Sends bytes on a new connection and reads until the server closes it. */
   private String send(byte[] bytes) throws IOException {
     try (Socket socket = new Socket(LOOPBACK, port)) {
       try {
@@ -64,7 +67,7 @@
         InputStream in = socket.getInputStream();
         return new String(in.readAllBytes(), StandardCharsets.UTF_8);
       } catch (IOException e) {
-        return ""; // closed on us
+        return ""; // the server has reset the connection
       }
     }
   }
@@ -107,14 +110,14 @@
     assertServes();
   }
 
-  private static void ask(Socket socket, String path) throws IOException {
+  private static void sendRequest(Socket socket, String path) throws IOException {
     socket
         .getOutputStream()
         .write(
             ("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
   }
 
-  private static String answer(Socket socket) throws IOException {
+  private static String readAnswer(Socket socket) throws IOException {
     StringBuilder all = new StringBuilder();
     while (all.indexOf("got 0") < 0) {
       int next = socket.getInputStream().read();
@@ -126,7 +129,7 @@
     return all.toString();
   }
 
-  private static int end(Socket socket) {
+  private static int readEnd(Socket socket) {
     try {
       return socket.getInputStream().read();
     } catch (IOException e) {
@@ -140,16 +143,17 @@
         Socket b = new Socket(LOOPBACK, port);
         Socket c = new Socket(LOOPBACK, port);
         Socket d = new Socket(LOOPBACK, port)) {
-      for (Socket one : new Socket[] {a, b, c, d}) {
-        ask(one, "/x");
-        assertTrue(answer(one).startsWith("HTTP/1.1 200"));
+      for (Socket socket : new Socket[] {a, b, c, d}) {
+        sendRequest(socket, "/x");
+        assertTrue(readAnswer(socket).startsWith("HTTP/1.1 200"));
       }
       try (Socket e = new Socket(LOOPBACK, port)) {
-        ask(e, "/x");
-        assertTrue(answer(e).startsWith("HTTP/1.1 200"), "served though all sockets were taken");
-        assertEquals(-1, end(a), "in the place of the one that was idle the longest");
-        ask(b, "/x");
-        assertTrue(answer(b).startsWith("HTTP/1.1 200"), "the others stay");
+        sendRequest(e, "/x");
+        assertTrue(
+            readAnswer(e).startsWith("HTTP/1.1 200"), "served though all sockets were in use");
+        assertEquals(-1, readEnd(a), "the connection that was idle longest is closed");
+        sendRequest(b, "/x");
+        assertTrue(readAnswer(b).startsWith("HTTP/1.1 200"), "the other connections stay open");
       }
     }
   }
@@ -160,21 +164,23 @@
         Socket b = new Socket(LOOPBACK, port);
         Socket c = new Socket(LOOPBACK, port);
         Socket d = new Socket(LOOPBACK, port)) {
-      for (Socket one : new Socket[] {a, b, c, d}) { // each is in the middle of its next request
-        ask(one, "/x");
-        answer(one);
-        one.getOutputStream().write("GET /x".getBytes(StandardCharsets.US_ASCII));
+      for (Socket socket : new Socket[] {a, b, c, d}) { // each has begun its next request
+        sendRequest(socket, "/x");
+        readAnswer(socket);
+        socket.getOutputStream().write("GET /x".getBytes(StandardCharsets.US_ASCII));
       }
       try (Socket e = new Socket(LOOPBACK, port)) {
-        assertEquals(-1, end(e), "none of them is idle, and there are no more");
+        assertEquals(-1, readEnd(e), "no connection is idle and no socket is free");
       }
     }
-    int hurried = serve(300);
-    try (Socket silent = new Socket(LOOPBACK, hurried);
-        Socket half = new Socket(LOOPBACK, hurried)) {
-      half.getOutputStream().write("GET /x HTTP/1.1\r\nHo".getBytes(StandardCharsets.US_ASCII));
-      assertEquals(-1, end(silent), "never sends anything");
-      assertEquals(-1, end(half), "never ends its request");
+    int shortTimeoutPort = serve(300);
+    try (Socket silent = new Socket(LOOPBACK, shortTimeoutPort);
+        Socket unfinished = new Socket(LOOPBACK, shortTimeoutPort)) {
+      unfinished
+          .getOutputStream()
+          .write("GET /x HTTP/1.1\r\nHo".getBytes(StandardCharsets.US_ASCII));
+      assertEquals(-1, readEnd(silent), "the client never sends a request");
+      assertEquals(-1, readEnd(unfinished), "the client never completes its request");
     }
     assertServes();
   }
@@ -182,10 +188,10 @@
   @Test
   void connectionsCloseAfterTheResponseNearTheLimit() throws Exception {
     EmbeddedChannel[] open = new EmbeddedChannel[95];
-    SocketBudget sockets = new SocketBudget(100); // 96 of them
+    SocketBudget sockets = new SocketBudget(100); // 96 of them are for connections
     for (int i = 0; i < open.length; i++) {
-      assertEquals(i > 76, sockets.mustCloseAfterResponse(true), "those that come often, at " + i);
-      assertEquals(i > 86, sockets.mustCloseAfterResponse(false), "all, at " + i);
+      assertEquals(i > 76, sockets.mustCloseAfterResponse(true), "expendable connections, at " + i);
+      assertEquals(i > 86, sockets.mustCloseAfterResponse(false), "all connections, at " + i);
       assertEquals(i < 92, sockets.makeRoom(Priority.ORDINARY), "for users and workers, at " + i);
       assertTrue(sockets.makeRoom(Priority.ESSENTIAL), "for essential connections, at " + i);
       open[i] = new EmbeddedChannel();
@@ -195,8 +201,9 @@
     sockets.markIdleOutbound(open[50]);
     assertTrue(
         sockets.makeRoom(Priority.ORDINARY) || !open[50].isOpen(),
-        "a call's idle connection goes first");
-    assertTrue(!open[50].isOpen() && !open[3].isOpen(), "then one of a client");
+        "an idle outbound connection is closed first");
+    assertTrue(
+        !open[50].isOpen() && !open[3].isOpen(), "then an idle inbound connection is closed");
     assertEquals(93, sockets.openCount());
   }
 }
