--- a/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
+++ b/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
@@ -67,7 +67,7 @@
         InputStream in = socket.getInputStream();
         return new String(in.readAllBytes(), StandardCharsets.UTF_8);
       } catch (IOException e) {
-        return ""; // the server has reset the connection
+        return ""; // the server has closed the connection
       }
     }
   }
