--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -83,7 +83,7 @@
   /** Requests a lease and registers under it; retries until the registration succeeds. */
   void register() {
     state = State.REGISTERING;
-    long sentAtMs = reactor.now();
+    long sentAtMs = reactor.nowMs();
     store.requestLease(
         leaseMs,
         granted -> {
@@ -100,7 +100,7 @@
     if (state == State.REGISTERING) {
       return;
     }
-    long sentAtMs = reactor.now();
+    long sentAtMs = reactor.nowMs();
     long renewedLeaseId = leaseId;
     store.renewLease(
         renewedLeaseId,
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
@@ -63,7 +63,7 @@
 
   /** Returns whether this controller may take its home shard back from another leader. */
   boolean mayReclaimHomeShard() {
-    return reactor.now() >= transferHoldUntilMs;
+    return reactor.nowMs() >= transferHoldUntilMs;
   }
 
   /** Returns whether the shard's recorded leader is another controller whose lease still exists. */
@@ -81,7 +81,7 @@
   void keyChanged(StateKey key) {
     if (key instanceof StateKey.ShardKey shardKey) {
       String shard = shardKey.shard();
-      leaderChangedAtMs.put(shard, reactor.now());
+      leaderChangedAtMs.put(shard, reactor.nowMs());
       endIfSuperseded(shard);
       acquireIfTransferredHere(shard);
     }
@@ -116,7 +116,7 @@
   }
 
   private void startTransferHold() {
-    transferHoldUntilMs = reactor.now() + leaseMs * TRANSFER_HOLD_LEASES;
+    transferHoldUntilMs = reactor.nowMs() + leaseMs * TRANSFER_HOLD_LEASES;
   }
 
   /**
@@ -127,7 +127,7 @@
     Versioned<ShardRecord> current = stateCache.shard(shard);
     if (current != null
         && !ledShards.contains(shard)
-        && reactor.now() - leaderChangedAtMs.getOrDefault(shard, 0L) > leaseMs) {
+        && reactor.nowMs() - leaderChangedAtMs.getOrDefault(shard, 0L) > leaseMs) {
       acquire(shard, current.record().leader(), current.version());
     }
   }
