--- a/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
+++ b/src/main/java/org/fieldtrestle/api/AcceptancePlanner.java
@@ -64,7 +64,8 @@
     KeyValueProtocol.Put put =
         StateChanges.put(
             StateKeys.job(spec.id()),
-            new JobRecord(spec, context.reactor().wall(), zone, initialRanges(parts, epochs)));
+            new JobRecord(
+                spec, context.reactor().wallClockMs(), zone, initialRanges(parts, epochs)));
     return new Plan(
         parts,
         new Transaction(conditions(spec, epochs), List.of(put)),
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
@@ -94,13 +94,13 @@
         .computeIfAbsent(to, controller -> new HashMap<>())
         .merge(
             machine,
-            new Redirects(reactor.now(), 1),
+            new Redirects(reactor.nowMs(), 1),
             (before, now) ->
                 new Redirects(now.lastAtMs(), isRecent(before) ? before.consecutive() + 1 : 1));
   }
 
   private boolean isRecent(Redirects machineRedirects) {
-    return reactor.now() - machineRedirects.lastAtMs()
+    return reactor.nowMs() - machineRedirects.lastAtMs()
         <= settings.heartbeatIntervalsMs(REDIRECT_EXPIRY_INTERVALS);
   }
 
@@ -119,7 +119,7 @@
   /** Called with another controller's report; ignores a report that is meant for a third one. */
   public void reportReceived(PeerMessage.RedirectCount report) {
     if (report.targetController().equals(settings.label())) {
-      reports.put(report.sender(), new RedirectReport(reactor.now(), report.machineCount()));
+      reports.put(report.sender(), new RedirectReport(reactor.nowMs(), report.machineCount()));
     }
   }
 
@@ -173,7 +173,7 @@
   }
 
   private boolean isCurrent(RedirectReport report) {
-    return reactor.now() - report.receivedAtMs()
+    return reactor.nowMs() - report.receivedAtMs()
         <= settings.heartbeatIntervalsMs(REPORT_EXPIRY_INTERVALS);
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
@@ -26,7 +26,7 @@
    * them.
    */
   void place(PlacementPass pass, TaskRange range) {
-    BitSet waiting = (BitSet) range.fresh().clone();
+    BitSet waiting = (BitSet) range.freshOffsets().clone();
     range.retries().keySet().forEach(waiting::set);
     if (!quotaShares.allows(range.spec(), waiting.cardinality())) {
       return;
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -79,7 +79,7 @@
       }
       if (waitingCpus < 0) { // computed only once, and only if any task can be reassigned
         waitingCpus = ranges.waitingCpus();
-        capacityCpus = workers.capacity();
+        capacityCpus = workers.capacityCpus();
       }
       if (reassign(range, tail, waitingCpus, capacityCpus)) {
         notBeforeMs = nowMs + context.heartbeatIntervalsMs(MIN_INTERVAL_HEARTBEATS);
@@ -96,7 +96,7 @@
     if (range.spec() == null
         || term.policy().mustStop(range)
         || range.isWriting()
-        || ranges.blocked(range)
+        || ranges.mayHaveUnreportedTasks(range)
         || !range.record().zoneLimits().isEmpty()
         || context.stateCache().rangesOf(range.key().job()).size() + OTHER_JOB_END_OPERATIONS
             > context.settings().storeLimits().maxTransactionChanges()) {
@@ -105,7 +105,7 @@
     int size = range.record().size();
     int tail = 0;
     while (tail < size
-        && range.isNowhere(size - 1 - tail)
+        && range.isWaitingWithoutFailure(size - 1 - tail)
         && !workers.hasDuplicate(range, size - 1 - tail)) {
       tail++;
     }
@@ -171,9 +171,9 @@
         committed -> {
           writing = false;
           if (committed) {
-            ranges.progress().endWrite(range);
+            ranges.progressWriter().endWrite(range);
           } else {
-            ranges.progress().settleReassignment(range, moving);
+            ranges.progressWriter().settleReassignment(range, moving);
           }
         });
   }
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -59,7 +59,7 @@
   List<QueuedGroup<WaitingTasks>> collect(long nowMs) {
     List<QueuedGroup<WaitingTasks>> groups = new ArrayList<>();
     for (TaskRange range : ranges.all()) {
-      if (range.spec() == null || range.waiting() == 0 || !mayStart(range)) {
+      if (range.spec() == null || range.waitingCount() == 0 || !mayStart(range)) {
         continue;
       }
       if (range.spec().kind() == JobSpec.Kind.GANG) {
@@ -73,7 +73,7 @@
   }
 
   private boolean mayStart(TaskRange range) {
-    if (ranges.blocked(range)) {
+    if (ranges.mayHaveUnreportedTasks(range)) {
       policy.countRefusal(StartRefusal.MACHINES_UNRESOLVED);
       return false;
     }
@@ -88,7 +88,7 @@
               new WaitingTasks(range, WaitingTasks.NEVER_PLACED),
               spec.priority(),
               selectivePreemption.score(spec.estimateS(), waitedS(range, nowMs)),
-              range.waiting()));
+              range.waitingCount()));
     } else {
 
       // A task of the gang was lost, and the others cannot continue without it.
@@ -108,7 +108,7 @@
   private void collectNeverPlaced(
       TaskRange range, long nowMs, List<QueuedGroup<WaitingTasks>> groups) {
     JobSpec spec = range.spec();
-    int count = range.fresh().cardinality();
+    int count = range.freshOffsets().cardinality();
     if (count > 0 && isOverdue(range, nowMs)) {
       count--;
       groups.add(
@@ -124,7 +124,7 @@
               new WaitingTasks(range, WaitingTasks.NEVER_PLACED),
               spec.priority(),
               selectivePreemption.score(
-                  spec.estimateS(), scoredWaitS(range, range.waitingSince(), nowMs)),
+                  spec.estimateS(), scoredWaitS(range, range.waitingSinceMs(), nowMs)),
               count));
     }
   }
@@ -134,13 +134,13 @@
     for (var entry : range.retries().int2ObjectEntrySet()) {
       Retry retry = entry.getValue();
       int offset = entry.getIntKey();
-      if (retry.notBefore() <= nowMs && !workers.hasDuplicate(range, offset)) {
+      if (retry.notBeforeMs() <= nowMs && !workers.hasDuplicate(range, offset)) {
         groups.add(
             new QueuedGroup<>(
                 new WaitingTasks(range, offset),
                 spec.priority(),
                 selectivePreemption.score(
-                    spec.estimateS(), scoredWaitS(range, retry.waitingSince(), nowMs)),
+                    spec.estimateS(), scoredWaitS(range, retry.waitingSinceMs(), nowMs)),
                 1));
       }
     }
@@ -153,14 +153,14 @@
   private boolean isOverdue(TaskRange range, long nowMs) {
     return range.placed().isEmpty()
         && range.retries().isEmpty()
-        && range.finished().isEmpty()
+        && range.finishedOffsets().isEmpty()
         && range.record().done().isEmpty()
-        && nowMs - range.waitingSince() > context.shortestBootS() * 1000 * OVERDUE_BOOTS
+        && nowMs - range.waitingSinceMs() > context.shortestBootS() * 1000 * OVERDUE_BOOTS
         && context.stateCache().rangesOf(range.key().job()).firstKey() == range.key().index();
   }
 
   private static double waitedS(TaskRange range, long nowMs) {
-    return (nowMs - range.waitingSince()) / 1000.0;
+    return (nowMs - range.waitingSinceMs()) / 1000.0;
   }
 
   /**
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTasks.java
@@ -28,13 +28,15 @@
    * Returns the offset within the range of the task that is placed next; negative if none is left.
    */
   int firstOffset() {
-    return hasNeverBeenPlaced() ? range.fresh().nextSetBit(0) : offset;
+    return hasNeverBeenPlaced() ? range.freshOffsets().nextSetBit(0) : offset;
   }
 
   /** Returns for how many seconds the tasks have waited. */
   double waitedS(long nowMs) {
     long sinceMs =
-        hasNeverBeenPlaced() ? range.waitingSince() : range.retries().get(offset).waitingSince();
+        hasNeverBeenPlaced()
+            ? range.waitingSinceMs()
+            : range.retries().get(offset).waitingSinceMs();
     return (nowMs - sinceMs) / 1000.0;
   }
 }
--- a/src/main/java/org/fieldtrestle/shard/ShardLeader.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLeader.java
@@ -204,7 +204,7 @@
           .metrics()
           .eventLoopMeter
           .run(Activity.FLEET_SIZING, () -> components.autoscaler.tick(nowMs));
-      components.ranges.progress().writeDue(components.ranges.all(), nowMs);
+      components.ranges.progressWriter().writeDue(components.ranges.all(), nowMs);
       components.rangeReassignment.tick(nowMs);
       shardLog.logSummary(nowMs);
       placementScheduler.request();
@@ -273,7 +273,7 @@
       if (worker.isUp() && !worker.isDraining()) {
         up++;
         silent +=
-            components.workers.silentFor(worker, context.nowMs()) > silenceThresholdMs ? 1 : 0;
+            components.workers.silentForMs(worker, context.nowMs()) > silenceThresholdMs ? 1 : 0;
       }
     }
     return new LeadershipTransfer.WorkerReachability(up, silent);
@@ -300,7 +300,7 @@
         name(),
         epoch(),
         components.ranges.waitingCpus(),
-        components.workers.capacity(),
+        components.workers.capacityCpus(),
         freeCapacity);
   }
 
--- a/src/main/java/org/fieldtrestle/state/StoreFollower.java
+++ b/src/main/java/org/fieldtrestle/state/StoreFollower.java
@@ -88,7 +88,7 @@
    * every change since then.
    */
   private final class Reload {
-    private final long startedAtMs = reactor.now();
+    private final long startedAtMs = reactor.nowMs();
     private final Set<String> listedKeys = new HashSet<>();
     private String lastKey = "";
     private long firstRevision = -1;
@@ -145,7 +145,7 @@
       return;
     }
     watching = true;
-    watchSentAtMs = reactor.now();
+    watchSentAtMs = reactor.nowMs();
     store.watch(StateKeys.LIVE_PREFIX, cache.appliedRevision(), watchWaitMs, this::watchEnded);
   }
 
@@ -167,7 +167,7 @@
     failedWatches = 0;
     events.events().forEach(cache::apply);
     cache.advance(events.revision(), watchSentAtMs);
-    long pauseMs = Math.max(0, watchSentAtMs + watchIntervalMs - reactor.now());
+    long pauseMs = Math.max(0, watchSentAtMs + watchIntervalMs - reactor.nowMs());
     reactor.schedule(pauseMs, this::watch);
   }
 
@@ -183,7 +183,7 @@
    */
   private void watchFailed() {
     failedWatches++;
-    boolean stale = reactor.now() - cache.freshAsOfMs() > staleAfterMs();
+    boolean stale = reactor.nowMs() - cache.freshAsOfMs() > staleAfterMs();
     if (failedWatches >= MAX_FAILED_WATCHES && stale) {
       LOG.atWarn()
           .addKeyValue("fromRevision", cache.appliedRevision())
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -161,7 +161,7 @@
             -1);
     return new JobRecord(
         spec,
-        context.reactor().wall(),
+        context.reactor().wallClockMs(),
         null,
         List.of(new InitialRange(LABEL, epoch, 0, TASKS, Map.of())));
   }
@@ -228,7 +228,8 @@
         range().placed().values().stream()
             .map(
                 task ->
-                    new TaskStatus(task.task(), task.attempt(), TaskState.RUNNING, ExitCause.NONE))
+                    new TaskStatus(
+                        task.task(), task.attemptNumber(), TaskState.RUNNING, ExitCause.NONE))
             .toList());
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -145,7 +145,7 @@
           onAnswer(job, response, sentAtMs);
           if (!endedJobs.contains(job.id())) {
             boolean keepsConnection =
-                response.status() > 0 && !response.close() && cluster.isReady(label);
+                response.status() > 0 && !response.closeConnection() && cluster.isReady(label);
             time.after(
                 QUERY_INTERVAL_MS, () -> poll(job, keepsConnection ? label : anyReadyController()));
           }
