--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -65,7 +65,7 @@
         SimulatedCluster.builder()
             .seed(offsetMs + 1)
             .machines(MACHINES)
-            .deployment(Deployment.timberFleet())
+            .deployment(Deployment.largeWithLongIntervals())
             .start();
     cluster.network.limitAnswers(HttpClient.MAX_RESPONSE);
     List<SimulatedJob> jobs = submitJobs(cluster);
--- a/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
@@ -77,11 +77,11 @@
             new Settings.Team("open", 16, 0, 0, 0)),
         List.of(new Settings.Objective("wait", "rush", 0.9, 1, 5)),
         new Settings.WorkerTiming(
-            deployment.heartbeatIntervalsMs() / 1000.0,
+            deployment.heartbeatIntervalMs() / 1000.0,
             deployment.leaseMs() / 1000.0,
             deployment.cancelMs() / 1000.0),
-        deployment.state(),
-        deployment.cloud(),
-        deployment.limits());
+        deployment.keyValueStoreLimits(),
+        deployment.cloudLimits(),
+        deployment.processLimits());
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/Deployment.java
+++ b/src/test/java/org/fieldtrestle/simulation/Deployment.java
@@ -4,25 +4,34 @@
 import org.fieldtrestle.config.Settings;
 
 /**
- * The figures of a deployment, as the settings of its controllers name them.
+ * The timing and the limits of a deployment. The settings of its controllers are built from them.
  *
- * @param listPage most entries of a page that the key-value store lists
- * @param limited whether the key-value store refuses what goes beyond its limits
+ * @param heartbeatIntervalMs interval between two heartbeats of a worker, in milliseconds
+ * @param leaseMs duration of a worker's lease, in milliseconds
+ * @param cancelMs time within which all tasks of a cancelled job must be gone, in milliseconds
+ * @param keyValueStoreLimits limits of the key-value store
+ * @param cloudLimits limits of the cloud
+ * @param processLimits limits of a controller process
+ * @param maxListEntries maximum number of entries on a page that the key-value store lists
+ * @param enforcesLimits whether the simulated key-value store refuses requests beyond its limits
  */
 record Deployment(
-    long heartbeatIntervalsMs,
+    long heartbeatIntervalMs,
     long leaseMs,
     long cancelMs,
-    Settings.KeyValueStoreLimits state,
-    Settings.CloudLimits cloud,
-    Settings.ProcessLimits limits,
-    int listPage,
-    boolean limited) {
+    Settings.KeyValueStoreLimits keyValueStoreLimits,
+    Settings.CloudLimits cloudLimits,
+    Settings.ProcessLimits processLimits,
+    int maxListEntries,
+    boolean enforcesLimits) {
 
-  /** A few machines; pages are small, so that every reading takes several. */
-  static Deployment small(long heartbeatIntervalsMs, long leaseMs, long cancelMs) {
+  /**
+   * Returns a deployment for a few machines. Its list pages are small, so that every listing of the
+   * key-value store takes several pages.
+   */
+  static Deployment small(long heartbeatIntervalMs, long leaseMs, long cancelMs) {
     return new Deployment(
-        heartbeatIntervalsMs,
+        heartbeatIntervalMs,
         leaseMs,
         cancelMs,
         new Settings.KeyValueStoreLimits(200, 40, 8, 32),
@@ -33,17 +42,18 @@
   }
 
   /**
-   * A few machines under the figures of the two large deployments and of a small one. In the first
-   * and the last a controller may act for longer without word of the key-value store than its
-   * workers' lease; in the second for less.
+   * Returns deployments for a few machines with the timing of {@link #largeWithShortIntervals}, of
+   * {@link #largeWithLongIntervals} and of {@link #largeWithSmallControllers}, in this order. In
+   * the first and the last, a controller may act without an answer of the key-value store for
+   * longer than its workers' lease; in the second, only for a shorter time.
    */
   static List<Deployment> smallOfEachKind() {
     return List.of(
         small(4000, 22_000, 52_000), small(6000, 34_000, 64_000), small(2500, 16_000, 46_000));
   }
 
-  /** Payroll on a large fleet: short heartbeat intervals, many requests allowed. */
-  static Deployment payrollFleet() {
+  /** Returns a large deployment with short heartbeat intervals and high request rates. */
+  static Deployment largeWithShortIntervals() {
     return large(
         4000,
         22_000,
@@ -52,8 +62,8 @@
         new Settings.ProcessLimits(0.323, 414, 2868));
   }
 
-  /** Timber stock on a large fleet: long heartbeat intervals, few requests allowed. */
-  static Deployment timberFleet() {
+  /** Returns a large deployment with long heartbeat intervals and low request rates. */
+  static Deployment largeWithLongIntervals() {
     return large(
         6000,
         34_000,
@@ -62,8 +72,8 @@
         new Settings.ProcessLimits(0.289, 414, 2148));
   }
 
-  /** Payroll with the smallest controllers. */
-  static Deployment payrollLean() {
+  /** Returns a large deployment whose controllers have the smallest process limits. */
+  static Deployment largeWithSmallControllers() {
     return large(
         2500,
         16_000,
@@ -73,32 +83,36 @@
   }
 
   private static Deployment large(
-      long heartbeatIntervalsMs,
+      long heartbeatIntervalMs,
       long leaseMs,
       long cancelMs,
-      Settings.KeyValueStoreLimits state,
-      Settings.ProcessLimits limits) {
+      Settings.KeyValueStoreLimits keyValueStoreLimits,
+      Settings.ProcessLimits processLimits) {
     return new Deployment(
-        heartbeatIntervalsMs,
+        heartbeatIntervalMs,
         leaseMs,
         cancelMs,
-        state,
+        keyValueStoreLimits,
         new Settings.CloudLimits(4, 6),
-        limits,
+        processLimits,
         1000,
         true);
   }
 
-  Deployment withStateRequests(double perSecond) {
+  /** Returns a copy with another limit on the requests to the key-value store. */
+  Deployment withKeyValueStoreRequests(double perSecond) {
     return new Deployment(
-        heartbeatIntervalsMs,
+        heartbeatIntervalMs,
         leaseMs,
         cancelMs,
         new Settings.KeyValueStoreLimits(
-            perSecond, state.changesPerS(), state.maxValueKb(), state.maxTransactionChanges()),
-        cloud,
-        limits,
-        listPage,
-        limited);
+            perSecond,
+            keyValueStoreLimits.changesPerS(),
+            keyValueStoreLimits.maxValueKb(),
+            keyValueStoreLimits.maxTransactionChanges()),
+        cloudLimits,
+        processLimits,
+        maxListEntries,
+        enforcesLimits);
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -35,7 +35,7 @@
         SimulatedCluster.builder()
             .seed(5)
             .machines(60)
-            .deployment(Deployment.timberFleet())
+            .deployment(Deployment.largeWithLongIntervals())
             .start();
     for (int i = 0; i < JOBS; i++) {
       int number = i;
@@ -89,7 +89,11 @@
   @Test
   void readSentBeforeAnAcceptanceDoesNotAnswerLaterQueries() {
     SimulatedCluster cluster =
-        SimulatedCluster.builder().seed(7).machines(4).deployment(Deployment.timberFleet()).start();
+        SimulatedCluster.builder()
+            .seed(7)
+            .machines(4)
+            .deployment(Deployment.largeWithLongIntervals())
+            .start();
     cluster.time.runUntil(20_000);
     cluster.delayStoreAnswers(
         (label, path, body) -> label.equals("trestle-0") && path.startsWith("/kv") ? 1000 : 0);
@@ -188,7 +192,11 @@
   @Test
   void queryIsAnsweredByAWatchWhenItsOwnRequestIsLate() {
     SimulatedCluster cluster =
-        SimulatedCluster.builder().seed(7).machines(4).deployment(Deployment.timberFleet()).start();
+        SimulatedCluster.builder()
+            .seed(7)
+            .machines(4)
+            .deployment(Deployment.largeWithLongIntervals())
+            .start();
     cluster.users.submit("job-77", job -> job.runMs(60_000));
     cluster.time.runUntil(20_000);
     cluster.delayStoreAnswers((label, path, body) -> comparison(path, body) ? 10_000 : 0);
@@ -206,7 +214,11 @@
   @Test
   void controllerWhoseWatchesAreLateClosesConnectionsOfUsers() {
     SimulatedCluster cluster =
-        SimulatedCluster.builder().seed(7).machines(4).deployment(Deployment.timberFleet()).start();
+        SimulatedCluster.builder()
+            .seed(7)
+            .machines(4)
+            .deployment(Deployment.largeWithLongIntervals())
+            .start();
     cluster.users.submit("job-77", job -> job.runMs(60_000));
     cluster.time.runUntil(20_000);
     cluster.delayStoreAnswers(
@@ -231,12 +243,13 @@
         SimulatedCluster.builder()
             .seed(7)
             .machines(30)
-            .deployment(Deployment.payrollFleet())
+            .deployment(Deployment.largeWithShortIntervals())
             .start();
     SimulatedJob job = cluster.users.define("job-77", one -> one.tasks(300));
     ObjectNode body = (ObjectNode) Json.parseOrEmpty(job.body());
     ArrayNode types = body.putArray("rigs").add("big");
-    int room = (int) (cluster.deployment().state().maxValueKb() * 1024) - ONE_RANGE_BYTES;
+    int room =
+        (int) (cluster.deployment().keyValueStoreLimits().maxValueKb() * 1024) - ONE_RANGE_BYTES;
     while (Json.bytes(body).length + LONG_NAME_BYTES < room) {
       types.add("x".repeat(LONG_NAME_BYTES));
     }
--- a/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
@@ -89,7 +89,7 @@
       cluster.time.after(i * 300L, () -> submit(cluster, "job-" + number, 1, 2500));
     }
     cluster.time.runUntil(200_000);
-    cluster.changeDeployment(cluster.deployment().withStateRequests(70));
+    cluster.changeDeployment(cluster.deployment().withKeyValueStoreRequests(70));
     cluster
         .labels()
         .forEach(label -> cluster.faults.kill(label, 300)); // so that they forget how jobs ended
--- a/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
@@ -34,17 +34,17 @@
 
   @Test
   void everyJobIsAnsweredAfterFaultsOfATimberFleet() {
-    play(Deployment.timberFleet());
+    play(Deployment.largeWithLongIntervals());
   }
 
   @Test
   void everyJobIsAnsweredAfterFaultsOfAPayrollFleet() {
-    play(Deployment.payrollFleet());
+    play(Deployment.largeWithShortIntervals());
   }
 
   @Test
   void everyJobIsAnsweredAfterFaultsOfTheSmallestControllers() {
-    play(Deployment.payrollLean());
+    play(Deployment.largeWithSmallControllers());
   }
 
   private static void play(Deployment deployment) {
--- a/src/test/java/org/fieldtrestle/simulation/RealControllers.java
+++ b/src/test/java/org/fieldtrestle/simulation/RealControllers.java
@@ -131,7 +131,7 @@
         fd_limit = 3000
         """
         .formatted(
-            deployment.heartbeatIntervalsMs() / 1000.0,
+            deployment.heartbeatIntervalMs() / 1000.0,
             deployment.leaseMs() / 1000.0,
             deployment.cancelMs() / 1000.0);
   }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
@@ -64,7 +64,7 @@
       long seed, int machines, Deployment deployment, IntFunction<String> workerAddress) {
     this.workerAddress = workerAddress;
     this.deployment = deployment;
-    this.heartbeatIntervalMs = deployment.heartbeatIntervalsMs();
+    this.heartbeatIntervalMs = deployment.heartbeatIntervalMs();
     this.leaseMs = deployment.leaseMs();
     this.cancelMs = deployment.cancelMs();
     time = new SimulatedTime(new SplittableRandom(seed));
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
@@ -32,8 +32,8 @@
   SimulatedKeyValueStore(SimulatedTime time, Deployment deployment) {
     this.time = time;
     this.deployment = deployment;
-    this.requestLimit = new RateLimit(deployment.state().requestsPerS());
-    this.writeLimit = new RateLimit(deployment.state().changesPerS());
+    this.requestLimit = new RateLimit(deployment.keyValueStoreLimits().requestsPerS());
+    this.writeLimit = new RateLimit(deployment.keyValueStoreLimits().changesPerS());
     this.watches = new StoreWatches(time, keys, () -> outageUntilMs - time.now());
     this.leases = new StoreLeases(time, this::isDown, this::removeKeysOf);
   }
@@ -158,7 +158,7 @@
   }
 
   private boolean exceeds(RateLimit limit, double amount) {
-    boolean refused = deployment.limited() && !limit.allows(time.now(), amount);
+    boolean refused = deployment.enforcesLimits() && !limit.allows(time.now(), amount);
     refusedForLimits += refused ? 1 : 0;
     return refused;
   }
@@ -188,7 +188,7 @@
   }
 
   private Http.Response list(Map<String, String> query) {
-    int maxEntries = Math.min(deployment.listPage(), Integer.parseInt(query.get("most")));
+    int maxEntries = Math.min(deployment.maxListEntries(), Integer.parseInt(query.get("most")));
     return answer(200, keys.page(query.get("prefix"), query.get("from"), maxEntries));
   }
 
@@ -252,11 +252,11 @@
         return "no such lease";
       }
       if (change.path("v").toString().getBytes(StandardCharsets.UTF_8).length
-          > deployment.state().maxValueKb() * BYTES_PER_KB) {
+          > deployment.keyValueStoreLimits().maxValueKb() * BYTES_PER_KB) {
         return "too large";
       }
     }
-    int maxChanges = deployment.state().maxTransactionChanges();
+    int maxChanges = deployment.keyValueStoreLimits().maxTransactionChanges();
     boolean tooMany =
         body.path("apply").size() > maxChanges
             || body.path("when").size() > CONDITIONS_PER_CHANGE * maxChanges;
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
@@ -37,7 +37,7 @@
 
   /** Starts a key-value store, with nothing in it. */
   public void serveState() {
-    state = new SimulatedKeyValueStore(time, Deployment.timberFleet());
+    state = new SimulatedKeyValueStore(time, Deployment.largeWithLongIntervals());
     serve(STATE_ADDRESS, state);
   }
 
@@ -66,9 +66,9 @@
         List.of(new Settings.Team("open", 16, 0, 0, 0)),
         List.of(),
         new Settings.WorkerTiming(6, 34, 64),
-        Deployment.timberFleet().state(),
-        Deployment.timberFleet().cloud(),
-        Deployment.timberFleet().limits());
+        Deployment.largeWithLongIntervals().keyValueStoreLimits(),
+        Deployment.largeWithLongIntervals().cloudLimits(),
+        Deployment.largeWithLongIntervals().processLimits());
   }
 
   /** Lets simulated time pass. */
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -67,7 +67,7 @@
         SimulatedCluster.builder()
             .seed(seed)
             .machines(machines)
-            .deployment(Deployment.timberFleet())
+            .deployment(Deployment.largeWithLongIntervals())
             .start();
     this.steps = new StepObserver(cluster.time, listener);
     cluster.observeMessages(steps);
