--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -59,7 +59,7 @@
    */
   @Test
   void shardAcquiredByAnotherBeforeTheAnswerArrivesIsNotLed() {
-    network.serveState();
+    network.serveKeyValueStore();
     Settings settings = network.settings(LABEL);
     KeyValueClient store = new KeyValueClient(reactor, callerWithDelayedCommits(), settings);
     StateCache stateCache = new StateCache(reactor, store, settings);
@@ -68,7 +68,7 @@
     network.runFor(500);
     membership.start(new EpochRecorder());
     network.runFor(ANSWER_DELAY_MS / 2);
-    network.writeState(StateKeys.shard(LABEL), RecordCodec.encode(new ShardRecord("trestle-1")));
+    network.writeKey(StateKeys.shard(LABEL), RecordCodec.encode(new ShardRecord("trestle-1")));
     network.runFor(ANSWER_DELAY_MS / 4);
     long otherLeadersEpoch = stateCache.version(StateKeys.shard(LABEL));
     network.runFor(ANSWER_DELAY_MS);
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderDecisionTest.java
@@ -98,7 +98,7 @@
   @Test
   void noHeartbeatIsAcknowledgedOnceTheStateCacheIsTooOld() {
     fixture.reconcile();
-    fixture.network.stateOutage(60_000);
+    fixture.network.startKeyValueStoreOutage(60_000);
     fixture.network.runFor(fixture.context.settings().controllerLeaseMs() / 2);
     assertEquals(200, fixture.heartbeat().status());
     fixture.network.runFor(fixture.context.settings().controllerLeaseMs() / 2);
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -80,7 +80,7 @@
 
   /** Creates the shard leader, which is active, knows its worker, and has placed no task yet. */
   public ShardLeaderFixture() {
-    network.serveState();
+    network.serveKeyValueStore();
     network.serve(SimulatedNetwork.CLOUD_ADDRESS, ShardLeaderFixture::answerCloudRequest);
     Settings settings = network.settings(LABEL);
     Reactor reactor = network.reactor();
@@ -168,7 +168,7 @@
 
   /** Writes a key in the key-value store and waits until the state cache contains the value. */
   void write(String key, JsonNode value) {
-    network.writeState(key, value);
+    network.writeKey(key, value);
     network.runFor(STEP_MS);
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
@@ -10,14 +10,14 @@
 
 /** A network without faults and its time, for tests of other packages. */
 public final class SimulatedNetwork {
-  public static final String STATE_ADDRESS = "10.2.0.1:2379";
+  public static final String KEY_VALUE_STORE_ADDRESS = "10.2.0.1:2379";
   public static final String CLOUD_ADDRESS = "10.2.0.2:8443";
   private static final String ZONE = "a";
   private static final int OTHER_CONTROLLERS = 2;
 
   private final SimulatedTime time = new SimulatedTime(new SplittableRandom(1));
-  private final FaultyNetwork net = new FaultyNetwork(time);
-  private SimulatedKeyValueStore state;
+  private final FaultyNetwork network = new FaultyNetwork(time);
+  private SimulatedKeyValueStore keyValueStore;
 
   /** The reactor of a process whose clocks are exact. */
   public Reactor reactor() {
@@ -27,28 +27,28 @@
   /** Calls what is served here. */
   public Http.Caller caller() {
     return (address, method, path, body, timeoutMs, done) ->
-        net.call(ZONE, () -> true, address, method, path, body, timeoutMs, done);
+        network.call(ZONE, () -> true, address, method, path, body, timeoutMs, done);
   }
 
   /** Hands requests to an address to a handler. */
   public void serve(String address, Http.Handler handler) {
-    net.serve(address, ZONE, handler);
+    network.serve(address, ZONE, handler);
   }
 
   /** Starts a key-value store, with nothing in it. */
-  public void serveState() {
-    state = new SimulatedKeyValueStore(time, Deployment.largeWithLongIntervals());
-    serve(STATE_ADDRESS, state);
+  public void serveKeyValueStore() {
+    keyValueStore = new SimulatedKeyValueStore(time, Deployment.largeWithLongIntervals());
+    serve(KEY_VALUE_STORE_ADDRESS, keyValueStore);
   }
 
   /** Writes a key at the key-value store, as another controller would. */
-  public void writeState(String key, JsonNode value) {
-    state.overwrite(key, value);
+  public void writeKey(String key, JsonNode value) {
+    keyValueStore.overwrite(key, value);
   }
 
   /** For a while the key-value store answers nobody. */
-  public void stateOutage(long ms) {
-    state.outage(ms);
+  public void startKeyValueStoreOutage(long ms) {
+    keyValueStore.outage(ms);
   }
 
   /** The settings of a controller of a large fleet here. */
@@ -60,7 +60,7 @@
         "10.0.0.1:1",
         Collections.nCopies(OTHER_CONTROLLERS, new Settings.Peer("other", ZONE, "10.0.0.2:1")),
         CLOUD_ADDRESS,
-        STATE_ADDRESS,
+        KEY_VALUE_STORE_ADDRESS,
         List.of(ZONE),
         0,
         List.of(new Settings.Team("open", 16, 0, 0, 0)),
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -119,7 +119,7 @@
 
   @Test
   void theFenceClosesWithoutAnswersOfTheKeyValueStore() {
-    fixture.network.stateOutage(60_000);
+    fixture.network.startKeyValueStoreOutage(60_000);
     fixture.network.runFor(fixture.context.settings().controllerLeaseMs() + 1000);
     assertEquals(StartRefusal.FENCE_CLOSED, policy.startRefusal(range));
     assertFalse(policy.mayAcknowledge());
