--- a/src/test/java/org/fieldtrestle/simulation/AnswerInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/AnswerInvariants.java
@@ -40,7 +40,7 @@
   void onAccepted(String jobId) {
     accepted.add(jobId);
     SimulatedJob job = cluster.jobs.get(jobId);
-    if (job != null && job.unsatisfiable()) {
+    if (job != null && job.isUnsatisfiable()) {
       violations.add("accepted_hopeless", jobId);
     }
   }
--- a/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
@@ -40,14 +40,14 @@
     cluster.invariants.checkEndOfDay();
     assertEquals(List.of(), cluster.invariants.violations(), where);
     cluster.jobs.values().stream()
-        .filter(job -> !job.unsatisfiable())
+        .filter(job -> !job.isUnsatisfiable())
         .forEach(job -> assertTrue(hasEnded(cluster, job), job.id() + " ends; " + where));
   }
 
   private static boolean isOver(SimulatedCluster cluster) {
     return cluster.time.now() > cluster.faults.endMs() + cluster.cancelMs
         && cluster.jobs.values().stream()
-            .allMatch(job -> job.unsatisfiable() || hasEnded(cluster, job));
+            .allMatch(job -> job.isUnsatisfiable() || hasEnded(cluster, job));
   }
 
   static boolean hasEnded(SimulatedCluster cluster, SimulatedJob job) {
--- a/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
@@ -177,8 +177,8 @@
     List<SimulatedWorker> lost =
         cluster.cloud.machines.values().stream().filter(m -> m.reportsTo().equals(label)).toList();
     // All machines of one shard end, and the cloud has no more to give.
-    cluster.cloud.limit(cluster.cloud.machines.size() - lost.size());
-    lost.forEach(SimulatedWorker::die);
+    cluster.cloud.setCapacity(cluster.cloud.machines.size() - lost.size());
+    lost.forEach(SimulatedWorker::fail);
     cluster.time.runUntil(65_000);
     int left = runningLongTasks(cluster);
     assertTrue(left > 0 && left < 18, "some of the long ones are lost: " + left);
@@ -205,7 +205,7 @@
                 () -> new AssertionError("a controller has two machines, one of them with room"));
     String task = restart.task();
     SimulatedWorker next = restart.to();
-    restart.from().die();
+    restart.from().fail();
     next.startForFormerLeader(task, 1);
     // It reports the task, but cannot be told to stop it until its lease has expired.
     next.faults.deafen(60_000);
--- a/src/test/java/org/fieldtrestle/simulation/DemandTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/DemandTest.java
@@ -30,7 +30,7 @@
             int starts = cluster.invariants.starts();
             cluster.machines().stream()
                 .filter(machine -> machine.zone.equals(zone))
-                .forEach(SimulatedWorker::die);
+                .forEach(SimulatedWorker::fail);
             if (i == 1) {
               cluster.faults.kill("trestle-1", 30_000);
             }
--- a/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
@@ -63,7 +63,7 @@
     // Hundreds of questions a second, most about jobs that nobody submitted.
     for (int i = 0; i < 8000; i++) {
       String id = i % 5 == 0 ? "job-1" : "job-" + (100_000 + i);
-      cluster.time.after(i * 3L, () -> cluster.users.ask(id));
+      cluster.time.after(i * 3L, () -> cluster.users.query(id));
     }
     for (int i = 0; i < 30; i++) {
       int number = 10 + i;
@@ -96,7 +96,7 @@
     cluster.time.runUntil(206_000);
     for (int i = 0; i < 10_000; i++) {
       String unknown = "job-" + (1_000_000 + i);
-      cluster.time.after(i * 10L, () -> cluster.users.ask(unknown));
+      cluster.time.after(i * 10L, () -> cluster.users.query(unknown));
     }
     cluster.time.runUntil(320_000);
     assertNoViolations(cluster);
--- a/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
@@ -93,7 +93,7 @@
           cancelElsewhere(cluster, leader, jobs.subList(0, 3), 4000);
           cluster.store.outage(cluster.cancelMs + 12_000);
           for (int i = 0; i < 30; i++) {
-            cluster.users.ask(jobs.get(i % 5).id());
+            cluster.users.query(jobs.get(i % 5).id());
             if (i == 10) {
               cluster.users.cancel(jobs.get(3));
             }
@@ -157,7 +157,7 @@
           cluster.users.cancelAtEnd(0);
           jobs.forEach(cluster.users::submitAgain);
           jobs.forEach(cluster.users::cancel);
-          jobs.forEach(job -> cluster.users.ask(job.id()));
+          jobs.forEach(job -> cluster.users.query(job.id()));
           cluster.runFor(20_000);
           jobs.forEach(
               job -> assertEquals(ends.get(job.id()), cluster.store.finishedRecordOf(job.id())));
--- a/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
@@ -62,7 +62,7 @@
 
   /** How long ago a job was submitted, faults aside. */
   private long waitedMs(SimulatedJob job) {
-    return cluster.time.now() - job.submittedAtMs() - (faultsSoFarMs - job.faultsBeforeMs());
+    return cluster.time.now() - job.submittedAtMs() - (faultsSoFarMs - job.faultDurationBeforeMs());
   }
 
   /** Counts the time since the last check if there were faults. */
@@ -77,7 +77,7 @@
     cluster.cloud.machines.values().forEach(machine -> machine.addTasksTo(held));
     for (String jobId : answers.accepted()) {
       SimulatedJob job = cluster.jobs.get(jobId);
-      if (job == null || job.unsatisfiable() || !waitsBesideRoom(job, held)) {
+      if (job == null || job.isUnsatisfiable() || !waitsBesideRoom(job, held)) {
         besideRoomSinceMs.remove(jobId);
       } else {
         checkWaiting(jobId);
@@ -99,7 +99,7 @@
 
   /** Whether a task of the job is nowhere though a machine that fits has room for it. */
   private boolean waitsBesideRoom(SimulatedJob job, Set<String> held) {
-    if (job.failing()
+    if (job.isFailing()
         || AnswerInvariants.isFinal(answers.lastStage(job.id()))
         || cluster.users.hasCancelled(job.id())
         || !hasWaitingTask(job, held)
@@ -140,7 +140,7 @@
     Map<String, List<SimulatedJob>> groups = new HashMap<>();
     List<SimulatedJob> all = new ArrayList<>();
     for (SimulatedJob job : cluster.jobs.values()) {
-      if (!job.unsatisfiable() && !job.failing() && !cluster.users.hasCancelled(job.id())) {
+      if (!job.isUnsatisfiable() && !job.isFailing() && !cluster.users.hasCancelled(job.id())) {
         all.add(job);
         groups.computeIfAbsent("team " + job.team(), team -> new ArrayList<>()).add(job);
         groups.computeIfAbsent("class " + job.jobClass(), name -> new ArrayList<>()).add(job);
--- a/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
@@ -193,7 +193,7 @@
   }
 
   private void loseMachine() {
-    machine.ifPresent(SimulatedWorker::die);
+    machine.ifPresent(SimulatedWorker::fail);
   }
 
   /** The cloud takes many spot machines back without notice. */
--- a/src/test/java/org/fieldtrestle/simulation/RandomHistoriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomHistoriesTest.java
@@ -68,7 +68,7 @@
               cluster.users.cancel(jobs.get((int) time.between(0, jobs.size() - 1)));
             }
           });
-      time.after(time.between(20_000, 180_000), () -> cluster.users.ask("job-999999"));
+      time.after(time.between(20_000, 180_000), () -> cluster.users.query("job-999999"));
     }
     time.after(
         230_000,
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
@@ -41,7 +41,7 @@
   }
 
   /** Sets how many machines there can be at a time. */
-  void limit(int machineCount) {
+  void setCapacity(int machineCount) {
     capacity = machineCount;
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedJob.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedJob.java
@@ -23,7 +23,7 @@
   private boolean unsatisfiable;
   private byte[] body;
   private long submittedAtMs;
-  private long faultsBeforeMs;
+  private long faultDurationBeforeMs;
 
   SimulatedJob(String id) {
     this.id = id;
@@ -150,7 +150,7 @@
     return this;
   }
 
-  boolean failing() {
+  boolean isFailing() {
     return failing;
   }
 
@@ -171,7 +171,7 @@
   }
 
   /** Whether it can never run, or lacks a field, so that it must not be accepted. */
-  boolean unsatisfiable() {
+  boolean isUnsatisfiable() {
     return unsatisfiable;
   }
 
@@ -204,14 +204,14 @@
   }
 
   /** For how long there had been faults when it was submitted. */
-  long faultsBeforeMs() {
-    return faultsBeforeMs;
+  long faultDurationBeforeMs() {
+    return faultDurationBeforeMs;
   }
 
   /** Fixes its description and when it is submitted. */
   void describe(long nowMs, long faultsSoFarMs) {
     submittedAtMs = nowMs;
-    faultsBeforeMs = faultsSoFarMs;
+    faultDurationBeforeMs = faultsSoFarMs;
     body = Json.bytes(description());
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
@@ -108,7 +108,7 @@
   }
 
   /** The machines in the inventories of all shards. */
-  List<String> inventories() {
+  List<String> machinesInInventories() {
     List<String> machines = new ArrayList<>();
     for (VersionedKeys.Versioned part : keys.withPrefix("ft/live/roster/").values()) {
       for (JsonNode group : part.value().path("groups")) {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
@@ -146,7 +146,7 @@
   /** Called when the last task of a job is done. */
   void lastTaskDone(SimulatedJob job) {
     if (cancelledAtEnd > 0) {
-      time.after(time.between(0, 300), () -> ask(job.id()));
+      time.after(time.between(0, 300), () -> query(job.id()));
       time.after(time.between(0, 300), () -> submitAgain(job));
       if (time.chance(cancelledAtEnd)) {
         time.after(time.between(0, 300), () -> cancel(job));
@@ -157,12 +157,12 @@
   // ---- status queries
 
   private void poll(SimulatedJob job) {
-    ask(job.id());
+    query(job.id());
     time.after(time.between(3000, 6000), () -> poll(job));
   }
 
   /** Asks about a job once. */
-  void ask(String id) {
+  void query(String id) {
     long askedAtMs = time.now();
     call(
         "GET",
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
@@ -91,7 +91,7 @@
   }
 
   /** The machine fails, and stays in the cloud's list. */
-  void die() {
+  void fail() {
     if (isAlive()) {
       tasks.stopAll();
       failed = true;
--- a/src/test/java/org/fieldtrestle/simulation/SlowControllerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/SlowControllerTest.java
@@ -112,7 +112,7 @@
     cluster.faults.note(40_000);
     for (int i = 0; i < 4000; i++) {
       String id = i % 2 == 0 ? "job-" + i % JOBS : "job-" + (1000 + i);
-      cluster.time.after(i * 8L, () -> cluster.users.ask(id));
+      cluster.time.after(i * 8L, () -> cluster.users.query(id));
     }
     cluster.time.runUntil(STEADY_MS + 20_000);
     assertTrue(
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -162,7 +162,7 @@
 
   /** Asks about a job once. */
   public void ask(String id) {
-    cluster.users.ask(id);
+    cluster.users.query(id);
   }
 
   // ---- faults; each is noted, so that checks allow for its time
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -75,7 +75,7 @@
     Map<String, Integer> checksWhileGone = new HashMap<>();
     for (long at = 76_000; at < 130_000; at += 1000) {
       cluster.time.runUntil(at);
-      Set<String> counted = new HashSet<>(cluster.store.inventories());
+      Set<String> counted = new HashSet<>(cluster.store.machinesInInventories());
       counted.removeAll(cluster.cloud.machines.keySet());
       checksWhileGone.keySet().retainAll(counted);
       for (String gone : counted) { // a return may be known a moment before it is written
--- a/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
@@ -179,7 +179,7 @@
     if (cluster.hasResult(name)) {
       return 0;
     }
-    if (worker.faults.failsTasks() || job.failing()) {
+    if (worker.faults.failsTasks() || job.isFailing()) {
       return FAILS_AFTER_MS;
     }
     return worker.faults.slowness()
@@ -192,7 +192,7 @@
       return;
     }
     Task task = tasks.get(name);
-    if (job.failing() || (worker.faults.failsTasks() && !cluster.hasResult(name))) {
+    if (job.isFailing() || (worker.faults.failsTasks() && !cluster.hasResult(name))) {
       exit(name, task, "error");
     } else {
       cluster.addResult(name);
