--- a/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
@@ -14,7 +14,7 @@
   static final List<String> LABELS = List.of("trestle-0", "trestle-1", "trestle-2");
 
   /** The zone of the key-value store, the cloud and the users. */
-  static final String REGIONAL = "regional";
+  static final String REGIONAL_ZONE = "regional";
 
   /** The worker on the machine that was rented as the n-th. */
   static final IntFunction<String> WORKER_ADDRESS =
--- a/src/test/java/org/fieldtrestle/simulation/MessageObserver.java
+++ b/src/test/java/org/fieldtrestle/simulation/MessageObserver.java
@@ -3,7 +3,7 @@
 /** Decides what becomes of each message of a controller; by default it goes on at once. */
 interface MessageObserver {
   /** The message goes on without delay. */
-  long PROMPT = 0;
+  long NO_DELAY = 0;
 
   /** In place of a delay: the message is lost, and its sender gives up at its time-out. */
   long LOST = -1;
@@ -14,7 +14,7 @@
    * @return by how many ms it is held back, or {@link #LOST}
    */
   default long beforeSending(String label, Link link, String path, byte[] body) {
-    return PROMPT;
+    return NO_DELAY;
   }
 
   /**
@@ -24,7 +24,7 @@
    * @return by how many ms it is held back, or {@link #LOST}
    */
   default long beforeAnswer(String label, Link link, String path, byte[] body) {
-    return PROMPT;
+    return NO_DELAY;
   }
 
   /**
@@ -33,6 +33,6 @@
    * @return by how many ms it is held back, or {@link #LOST}
    */
   default long beforeRequest(String label, String path) {
-    return PROMPT;
+    return NO_DELAY;
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
@@ -172,7 +172,7 @@
     long ms = time.between(20_000, 60_000);
     cluster.faults.note(ms + 10_000);
     cluster.network.partition("a", "b", ms);
-    cluster.network.partition("b", ClusterLayout.REGIONAL, ms);
+    cluster.network.partition("b", ClusterLayout.REGIONAL_ZONE, ms);
     time.after(
         ms - 500,
         () -> cluster.labels().forEach(one -> cluster.faults.kill(one, time.between(50, 400))));
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
@@ -42,15 +42,15 @@
   private final Set<String> results = new HashSet<>();
   private final Map<String, Long> heartbeatAnsweredAtMs = new HashMap<>();
   private Deployment deployment;
-  private StoreAnswers storeAnswers = (label, path, body) -> MessageObserver.PROMPT;
-  private MessageObserver messages = new MessageObserver() {};
+  private StoreAnswerDelays storeAnswerDelays = (label, path, body) -> MessageObserver.NO_DELAY;
+  private MessageObserver messageObserver = new MessageObserver() {};
   private Consumer<String> listeningObserver = label -> {};
   private int imageFetchFactor = 1;
   private int lateCommandsExecuted;
   private int copiesAnswered;
 
   /** By how much answers of the key-value store, which has acted in time, come late. */
-  interface StoreAnswers {
+  interface StoreAnswerDelays {
     /**
      * Returns the delay in ms, or {@link MessageObserver#LOST}.
      *
@@ -75,8 +75,8 @@
     invariants = new InvariantChecker(this);
     cloud = new SimulatedCloud(time, this, machines);
     network.copiesGoTo(ClusterLayout.LABELS.stream().map(ClusterLayout::address).toList());
-    network.serve(ClusterLayout.STORE_ADDRESS, ClusterLayout.REGIONAL, store);
-    network.serve(ClusterLayout.CLOUD_ADDRESS, ClusterLayout.REGIONAL, cloud);
+    network.serve(ClusterLayout.STORE_ADDRESS, ClusterLayout.REGIONAL_ZONE, store);
+    network.serve(ClusterLayout.CLOUD_ADDRESS, ClusterLayout.REGIONAL_ZONE, cloud);
   }
 
   static SimulatedClusterBuilder builder() {
@@ -232,24 +232,24 @@
 
   // ---- messages
 
-  MessageObserver messages() {
-    return messages;
+  MessageObserver messageObserver() {
+    return messageObserver;
   }
 
   void observeMessages(MessageObserver observer) {
-    messages = observer;
+    messageObserver = observer;
   }
 
-  StoreAnswers storeAnswers() {
-    return storeAnswers;
+  StoreAnswerDelays storeAnswerDelays() {
+    return storeAnswerDelays;
   }
 
-  void delayStoreAnswers(StoreAnswers delays) {
-    storeAnswers = delays;
+  void delayStoreAnswers(StoreAnswerDelays delays) {
+    storeAnswerDelays = delays;
   }
 
   void stopDelayingStoreAnswers() {
-    storeAnswers = (label, path, body) -> MessageObserver.PROMPT;
+    storeAnswerDelays = (label, path, body) -> MessageObserver.NO_DELAY;
   }
 
   /** A copy of a heartbeat arrives at a controller. */
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
@@ -124,7 +124,7 @@
 
   /** Sends a message after a delay, and not while its messages are held. */
   void sendAfter(long delayMs, Runnable message) {
-    if (delayMs == MessageObserver.PROMPT) {
+    if (delayMs == MessageObserver.NO_DELAY) {
       send(message);
     } else {
       time.after(delayMs, this::isAlive, () -> send(message));
@@ -147,13 +147,13 @@
 
   private void receive(Http.Request request, Consumer<Http.Response> reply) {
     boolean heartbeat = request.path().equals("/hello");
-    long delayMs = cluster.messages().beforeRequest(label, request.path());
+    long delayMs = cluster.messageObserver().beforeRequest(label, request.path());
     Link link = heartbeat ? Link.WORKERS : Link.USERS;
     if (delayMs == MessageObserver.LOST || cluster.faults.isDisconnected(label, link)) {
       return;
     }
     Runnable handle = () -> turn(() -> handle(request, heartbeat, reply));
-    if (delayMs == MessageObserver.PROMPT) {
+    if (delayMs == MessageObserver.NO_DELAY) {
       handle.run();
     } else {
       time.after(delayMs, this::isAlive, handle);
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
@@ -36,7 +36,7 @@
       complete(timeoutMs, time.chance(0.5) ? new Http.NotSent("timeout") : TIMED_OUT, done);
       return;
     }
-    long delayMs = cluster.messages().beforeSending(label, link, path, body);
+    long delayMs = cluster.messageObserver().beforeSending(label, link, path, body);
     if (delayMs == MessageObserver.LOST) {
       complete(timeoutMs, TIMED_OUT, done);
       return;
@@ -74,9 +74,9 @@
     String label = controller.label();
     // Open watches wait as they would in an outage.
     long refusedMs = path.startsWith("/watch") ? cluster.faults.refusedForMs(label) : 0;
-    long delayMs = cluster.messages().beforeAnswer(label, link, path, body);
-    if (link == Link.STORE && delayMs == MessageObserver.PROMPT) {
-      delayMs = cluster.storeAnswers().delayMs(label, path, body);
+    long delayMs = cluster.messageObserver().beforeAnswer(label, link, path, body);
+    if (link == Link.STORE && delayMs == MessageObserver.NO_DELAY) {
+      delayMs = cluster.storeAnswerDelays().delayMs(label, path, body);
     }
     boolean lost = delayMs == MessageObserver.LOST;
     Http.Outcome received = lost ? TIMED_OUT : outcome;
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
@@ -244,7 +244,7 @@
       long timeoutMs,
       Consumer<Http.Answer> done) {
     cluster.network.call(
-        ClusterLayout.REGIONAL,
+        ClusterLayout.REGIONAL_ZONE,
         () -> true,
         ClusterLayout.address(label),
         method,
--- a/src/test/java/org/fieldtrestle/simulation/StepObserver.java
+++ b/src/test/java/org/fieldtrestle/simulation/StepObserver.java
@@ -36,7 +36,7 @@
     return switch (link) {
       case STORE -> step(label, StepKind.STORE_REQUEST, detail(path, body));
       case WORKERS -> step(label, StepKind.COMMAND, path);
-      default -> PROMPT;
+      default -> NO_DELAY;
     };
   }
 
@@ -52,7 +52,7 @@
   @Override
   public long beforeRequest(String label, String path) {
     StepKind kind = path.equals("/hello") ? StepKind.HEARTBEAT : StepKind.USER_REQUEST;
-    return path.equals("/ready") ? PROMPT : step(label, kind, path);
+    return path.equals("/ready") ? NO_DELAY : step(label, kind, path);
   }
 
   private long step(String label, StepKind kind, String detail) {
@@ -61,7 +61,7 @@
     }
     Step step = new Step(count++, time.now(), label, kind, detail);
     return switch (listener.before(step)) {
-      case NONE -> PROMPT;
+      case NONE -> NO_DELAY;
       case LOST -> LOST;
       case LATE -> LATE_MS;
     };
