--- a/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
@@ -10,13 +10,13 @@
   static final String STORE_ADDRESS = "10.2.0.1:2379";
   static final String CLOUD_ADDRESS = "10.2.0.2:8443";
 
-  /** The controllers, by their labels. */
+  /** The labels of the controllers. */
   static final List<String> LABELS = List.of("trestle-0", "trestle-1", "trestle-2");
 
   /** The zone of the key-value store, the cloud and the users. */
   static final String REGIONAL_ZONE = "regional";
 
-  /** The worker on the machine that was rented as the n-th. */
+  /** The address of the worker on the n-th machine that is rented. */
   static final IntFunction<String> WORKER_ADDRESS =
       number -> "10.1." + number / 250 + "." + (number % 250 + 1) + ":9000";
 
@@ -27,20 +27,20 @@
 
   private ClusterLayout() {}
 
-  /** Where a controller serves users and workers. */
+  /** Returns the address at which a controller serves users and workers. */
   static String address(String label) {
-    return "10.0.0." + number(label) + ":8080";
+    return "10.0.0." + digit(label) + ":8080";
   }
 
   private static String peerAddress(String label) {
-    return "10.0.0." + number(label) + ":8081";
+    return "10.0.0." + digit(label) + ":8081";
   }
 
-  private static char number(String label) {
+  private static char digit(String label) {
     return label.charAt(label.length() - 1);
   }
 
-  /** The controller that serves the others at an address. */
+  /** Returns the label of the controller that serves the other controllers at an address. */
   static String labelOfPeer(String peerAddress) {
     return "trestle-" + peerAddress.charAt(peerAddress.indexOf(':') - 1);
   }
@@ -49,12 +49,12 @@
     return label.endsWith("1") ? "b" : "a";
   }
 
-  /** The CPUs that a team may use at a time. */
+  /** Returns how many CPUs a team may use at a time. */
   static double quotaCpus(String team) {
     return team.equals(LIMITED_TEAM) ? LIMITED_TEAM_CPUS : Double.MAX_VALUE;
   }
 
-  /** The settings of a controller. */
+  /** Returns the settings of a controller. */
   static Settings settings(String label, Deployment deployment) {
     List<Settings.Peer> peers = new ArrayList<>();
     for (String other : LABELS) {
--- a/src/test/java/org/fieldtrestle/simulation/FaultyNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/FaultyNetwork.java
@@ -16,17 +16,17 @@
   private final Map<String, Long> partitionedUntilMs = new HashMap<>();
   private final Map<String, Long> slowByMs = new HashMap<>();
   private final Map<String, Long> slowUntilMs = new HashMap<>();
-  private double lateRequests;
-  private double lateCommands;
-  private double lostAnswers;
-  private double repeatedHeartbeats;
-  private int copiesOfEach = 1;
+  private double lateRequestShare;
+  private double lateCommandShare;
+  private double lostAnswerShare;
+  private double repeatedHeartbeatShare;
+  private int copiesPerHeartbeat = 1;
   private List<String> copyTargets = List.of();
   private int maxAnswerBytes = Integer.MAX_VALUE;
   private int tooLargeAnswers;
-  private long sentAtMs;
+  private long currentRequestSentAtMs;
 
-  /** A request on its way; {@code done} is called once, with the first outcome. */
+  /** A request that was sent. {@code done} is called once, with the first outcome. */
   @SuppressWarnings("ArrayRecordComponent") // calls are never compared
   private record Call(
       String fromZone,
@@ -59,59 +59,62 @@
 
   // ---- faults
 
-  /** This share of requests arrives only long after their senders have given up. */
+  /** Delays this share of requests until long after their senders have given up. */
   void delayRequests(double share) {
-    lateRequests = share;
+    lateRequestShare = share;
   }
 
-  /** This share of direct commands arrives only long after their senders have given up. */
+  /** Delays this share of direct commands until long after their senders have given up. */
   void delayCommands(double share) {
-    lateCommands = share;
+    lateCommandShare = share;
   }
 
-  /** This share of answers is lost. */
+  /** Loses this share of answers. */
   void loseAnswers(double share) {
-    lostAnswers = share;
+    lostAnswerShare = share;
   }
 
   boolean losesAnswers() {
-    return lostAnswers != 0;
+    return lostAnswerShare != 0;
   }
 
-  /** Copies of this share of heartbeats arrive again, long after, at any controller. */
+  /** Delivers late copies of this share of heartbeats to randomly chosen controllers. */
   void repeatHeartbeats(double share, int copies) {
-    repeatedHeartbeats = share;
-    copiesOfEach = copies;
+    repeatedHeartbeatShare = share;
+    copiesPerHeartbeat = copies;
   }
 
   /** Sets the addresses that copies of heartbeats go to. */
-  void copiesGoTo(List<String> addresses) {
+  void setCopyTargets(List<String> addresses) {
     copyTargets = addresses;
   }
 
-  /** Answers with a larger body never arrive whole: the caller closes the connection. */
+  /**
+   * Limits the size of answers. The caller closes the connection if the body is larger, and does
+   * not receive the answer.
+   */
   void limitAnswers(int maxBytes) {
     maxAnswerBytes = maxBytes;
   }
 
-  /** How many answers were too large. */
+  /** Returns how many answers were too large. */
   int tooLargeAnswers() {
     return tooLargeAnswers;
   }
 
-  /** Two zones do not reach each other for a while. */
+  /** Cuts the connection between two zones for some time. */
   void partition(String zone, String other, long forMs) {
     partitionedUntilMs.put(zone + "|" + other, time.now() + forMs);
     partitionedUntilMs.put(other + "|" + zone, time.now() + forMs);
   }
 
-  /** Requests to an address take this much longer for a while. */
+  /** Adds a delay to requests to an address for some time. */
   void slow(String address, long byMs, long forMs) {
     slowByMs.put(address, byMs);
     slowUntilMs.put(address, time.now() + forMs);
   }
 
-  private long slownessMs(String address) {
+  private long extraDelayMs(String address) {
     return time.now() < slowUntilMs.getOrDefault(address, 0L) ? slowByMs.get(address) : 0;
   }
 
@@ -122,7 +125,7 @@
 
   // ---- calls
 
-  /** Sends a request; {@code callerAlive} says whether its sender still takes the outcome. */
+  /** Sends a request. Its outcome is dropped if {@code callerAlive} returns false by then. */
   void call(
       String fromZone,
       BooleanSupplier callerAlive,
@@ -146,7 +149,7 @@
     }
   }
 
-  /** Returns a callback that takes the first outcome and drops all others. */
+  /** Returns a callback that passes on the first outcome and drops all others. */
   static <T> Consumer<T> once(Consumer<T> done) {
     boolean[] completed = {false};
     return outcome -> {
@@ -163,7 +166,7 @@
 
   private void callAcrossPartition(Call call, long partitionedForMs, long timeoutMs) {
     boolean connectionOpen = time.chance(0.5);
-    if (connectionOpen) { // the request is held, and delivered once the partition is over
+    if (connectionOpen) { // the request is kept, and delivered after the partition
       deliverLate(call, call.address(), partitionedForMs + time.between(1, 200));
       complete(call, timeoutMs, new Http.Unknown("timeout"));
     } else {
@@ -172,8 +175,8 @@
   }
 
   private void repeat(Call call) {
-    if (call.path().equals("/hello") && time.chance(repeatedHeartbeats)) {
-      for (int i = 0; i < copiesOfEach; i++) {
+    if (call.path().equals("/hello") && time.chance(repeatedHeartbeatShare)) {
+      for (int i = 0; i < copiesPerHeartbeat; i++) {
         String to = copyTargets.get((int) time.between(0, copyTargets.size() - 1));
         deliverLate(call, to, time.between(1000, 60_000));
       }
@@ -181,14 +184,16 @@
   }
 
   private void send(Call call, long timeoutMs) {
-    if (time.chance(lateRequests)
-        || (lateCommands > 0 && call.path().equals("/commands") && time.chance(lateCommands))) {
+    if (time.chance(lateRequestShare)
+        || (lateCommandShare > 0
+            && call.path().equals("/commands")
+            && time.chance(lateCommandShare))) {
       deliverLate(call, call.address(), time.between(timeoutMs, timeoutMs * 10));
       return;
     }
-    boolean answerLost = time.chance(lostAnswers);
+    boolean answerLost = time.chance(lostAnswerShare);
     time.after(
-        time.between(1, 6) + slownessMs(call.address()),
+        time.between(1, 6) + extraDelayMs(call.address()),
         () -> deliver(call, call.address(), response -> receiveAnswer(call, response, answerLost)));
   }
 
@@ -203,12 +208,15 @@
 
   // ---- deliveries
 
-  /** When the request that is being handled was sent; its handler may keep it for later. */
-  long sentAtMs() {
-    return sentAtMs;
+  /**
+   * Returns when the request that is being handled was sent. A handler that needs the time later
+   * has to store it.
+   */
+  long currentRequestSentAtMs() {
+    return currentRequestSentAtMs;
   }
 
-  /** Delivers a request now; its answer is handed over as it is given. */
+  /** Delivers a request at once, and passes on its answer at once, both without faults. */
   void deliver(
       String address, String method, String path, byte[] body, Consumer<Http.Response> reply) {
     deliver(time.now(), address, method, path, body, reply);
@@ -233,18 +241,21 @@
     if (server == null) {
       return;
     }
-    sentAtMs = requestSentAtMs;
-    int mark = path.indexOf('?');
+    currentRequestSentAtMs = requestSentAtMs;
+    int queryStart = path.indexOf('?');
     server.handle(
         new Http.Request(
-            method, mark < 0 ? path : path.substring(0, mark), query(path, mark), body),
+            method,
+            queryStart < 0 ? path : path.substring(0, queryStart),
+            query(path, queryStart),
+            body),
         reply);
   }
 
-  private static Map<String, String> query(String path, int mark) {
+  private static Map<String, String> query(String path, int queryStart) {
     Map<String, String> query = new LinkedHashMap<>();
-    if (mark >= 0) {
-      for (String pair : path.substring(mark + 1).split("&", -1)) {
+    if (queryStart >= 0) {
+      for (String pair : path.substring(queryStart + 1).split("&", -1)) {
         int equals = pair.indexOf('=');
         query.put(pair.substring(0, equals), pair.substring(equals + 1));
       }
--- a/src/test/java/org/fieldtrestle/simulation/Link.java
+++ b/src/test/java/org/fieldtrestle/simulation/Link.java
@@ -1,6 +1,6 @@
 package org.fieldtrestle.simulation;
 
-/** What a controller exchanges messages with. */
+/** The parties that a controller exchanges messages with. */
 enum Link {
   STORE,
   CLOUD,
--- a/src/test/java/org/fieldtrestle/simulation/LoadGenerator.java
+++ b/src/test/java/org/fieldtrestle/simulation/LoadGenerator.java
@@ -22,17 +22,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Measures what real controller processes cost under a generated load, in real time on loopback.
- * Key-value store, cloud, workers and users are those of the simulation. A tool that is run by
- * hand, after {@code mvn -o package}:
+ * Measures the processor time and the memory that real controller processes use under a generated
+ * load, in real time over the loopback interface. The key-value store, the cloud, the workers and
+ * the users are those of the simulation. The tool is run by hand, after {@code mvn -o package}:
  *
  * <pre>
  * java -cp target/test-classes:target/fieldtrestle.jar \
  *     org.fieldtrestle.simulation.LoadGenerator MACHINES SECONDS java ... -jar ... --config
  * </pre>
  *
- * <p>The rest of the command line starts a controller; the path of its settings is appended. For
- * each phase it prints the processor time by thread and the work that {@code /stats} counts.
+ * <p>The arguments after SECONDS are the command that starts a controller; the path of its settings
+ * file is appended. For each phase the tool prints the processor time by thread and the resident
+ * memory of each controller. After the steady phase and at the end it prints the work that {@code
+ * /stats} counts.
  */
 final class LoadGenerator {
   private static final Logger LOG = LoggerFactory.getLogger(LoadGenerator.class);
@@ -41,24 +43,24 @@
   private static final int WORKER_PORT = 23_820;
   private static final Deployment DEPLOYMENT = Deployment.small(2500, 16_000, 46_000);
 
-  /** How often simulated time catches up with real time. */
-  private static final long PUMP_MS = 1;
+  /** Interval at which simulated time is advanced to real time, in milliseconds. */
+  private static final long TIME_ADVANCE_INTERVAL_MS = 1;
 
   private static final int MAX_CONNECTIONS = 100_000;
 
-  /** Only the controllers are measured, by what they tell themselves. */
+  /** Its clock stands still, because only the controllers measure the work of their event loops. */
   private static final EventLoopMeter METER = new EventLoopMeter(() -> 0);
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final SocketBudget sockets = new SocketBudget(MAX_CONNECTIONS);
-  private final HttpClient users = client();
+  private final HttpClient users = newClient();
   private final Map<String, HttpClient> workerClients = new HashMap<>();
   private final SimulatedCluster cluster;
   private final int machines;
   private final RealControllers controllers;
   private final long startedAtNanos = System.nanoTime();
-  private int jobs;
+  private int submittedJobs;
 
   private LoadGenerator(int machines, List<String> command) throws IOException {
     this.machines = machines;
@@ -71,7 +73,7 @@
             .buildWithoutControllers();
   }
 
-  private HttpClient client() {
+  private HttpClient newClient() {
     return new HttpClient(loop, sockets, Set.of(), MAX_CONNECTIONS, METER);
   }
 
@@ -121,14 +123,14 @@
                     }));
   }
 
-  /** Every worker keeps a connection of its own. */
+  /** Returns the client that sends a request. Every worker keeps its own connections. */
   private HttpClient clientOf(Http.Request request) {
     if (!request.path().equals("/hello")) {
       return users;
     }
     String body = new String(request.body(), StandardCharsets.UTF_8);
     String machine = body.substring(body.indexOf("host-"), body.indexOf("host-") + 11);
-    return workerClients.computeIfAbsent(machine, id -> client());
+    return workerClients.computeIfAbsent(machine, id -> newClient());
   }
 
   private void startController(String label) throws Exception {
@@ -144,21 +146,24 @@
 
   // ---- load
 
-  /** Jobs of short and of long tasks, in all about three quarters of what machines get through. */
+  /**
+   * Submits a job every two seconds: two jobs with short tasks, then one with long tasks. In total
+   * they use about three quarters of the capacity of the machines.
+   */
   private void submitJobs() {
-    int number = ++jobs;
-    boolean rush = number % 3 != 0;
+    int number = ++submittedJobs;
+    boolean shortTasks = number % 3 != 0;
     cluster.users.submit(
         "job-" + number,
         job ->
-            job.tasks(rush ? machines / 8 + 1 : machines / 2 + 1)
-                .cpus(rush ? 2 : 4)
-                .runMs(rush ? 2900 : 30_000)
+            job.tasks(shortTasks ? machines / 8 + 1 : machines / 2 + 1)
+                .cpus(shortTasks ? 2 : 4)
+                .runMs(shortTasks ? 2900 : 30_000)
                 .image("img-" + number % 12));
     cluster.time.after(2000, this::submitJobs);
   }
 
-  private void pump() {
+  private void advanceTime() {
     cluster.time.runUntil(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos));
   }
 
@@ -176,11 +181,11 @@
 
   private void measure(String phase, long seconds) throws Exception {
     Map<String, Map<String, Long>> before = controllers.threadTimesMs();
-    int starts = cluster.invariants.starts();
+    int startsBefore = cluster.invariants.starts();
     TimeUnit.SECONDS.sleep(seconds);
     System.out.printf(
         "== %s, %d s: %d machines, %d tasks started%n",
-        phase, seconds, cluster.cloud.machines.size(), cluster.invariants.starts() - starts);
+        phase, seconds, cluster.cloud.machines.size(), cluster.invariants.starts() - startsBefore);
     for (Map.Entry<String, Map<String, Long>> now : controllers.threadTimesMs().entrySet()) {
       Map<String, Long> spentMs = now.getValue();
       before.get(now.getKey()).forEach((name, ms) -> spentMs.merge(name, -ms, Long::sum));
@@ -215,13 +220,17 @@
     }
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // simulated time runs until the process ends
+  @SuppressWarnings("FutureReturnValueIgnored") // simulated time advances until the process ends
   private void run(long seconds) throws Exception {
     serveSimulation();
     for (String label : cluster.labels()) {
       startController(label);
     }
-    loop.scheduleWithFixedDelay(this::pump, PUMP_MS, PUMP_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        this::advanceTime,
+        TIME_ADVANCE_INTERVAL_MS,
+        TIME_ADVANCE_INTERVAL_MS,
+        TimeUnit.MILLISECONDS);
     measure("start", 5);
     onLoop(this::submitJobs);
     measure("fleet comes up", 25);
@@ -243,7 +252,7 @@
     printStats();
   }
 
-  /** Runs the tool; the class comment names its arguments. */
+  /** Runs the tool with the arguments that the class comment describes. */
   public static void main(String[] args) throws Exception {
     LoadGenerator generator =
         new LoadGenerator(Integer.parseInt(args[0]), List.of(args).subList(2, args.length));
@@ -256,7 +265,7 @@
       LOG.atError().setCause(e).log("load run failed");
     } finally {
       generator.controllers.stopAll();
-      System.exit(status); // the event loop would go on
+      System.exit(status); // the event loop would keep the process running
     }
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/MessageObserver.java
+++ b/src/test/java/org/fieldtrestle/simulation/MessageObserver.java
@@ -1,36 +1,39 @@
 package org.fieldtrestle.simulation;
 
-/** Decides what becomes of each message of a controller; by default it goes on at once. */
+/**
+ * Decides for each message of a controller whether it is delivered at once, delayed or lost. By
+ * default, all messages are delivered at once.
+ */
 interface MessageObserver {
-  /** The message goes on without delay. */
+  /** The message is delivered without delay. */
   long NO_DELAY = 0;
 
-  /** In place of a delay: the message is lost, and its sender gives up at its time-out. */
+  /** Returned in place of a delay: the message is lost, and its sender waits for its timeout. */
   long LOST = -1;
 
   /**
-   * A controller is about to send a request.
+   * Called when a controller is about to send a request.
    *
-   * @return by how many ms it is held back, or {@link #LOST}
+   * @return the delay of the request in milliseconds, or {@link #LOST}
    */
   default long beforeSending(String label, Link link, String path, byte[] body) {
     return NO_DELAY;
   }
 
   /**
-   * The answer to a request is about to reach a controller.
+   * Called when the answer to a request is about to reach a controller.
    *
-   * @param body of the request
-   * @return by how many ms it is held back, or {@link #LOST}
+   * @param body body of the request
+   * @return the delay of the answer in milliseconds, or {@link #LOST}
    */
   default long beforeAnswer(String label, Link link, String path, byte[] body) {
     return NO_DELAY;
   }
 
   /**
-   * A request of a worker or a user is about to reach a controller.
+   * Called when a request of a worker or a user is about to reach a controller.
    *
-   * @return by how many ms it is held back, or {@link #LOST}
+   * @return the delay of the request in milliseconds, or {@link #LOST}
    */
   default long beforeRequest(String label, String path) {
     return NO_DELAY;
--- a/src/test/java/org/fieldtrestle/simulation/RateLimit.java
+++ b/src/test/java/org/fieldtrestle/simulation/RateLimit.java
@@ -1,24 +1,24 @@
 package org.fieldtrestle.simulation;
 
-/** A limit on what may be done each second, which allows bursts of one second's worth. */
+/** A limit on an amount per second. Bursts of up to the amount of one second are allowed. */
 final class RateLimit {
   private final double perSecond;
-  private double level;
-  private long filledAt;
+  private double available;
+  private long updatedAtMs;
 
   RateLimit(double perSecond) {
     this.perSecond = perSecond;
-    this.level = perSecond;
+    this.available = perSecond;
   }
 
-  /** Whether so much may be done now; if so, it counts as done. */
-  boolean allows(long now, double amount) {
-    level = Math.min(perSecond, level + (now - filledAt) * perSecond / 1000);
-    filledAt = now;
-    if (level < amount) {
+  /** Uses up an amount if the limit allows it now, and returns whether it does. */
+  boolean tryAcquire(long nowMs, double amount) {
+    available = Math.min(perSecond, available + (nowMs - updatedAtMs) * perSecond / 1000);
+    updatedAtMs = nowMs;
+    if (available < amount) {
       return false;
     }
-    level -= amount;
+    available -= amount;
     return true;
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/RealControllers.java
+++ b/src/test/java/org/fieldtrestle/simulation/RealControllers.java
@@ -9,14 +9,14 @@
 import java.util.TreeMap;
 
 /**
- * The controller processes that a {@link LoadGenerator} measures: their settings, their starts and
- * the processor time that they take.
+ * The controller processes that a {@link LoadGenerator} measures. This class writes their settings,
+ * starts and stops them, and reads their processor time and memory.
  */
 final class RealControllers {
   private static final int USER_PORT = 23_800;
   private static final int PEER_PORT = 23_810;
 
-  /** Clock ticks in which Linux counts processor time. */
+  /** The duration of a clock tick, the unit in which Linux counts processor time. */
   private static final long MS_PER_TICK = 10;
 
   private static final int KB_PER_MB = 1024;
@@ -29,9 +29,10 @@
   private final Map<String, Process> processes = new TreeMap<>();
 
   /**
-   * Creates no process yet.
+   * Creates the directory for settings and logs, but no process yet.
    *
-   * @param command starts a controller; the path of its settings is appended
+   * @param command command that starts a controller; {@code LABEL} in it is replaced by the label
+   *     of the controller, and the path of the settings file is appended
    */
   RealControllers(
       List<String> command, String storeAddress, String cloudAddress, Deployment deployment)
@@ -43,12 +44,12 @@
     this.directory = Files.createTempDirectory("fieldtrestle-load");
   }
 
-  /** Where the logs and settings of the controllers are. */
+  /** Returns the directory of the logs and settings of the controllers. */
   Path directory() {
     return directory;
   }
 
-  /** Where a controller serves users and workers. */
+  /** Returns the address at which a controller serves users and workers. */
   static String address(String label) {
     return "127.0.0.1:" + (USER_PORT + index(label));
   }
@@ -136,9 +137,12 @@
             deployment.cancelMs() / 1000.0);
   }
 
-  // ---- figures
+  // ---- measurements
 
-  /** Processor time of each thread of each controller so far, in ms, by label and thread name. */
+  /**
+   * Returns the processor time of each thread of each controller so far, in milliseconds, by label
+   * and thread name.
+   */
   Map<String, Map<String, Long>> threadTimesMs() throws IOException {
     Map<String, Map<String, Long>> all = new TreeMap<>();
     for (Map.Entry<String, Process> process : processes.entrySet()) {
@@ -166,7 +170,7 @@
     return times;
   }
 
-  /** The memory of a controller that is resident, in MB. */
+  /** Returns the resident memory of a controller in MB, or 0 if the system does not report it. */
   long residentMb(String label) throws IOException {
     String pid = Long.toString(processes.get(label).pid());
     for (String line : Files.readAllLines(Path.of("/proc", pid, "status"))) {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
@@ -11,27 +11,30 @@
 import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.transport.Http;
 
-/** A stand-in for the cloud, by its protocol; every list it gives is some seconds old. */
+/**
+ * A simulated cloud with the protocol of a real one. Every list of machines that it returns is some
+ * seconds old.
+ */
 final class SimulatedCloud implements Http.Handler {
-  /** The CPUs of each machine. */
+  /** The number of CPUs of each machine. */
   static final int CPUS = 16;
 
   private static final long LIST_INTERVAL_MS = 500;
-  private static final long LIST_AGE_MS = 6000;
+  private static final long MAX_LIST_AGE_MS = 6000;
 
-  /** What the cloud listed at a time. */
-  private record Listed(long atMs, JsonNode machines) {}
+  /** The list of machines at a point in time. */
+  private record MachineList(long atMs, JsonNode machines) {}
 
-  /** The machines that are rented, by their names. */
+  /** The rented machines, by their identifiers. */
   final TreeMap<String, SimulatedWorker> machines = new TreeMap<>();
 
   private final SimulatedTime time;
   private final SimulatedCluster cluster;
   private final Map<String, JsonNode> answersByRequest = new HashMap<>();
-  private final ArrayDeque<Listed> lists = new ArrayDeque<>();
+  private final ArrayDeque<MachineList> lists = new ArrayDeque<>();
   private int capacity;
   private int rentedEver;
-  private double failedBoots;
+  private double failedBootShare;
 
   SimulatedCloud(SimulatedTime time, SimulatedCluster cluster, int capacity) {
     this.time = time;
@@ -40,26 +43,26 @@
     listPeriodically();
   }
 
-  /** Sets how many machines there can be at a time. */
+  /** Sets how many machines can be rented at the same time. */
   void setCapacity(int machineCount) {
     capacity = machineCount;
   }
 
-  /** This share of machines never comes up. */
+  /** Sets the share of machines that never come up. */
   void failBoots(double share) {
-    failedBoots = share;
+    failedBootShare = share;
   }
 
-  /** How many machines were ever rented. */
+  /** Returns how many machines have been rented so far, including returned ones. */
   int rentedEver() {
     return rentedEver;
   }
 
-  /** The cloud takes a machine away, or it is returned. */
+  /** Removes a machine, because the cloud takes it away or because it was returned. */
   void remove(String id) {
     SimulatedWorker worker = machines.remove(id);
     if (worker != null) {
-      worker.vanish();
+      worker.remove();
     }
   }
 
@@ -75,8 +78,8 @@
           .put("stage", stage(machine))
           .put("heldS", (time.now() - machine.rentedAtMs) / 1000.0);
     }
-    lists.add(new Listed(time.now(), list));
-    while (lists.size() > 1 && lists.peekFirst().atMs() < time.now() - LIST_AGE_MS) {
+    lists.add(new MachineList(time.now(), list));
+    while (lists.size() > 1 && lists.peekFirst().atMs() < time.now() - MAX_LIST_AGE_MS) {
       lists.removeFirst();
     }
     time.after(LIST_INTERVAL_MS, this::listPeriodically);
@@ -130,22 +133,22 @@
     return types;
   }
 
-  /** Rents machines, or repeats the answer to a request that came before. */
+  /** Rents machines, or repeats the answer to an earlier request with the same identifier. */
   private Http.Response rent(JsonNode body) {
-    String request = body.path("hire").asText();
-    JsonNode answer = answersByRequest.get(request);
+    String requestId = body.path("hire").asText();
+    JsonNode answer = answersByRequest.get(requestId);
     if (answer == null) {
       int count = Math.min(body.path("count").asInt(), capacity - machines.size());
       if (count <= 0) {
         return new Http.Response(503, Json.bytes(Json.object().put("error", "no capacity")));
       }
-      ObjectNode rented = Json.object();
-      ArrayNode names = rented.putArray("benches");
+      ObjectNode rentedMachines = Json.object();
+      ArrayNode names = rentedMachines.putArray("benches");
       for (int i = 0; i < count; i++) {
         names.add(rentOne(body));
       }
-      answersByRequest.put(request, rented);
-      answer = rented;
+      answersByRequest.put(requestId, rentedMachines);
+      answer = rentedMachines;
     }
     return new Http.Response(200, Json.bytes(answer));
   }
@@ -161,7 +164,7 @@
             body.path("yard").asText(),
             body.path("loaners").asBoolean());
     machines.put(worker.id, worker);
-    if (!time.chance(failedBoots)) {
+    if (!time.chance(failedBootShare)) {
       time.after(time.between(500, 15_000), worker::boot);
     }
     return worker.id;
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
@@ -11,12 +11,12 @@
 import org.fieldtrestle.transport.Http;
 
 /**
- * Three controllers of the real code in simulated time, with simulated stand-ins for network,
- * key-value store, cloud, workers and users. The same seed and the same actions of a test give the
- * same events.
+ * Three controllers that run the production code in simulated time, with a simulated network,
+ * key-value store and cloud, and simulated workers and users. The same seed and the same actions of
+ * a test lead to the same events.
  */
 final class SimulatedCluster {
-  /** How often the invariants that concern durations are checked. */
+  /** Interval at which the invariants about durations are checked, in milliseconds. */
   static final long CHECK_INTERVAL_MS = 500;
 
   final SimulatedTime time;
@@ -36,10 +36,10 @@
   private final IntFunction<String> workerAddress;
   private final Map<String, SimulatedController> controllers = new HashMap<>();
 
-  /** The zones of all machines there ever were. */
-  private final Map<String, String> zones = new HashMap<>();
+  /** The zones of all machines so far, including returned ones, by machine. */
+  private final Map<String, String> zonesByMachine = new HashMap<>();
 
-  private final Set<String> results = new HashSet<>();
+  private final Set<String> tasksWithResults = new HashSet<>();
   private final Map<String, Long> heartbeatAnsweredAtMs = new HashMap<>();
   private Deployment deployment;
   private StoreAnswerDelays storeAnswerDelays = (label, path, body) -> MessageObserver.NO_DELAY;
@@ -49,17 +49,17 @@
   private int lateCommandsExecuted;
   private int copiesAnswered;
 
-  /** By how much answers of the key-value store, which has acted in time, come late. */
+  /** Delays answers of the key-value store, which executes the requests without delay. */
   interface StoreAnswerDelays {
     /**
-     * Returns the delay in ms, or {@link MessageObserver#LOST}.
+     * Returns the delay of an answer in milliseconds, or {@link MessageObserver#LOST}.
      *
-     * @param body of the request
+     * @param body body of the request
      */
     long delayMs(String label, String path, byte[] body);
   }
 
-  /** Creates everything but the controllers. */
+  /** Creates everything except the controllers. */
   SimulatedCluster(
       long seed, int machines, Deployment deployment, IntFunction<String> workerAddress) {
     this.workerAddress = workerAddress;
@@ -74,7 +74,7 @@
     users = new SimulatedUsers(this);
     invariants = new InvariantChecker(this);
     cloud = new SimulatedCloud(time, this, machines);
-    network.copiesGoTo(ClusterLayout.LABELS.stream().map(ClusterLayout::address).toList());
+    network.setCopyTargets(ClusterLayout.LABELS.stream().map(ClusterLayout::address).toList());
     network.serve(ClusterLayout.STORE_ADDRESS, ClusterLayout.REGIONAL_ZONE, store);
     network.serve(ClusterLayout.CLOUD_ADDRESS, ClusterLayout.REGIONAL_ZONE, cloud);
   }
@@ -91,7 +91,7 @@
 
   private void checkPeriodically() {
     invariants.checkDurations();
-    cloud.machines.values().forEach(machine -> zones.put(machine.id, machine.zone));
+    cloud.machines.values().forEach(machine -> zonesByMachine.put(machine.id, machine.zone));
     time.after(CHECK_INTERVAL_MS, this::checkPeriodically);
   }
 
@@ -119,18 +119,18 @@
 
   // ---- machines and tasks
 
-  /** The zone of a machine, also of one that was returned. */
+  /** Returns the zone of a machine, also of a returned one, or "?" if the machine is unknown. */
   String zoneOf(String machine) {
     SimulatedWorker worker = cloud.machines.get(machine);
-    return worker == null ? zones.getOrDefault(machine, "?") : worker.zone;
+    return worker == null ? zonesByMachine.getOrDefault(machine, "?") : worker.zone;
   }
 
-  /** The machines that there are now, ordered by their names. */
+  /** Returns the machines that are rented now, ordered by their identifiers. */
   List<SimulatedWorker> machines() {
     return List.copyOf(cloud.machines.values());
   }
 
-  /** The controller that most machines with tasks of a job report to. */
+  /** Returns the controller to which most machines with tasks of a job send heartbeats. */
   String leaderOf(SimulatedJob job) {
     Map<String, Integer> counts = new HashMap<>();
     for (SimulatedWorker machine : cloud.machines.values()) {
@@ -146,27 +146,27 @@
         .orElse(labels().get(0));
   }
 
-  /** Whether the result of a task is on record. */
+  /** Whether a task has been done and its result recorded. */
   boolean hasResult(String task) {
-    return results.contains(task);
+    return tasksWithResults.contains(task);
   }
 
-  /** Notes the result of a task. */
+  /** Records the result of a task. */
   void addResult(String task) {
-    results.add(task);
+    tasksWithResults.add(task);
   }
 
-  /** Called when a worker reports a task as done. */
+  /** Called when a task of a job is done on a worker. */
   void onTaskDone(SimulatedJob job) {
     for (int i = 0; i < job.tasks(); i++) {
       if (!hasResult(job.task(i))) {
         return;
       }
     }
-    users.lastTaskDone(job);
+    users.onLastTaskDone(job);
   }
 
-  /** How many times longer than usual images take. */
+  /** Returns how many times longer than usual the fetching of an image takes. */
   int imageFetchFactor() {
     return imageFetchFactor;
   }
@@ -175,12 +175,12 @@
     imageFetchFactor = factor;
   }
 
-  /** Called when a machine executes a direct command long after it was sent. */
+  /** Called when a worker executes direct commands long after they were sent. */
   void onLateCommandExecuted() {
     lateCommandsExecuted++;
   }
 
-  /** How many direct commands machines executed long after they were sent. */
+  /** Returns how many messages with direct commands workers executed long after they were sent. */
   int lateCommandsExecuted() {
     return lateCommandsExecuted;
   }
@@ -199,7 +199,7 @@
   boolean isReady(String label) {
     boolean serves = network.serves(ClusterLayout.address(label));
     SimulatedController controller = controllers.get(label);
-    if (controller == null) { // it is a real process
+    if (controller == null) { // a real process
       return serves;
     }
     int[] status = {0};
@@ -211,7 +211,7 @@
     return status[0] == 200;
   }
 
-  /** Called when a controller begins to accept requests, before any comes. */
+  /** Called when a controller begins to accept requests, before the first one arrives. */
   void onListening(String label) {
     listeningObserver.accept(label);
   }
@@ -225,7 +225,7 @@
     heartbeatAnsweredAtMs.put(label, time.now());
   }
 
-  /** When a controller last answered a heartbeat with 200; -1: never. */
+  /** Returns when a controller last answered a heartbeat with 200, or -1 if it never did. */
   long heartbeatAnsweredAtMs(String label) {
     return heartbeatAnsweredAtMs.getOrDefault(label, -1L);
   }
@@ -252,7 +252,7 @@
     storeAnswerDelays = (label, path, body) -> MessageObserver.NO_DELAY;
   }
 
-  /** A copy of a heartbeat arrives at a controller. */
+  /** Delivers a copy of a heartbeat to a controller. */
   void deliverCopy(String label, byte[] heartbeat) {
     SimulatedController to = controllers.get(label);
     if (to.isAlive() && network.serves(ClusterLayout.address(label))) {
@@ -266,7 +266,7 @@
     }
   }
 
-  /** How many copies of heartbeats controllers took for new ones. */
+  /** Returns how many copies of heartbeats controllers accepted as new heartbeats. */
   int copiesAnswered() {
     return copiesAnswered;
   }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedClusterBuilder.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedClusterBuilder.java
@@ -9,13 +9,13 @@
   private Deployment deployment = Deployment.small(2500, 16_000, 46_000);
   private IntFunction<String> workerAddress = ClusterLayout.WORKER_ADDRESS;
 
-  /** Sets the seed, which decides everything that is random. */
+  /** Sets the seed of all random draws. */
   SimulatedClusterBuilder seed(long value) {
     seed = value;
     return this;
   }
 
-  /** Sets how many machines the cloud can give. */
+  /** Sets how many machines can be rented at the same time. */
   SimulatedClusterBuilder machines(int count) {
     machines = count;
     return this;
@@ -26,12 +26,12 @@
     return this;
   }
 
-  /** Sets a deployment of few machines with these times. */
+  /** Sets a deployment for a few machines with this timing. */
   SimulatedClusterBuilder timing(long heartbeatIntervalMs, long leaseMs, long cancelMs) {
     return deployment(Deployment.small(heartbeatIntervalMs, leaseMs, cancelMs));
   }
 
-  /** Sets the address of the worker on the machine that was rented as the n-th. */
+  /** Sets the address of the worker on the n-th machine that is rented. */
   SimulatedClusterBuilder workerAddress(IntFunction<String> address) {
     workerAddress = address;
     return this;
@@ -44,7 +44,7 @@
     return cluster;
   }
 
-  /** Builds everything but the controllers, which are real processes elsewhere. */
+  /** Builds everything except the controllers, which are real processes. */
   SimulatedCluster buildWithoutControllers() {
     return new SimulatedCluster(seed, machines, deployment, workerAddress);
   }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
@@ -9,16 +9,16 @@
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 
-/** One process of the real controller code, which can be killed, frozen and slowed down. */
+/** A process that runs the controller's production code. It can be killed, frozen and slowed. */
 final class SimulatedController {
-  /** The largest drift of a controller's steady clock. */
-  private static final double MAX_DRIFT = 0.0005;
+  /** The maximum drift of a controller's steady clock. */
+  private static final double MAX_CLOCK_DRIFT = 0.0005;
 
-  /** How far a controller's time of day may be off. */
+  /** The maximum error of a controller's time of day. */
   private static final long MAX_WALL_OFFSET_MS = 100;
 
-  private static final double REPEATED_FRAMES = 0.05;
-  private static final double LATE_FRAMES = 0.05;
+  private static final double REPEATED_FRAME_SHARE = 0.05;
+  private static final double LATE_FRAME_SHARE = 0.05;
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
@@ -26,16 +26,16 @@
   private final Controller controller;
   private boolean alive = true;
 
-  /** Until when it stands still, while its clocks run on and what reaches it waits. */
+  /** Until when it is frozen. Its clocks continue, and everything that reaches it waits. */
   private long frozenUntilMs;
 
-  /** How long each of its turns takes. */
+  /** The duration of each turn of the event loop. */
   private long turnMs;
 
-  /** Until when it is busy with the turns so far. */
+  /** Until when the event loop is busy with the turns that are already queued. */
   private long busyUntilMs;
 
-  /** Until when its messages do not leave. */
+  /** Until when its messages are held back. */
   private long messagesHeldUntilMs;
 
   SimulatedController(SimulatedCluster cluster, String label) {
@@ -46,7 +46,7 @@
         time.process(
             this::isAlive,
             this::turn,
-            time.random.nextDouble() * MAX_DRIFT,
+            time.random.nextDouble() * MAX_CLOCK_DRIFT,
             time.between(-MAX_WALL_OFFSET_MS, MAX_WALL_OFFSET_MS));
     this.controller =
         new Controller(
@@ -72,12 +72,12 @@
     return time.now() < frozenUntilMs;
   }
 
-  /** For how long what reaches it now waits until it is its turn. */
+  /** Returns how long work that reaches the event loop now waits for its turn. */
   long lagMs() {
     return Math.max(0, busyUntilMs - time.now());
   }
 
-  /** Ends the process; returns whether it was alive. */
+  /** Stops the process and returns whether it was alive. */
   boolean stop() {
     boolean wasAlive = alive;
     alive = false;
@@ -98,7 +98,7 @@
 
   // ---- turns
 
-  /** Runs what is due in the controller's event loop, once it is its turn. */
+  /** Runs work in the controller's event loop as soon as its turn comes. */
   void turn(Runnable work) {
     whenNotFrozen(
         () -> {
@@ -122,7 +122,7 @@
 
   // ---- messages
 
-  /** Sends a message after a delay, and not while its messages are held. */
+  /** Sends a message after a delay, and not before messages are no longer held back. */
   void sendAfter(long delayMs, Runnable message) {
     if (delayMs == MessageObserver.NO_DELAY) {
       send(message);
@@ -171,7 +171,7 @@
         });
   }
 
-  /** Handles a request that reaches it without the network. */
+  /** Handles a request that does not pass through the network. */
   void handle(String method, String path, byte[] body, Consumer<Http.Response> reply) {
     controller.handle(new Http.Request(method, path, Map.of(), body), reply);
   }
@@ -182,19 +182,19 @@
     }
   }
 
-  /** A frame of another controller, which may arrive repeatedly or late. */
+  /** Receives a frame of another controller. Some frames arrive twice, and some arrive late. */
   private void receiveFrame(ByteBuffer frame) {
     ByteBuffer body = frame.duplicate();
-    body.position(Integer.BYTES); // after the length
+    body.position(Integer.BYTES); // skips the length
     byte[] bytes = new byte[body.remaining()];
     body.get(bytes);
     if (cluster.faults.isDisconnected(label, Link.PEERS)) {
       return;
     }
-    int copies = time.chance(REPEATED_FRAMES) ? 2 : 1;
+    int copies = time.chance(REPEATED_FRAME_SHARE) ? 2 : 1;
     for (int i = 0; i < copies; i++) {
       time.after(
-          time.chance(LATE_FRAMES) ? time.between(500, 60_000) : time.between(1, 5),
+          time.chance(LATE_FRAME_SHARE) ? time.between(500, 60_000) : time.between(1, 5),
           this::isAlive,
           () -> turn(() -> controller.peerFrameReceived(ByteBuffer.wrap(bytes))));
     }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 import org.fieldtrestle.transport.Http;
 
-/** The requests of one controller, with the faults of its links. */
+/** Sends the requests of one controller, subject to the faults of its links. */
 final class SimulatedControllerCaller implements Http.Caller {
-  private static final long REFUSAL_MS = 2;
+  private static final long REFUSAL_DELAY_MS = 2;
   private static final Http.Outcome TIMED_OUT = new Http.Unknown("timeout");
 
   private final SimulatedCluster cluster;
@@ -27,9 +27,9 @@
       long timeoutMs,
       Consumer<Http.Outcome> done) {
     String label = controller.label();
-    Link link = link(address);
+    Link link = linkTo(address);
     if (link == Link.STORE && cluster.faults.refusedForMs(label) > 0) {
-      complete(REFUSAL_MS, new Http.Answer(503, Http.Response.EMPTY), done);
+      complete(REFUSAL_DELAY_MS, new Http.Answer(503, Http.Response.EMPTY), done);
       return;
     }
     if (cluster.faults.isDisconnected(label, link)) {
@@ -56,7 +56,7 @@
                 outcome -> receive(link, path, body, outcome, timeoutAtMs, done)));
   }
 
-  private static Link link(String address) {
+  private static Link linkTo(String address) {
     return switch (address) {
       case ClusterLayout.STORE_ADDRESS -> Link.STORE;
       case ClusterLayout.CLOUD_ADDRESS -> Link.CLOUD;
@@ -72,7 +72,7 @@
       long timeoutAtMs,
       Consumer<Http.Outcome> done) {
     String label = controller.label();
-    // Open watches wait as they would in an outage.
+    // While the store refuses requests, open watches wait, as they do in an outage.
     long refusedMs = path.startsWith("/watch") ? cluster.faults.refusedForMs(label) : 0;
     long delayMs = cluster.messageObserver().beforeAnswer(label, link, path, body);
     if (link == Link.STORE && delayMs == MessageObserver.NO_DELAY) {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedJob.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedJob.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.fieldtrestle.protocol.Json;
 
-/** What simulated users, workers and the invariant checker know of a job. */
+/** What the simulated users, the workers and the invariant checker know about a job. */
 final class SimulatedJob {
-  private static final long SHORT_RUN_MS = 3000;
+  private static final long SHORT_JOB_RUN_MS = 3000;
 
   private final String id;
   private String team = "open";
@@ -51,17 +51,17 @@
     return this;
   }
 
-  /** The job of a task. */
+  /** Returns the identifier of the job of a task. */
   static String idOf(String task) {
     return task.substring(0, task.lastIndexOf('/'));
   }
 
-  /** The index of a task in its job. */
+  /** Returns the index of a task in its job. */
   static int indexOf(String task) {
     return Integer.parseInt(task.substring(task.lastIndexOf('/') + 1));
   }
 
-  /** The name of a task by its index. */
+  /** Returns the name of the task with an index. */
   String task(int index) {
     return id + "/" + index;
   }
@@ -70,7 +70,7 @@
     return cpus;
   }
 
-  /** Sets the CPUs of each task. */
+  /** Sets the number of CPUs of each task. */
   SimulatedJob cpus(double count) {
     cpus = count;
     return this;
@@ -89,13 +89,13 @@
     return runMs;
   }
 
-  /** Sets about how long each task runs. */
+  /** Sets the approximate run time of each task. */
   SimulatedJob runMs(long ms) {
     runMs = ms;
     return this;
   }
 
-  /** The only machine type that its tasks may run on; null: any. */
+  /** Returns the only machine type that the tasks may run on, or {@code null} for any type. */
   String type() {
     return type;
   }
@@ -105,7 +105,7 @@
     return this;
   }
 
-  /** The only zone that its tasks may run in; null: any. */
+  /** Returns the only zone that the tasks may run in, or {@code null} for any zone. */
   String zone() {
     return zone;
   }
@@ -119,7 +119,7 @@
     return oneZone;
   }
 
-  /** All tasks run in the same zone, whichever that is. */
+  /** Sets whether all tasks must run in the same zone, whichever zone it is. */
   SimulatedJob oneZone(boolean value) {
     oneZone = value;
     return this;
@@ -129,13 +129,13 @@
     return spread;
   }
 
-  /** At most half of the tasks run in the same zone. */
+  /** Sets whether at most half of the tasks, rounded up, may run in the same zone. */
   SimulatedJob spread(boolean value) {
     spread = value;
     return this;
   }
 
-  /** How many tasks may be in one zone at a time, of a job that is spread. */
+  /** Returns how many tasks of a spread job may be in one zone at a time. */
   int zoneLimit() {
     return (tasks + 1) / 2;
   }
@@ -144,7 +144,7 @@
     return spot;
   }
 
-  /** Whether its tasks may run on spot machines. */
+  /** Sets whether the tasks may run on spot machines. */
   SimulatedJob spot(boolean value) {
     spot = value;
     return this;
@@ -154,13 +154,13 @@
     return failing;
   }
 
-  /** All its tasks fail, wherever they run. */
+  /** Sets whether all tasks fail, on any machine. */
   SimulatedJob failing(boolean value) {
     failing = value;
     return this;
   }
 
-  /** By how many run times a task takes longer than the one before it. */
+  /** Returns by how many run times each task runs longer than the task before it. */
   int unevenness() {
     return unevenness;
   }
@@ -170,7 +170,7 @@
     return this;
   }
 
-  /** Whether it can never run, or lacks a field, so that it must not be accepted. */
+  /** Whether the job must not be accepted, because it can never run or lacks a field. */
   boolean isUnsatisfiable() {
     return unsatisfiable;
   }
@@ -185,15 +185,15 @@
   }
 
   private boolean isShort() {
-    return runMs < SHORT_RUN_MS;
+    return runMs < SHORT_JOB_RUN_MS;
   }
 
-  /** The body of the request that submits it. */
+  /** Returns the body of the request that submits the job. */
   byte[] body() {
     return body;
   }
 
-  /** Sets another body than the one that describes the job. */
+  /** Sets a body other than the description of the job. */
   SimulatedJob body(byte[] json) {
     body = json;
     return this;
@@ -203,12 +203,12 @@
     return submittedAtMs;
   }
 
-  /** For how long there had been faults when it was submitted. */
+  /** Returns for how long there had been faults when the job was submitted. */
   long faultDurationBeforeMs() {
     return faultDurationBeforeMs;
   }
 
-  /** Fixes its description and when it is submitted. */
+  /** Sets the time of submission, and creates the body from the properties set so far. */
   void describe(long nowMs, long faultsSoFarMs) {
     submittedAtMs = nowMs;
     faultDurationBeforeMs = faultsSoFarMs;
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
@@ -11,9 +11,9 @@
 import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.transport.Http;
 
-/** A stand-in for the key-value store, by its protocol, with its limits and outages. */
+/** A simulated key-value store with the protocol, the limits and the outages of a real one. */
 final class SimulatedKeyValueStore implements Http.Handler {
-  private static final int CONDITIONS_PER_CHANGE = 4;
+  private static final int MAX_CONDITIONS_PER_CHANGE = 4;
   private static final int BYTES_PER_KB = 1024;
 
   private final SimulatedTime time;
@@ -24,7 +24,7 @@
   private final StoreWatches watches;
   private final StoreLeases leases;
   private long outageUntilMs;
-  private double lateCommits;
+  private double lateCommitShare;
   private int lateCommitted;
   private int lateConflicts;
   private int refusedForLimits;
@@ -40,7 +40,10 @@
 
   // ---- faults
 
-  /** The store answers nobody for a while; leases last on for their whole time afterwards. */
+  /**
+   * Makes the store unavailable for some time. When the outage ends, all leases are renewed for
+   * their whole duration.
+   */
   void outage(long ms) {
     outageUntilMs = time.now() + ms;
     time.after(
@@ -55,62 +58,65 @@
     return time.now() < outageUntilMs;
   }
 
-  /** Forgets old changes, so that earlier watches have to read everything again. */
+  /**
+   * Discards all changes so far. A watch from an earlier revision is no longer possible; its client
+   * has to read all keys again.
+   */
   void compact() {
     keys.compact();
   }
 
-  /** Writes a key as somebody else would. */
+  /** Writes a key as another client would. */
   void overwrite(String key, JsonNode value) {
     keys.beginRevision();
     keys.put(key, value, 0);
     watches.answerChanged();
   }
 
-  /** This share of transactions gets no answer, and is executed later, after newer ones. */
+  /** Leaves this share of transactions unanswered, and executes them later, after newer ones. */
   void delayCommits(double share) {
-    lateCommits = share;
+    lateCommitShare = share;
   }
 
-  /** How many delayed transactions had their conditions met all the same. */
+  /** Returns how many delayed transactions succeeded because their conditions still held. */
   int lateCommitted() {
     return lateCommitted;
   }
 
-  /** How many delayed transactions failed by their conditions. */
+  /** Returns how many delayed transactions failed because of their conditions. */
   int lateConflicts() {
     return lateConflicts;
   }
 
-  /** How many requests were beyond the limits. */
+  /** Returns how many requests were refused because they exceeded the limits. */
   int refusedForLimits() {
     return refusedForLimits;
   }
 
-  // ---- what the store holds
+  // ---- contents
 
-  /** The record of how a job ended; empty if it has not. */
+  /** Returns the record of how a job ended, or an empty string if it has not ended. */
   String finishedRecordOf(String jobId) {
-    VersionedKeys.Versioned record = keys.get("ft/final/" + jobId);
+    VersionedKeys.VersionedValue record = keys.get("ft/final/" + jobId);
     return record == null ? "" : record.value().toString();
   }
 
-  /** How many ranges of a job have records of their own. */
+  /** Returns how many task ranges of a job have their own records. */
   long rangeRecordsOf(String jobId) {
     return keys.withPrefix("ft/live/range/" + jobId).size();
   }
 
-  /** The revisions at which the shards last changed their leaders. */
+  /** Returns the epochs of the shards: the revisions at which their leaders last changed. */
   List<Long> shardEpochs() {
     return keys.withPrefix("ft/live/master/").values().stream()
-        .map(VersionedKeys.Versioned::version)
+        .map(VersionedKeys.VersionedValue::version)
         .toList();
   }
 
-  /** The machines in the inventories of all shards. */
+  /** Returns the machines in the inventories of all shards. */
   List<String> machinesInInventories() {
     List<String> machines = new ArrayList<>();
-    for (VersionedKeys.Versioned part : keys.withPrefix("ft/live/roster/").values()) {
+    for (VersionedKeys.VersionedValue part : keys.withPrefix("ft/live/roster/").values()) {
       for (JsonNode group : part.value().path("groups")) {
         group.path("ids").forEach(id -> machines.add(id.asText()));
       }
@@ -119,7 +125,7 @@
   }
 
   private void removeKeysOf(long lease) {
-    for (String key : keys.namesOf(kept -> kept.lease() == lease)) {
+    for (String key : keys.namesOf(value -> value.lease() == lease)) {
       keys.beginRevision();
       keys.remove(key);
     }
@@ -158,7 +164,7 @@
   }
 
   private boolean exceeds(RateLimit limit, double amount) {
-    boolean refused = deployment.enforcesLimits() && !limit.allows(time.now(), amount);
+    boolean refused = deployment.enforcesLimits() && !limit.tryAcquire(time.now(), amount);
     refusedForLimits += refused ? 1 : 0;
     return refused;
   }
@@ -193,12 +199,12 @@
   }
 
   private Http.Response read(String key) {
-    VersionedKeys.Versioned kept = keys.get(key);
-    if (kept == null) {
+    VersionedKeys.VersionedValue found = keys.get(key);
+    if (found == null) {
       return answer(404, Json.object().put("ledger", keys.revision()));
     }
-    ObjectNode entry = Json.object().put("key", key).put("entry", kept.version());
-    entry.set("v", kept.value());
+    ObjectNode entry = Json.object().put("key", key).put("entry", found.version());
+    entry.set("v", found.value());
     return answer(200, entry);
   }
 
@@ -207,7 +213,9 @@
   private void handleCommit(JsonNode body, Consumer<Http.Response> reply) {
     if (exceeds(writeLimit, body.path("apply").size())) {
       reply.accept(answer(429, Json.object()));
-    } else if (lateCommits > 0 && !body.path("apply").isEmpty() && time.chance(lateCommits)) {
+    } else if (lateCommitShare > 0
+        && !body.path("apply").isEmpty()
+        && time.chance(lateCommitShare)) {
       commitLate(body);
     } else {
       reply.accept(commit(body));
@@ -245,7 +253,7 @@
     return answer(200, Json.object().put("ledger", keys.revision()));
   }
 
-  /** Returns why a transaction can never be executed; empty if it can. */
+  /** Returns why a transaction is invalid, or an empty string if it is valid. */
   private String invalidReason(JsonNode body) {
     for (JsonNode change : body.path("apply")) {
       if (change.has("permit") && !leases.exists(change.path("permit").asLong())) {
@@ -259,7 +267,7 @@
     int maxChanges = deployment.keyValueStoreLimits().maxTransactionChanges();
     boolean tooMany =
         body.path("apply").size() > maxChanges
-            || body.path("when").size() > CONDITIONS_PER_CHANGE * maxChanges;
+            || body.path("when").size() > MAX_CONDITIONS_PER_CHANGE * maxChanges;
     return tooMany ? "too many" : "";
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
@@ -8,7 +8,7 @@
 import org.fieldtrestle.transport.Http;
 import org.fieldtrestle.transport.Reactor;
 
-/** A network without faults and its time, for tests of other packages. */
+/** A network without faults in simulated time, for tests of other packages. */
 public final class SimulatedNetwork {
   public static final String KEY_VALUE_STORE_ADDRESS = "10.2.0.1:2379";
   public static final String CLOUD_ADDRESS = "10.2.0.2:8443";
@@ -19,39 +19,39 @@
   private final FaultyNetwork network = new FaultyNetwork(time);
   private SimulatedKeyValueStore keyValueStore;
 
-  /** The reactor of a process whose clocks are exact. */
+  /** Returns the reactor of a process whose clocks are exact. */
   public Reactor reactor() {
     return time.process(() -> true, Runnable::run, 0, 0);
   }
 
-  /** Calls what is served here. */
+  /** Returns a caller that reaches the servers of this network. */
   public Http.Caller caller() {
     return (address, method, path, body, timeoutMs, done) ->
         network.call(ZONE, () -> true, address, method, path, body, timeoutMs, done);
   }
 
-  /** Hands requests to an address to a handler. */
+  /** Passes requests to an address to a handler. */
   public void serve(String address, Http.Handler handler) {
     network.serve(address, ZONE, handler);
   }
 
-  /** Starts a key-value store, with nothing in it. */
+  /** Starts an empty key-value store. */
   public void serveKeyValueStore() {
     keyValueStore = new SimulatedKeyValueStore(time, Deployment.largeWithLongIntervals());
     serve(KEY_VALUE_STORE_ADDRESS, keyValueStore);
   }
 
-  /** Writes a key at the key-value store, as another controller would. */
+  /** Writes a key to the key-value store, as another controller would. */
   public void writeKey(String key, JsonNode value) {
     keyValueStore.overwrite(key, value);
   }
 
-  /** For a while the key-value store answers nobody. */
+  /** Makes the key-value store unavailable for some time. */
   public void startKeyValueStoreOutage(long ms) {
     keyValueStore.outage(ms);
   }
 
-  /** The settings of a controller of a large fleet here. */
+  /** Returns the settings of a controller of a large fleet in this network. */
   public Settings settings(String label) {
     return new Settings(
         label,
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
@@ -6,15 +6,16 @@
 import java.util.random.RandomGenerator;
 import org.fieldtrestle.transport.Reactor;
 
-/** Simulated time: everything happens in one order that the seed decides. */
+/** Simulated time. All events run one after the other, in an order that the seed determines. */
 final class SimulatedTime {
-  private record Event(long at, long order, BooleanSupplier alive, Runnable work) {}
+  private record Event(long atMs, long order, BooleanSupplier alive, Runnable work) {}
 
   final RandomGenerator random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private long now;
+          (a, b) ->
+              a.atMs != b.atMs ? Long.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
+  private long nowMs;
   private long order;
 
   SimulatedTime(RandomGenerator random) {
@@ -22,7 +23,7 @@
   }
 
   long now() {
-    return now;
+    return nowMs;
   }
 
   void after(long ms, Runnable work) {
@@ -30,44 +31,47 @@
   }
 
   void after(long ms, BooleanSupplier alive, Runnable work) {
-    events.add(new Event(now + Math.max(0, ms), ++order, alive, work));
+    events.add(new Event(nowMs + Math.max(0, ms), ++order, alive, work));
   }
 
-  void runUntil(long end) {
-    while (!events.isEmpty() && events.peek().at <= end) {
+  void runUntil(long endMs) {
+    while (!events.isEmpty() && events.peek().atMs <= endMs) {
       Event next = events.poll();
-      now = Math.max(now, next.at);
+      nowMs = Math.max(nowMs, next.atMs);
       if (next.alive.getAsBoolean()) {
         next.work.run();
       }
     }
-    now = end;
+    nowMs = endMs;
   }
 
   long between(long low, long high) {
     return low + random.nextLong(high - low + 1);
   }
 
-  boolean chance(double p) {
-    return random.nextDouble() < p;
+  boolean chance(double probability) {
+    return random.nextDouble() < probability;
   }
 
   /**
-   * The reactor of one process, whose steady clock drifts and which can be killed.
+   * Returns the reactor of a process that can be killed and whose steady clock drifts.
    *
-   * @param turn runs what is due, or keeps it for later while the process stands still
+   * @param alive returns whether the process has not been killed
+   * @param turn runs work, or keeps it for later while the process is frozen
+   * @param drift relative error of the steady clock
+   * @param wallOffsetMs error of the time of day, in milliseconds
    */
-  Reactor process(BooleanSupplier alive, Consumer<Runnable> turn, double drift, long wallOff) {
-    long begun = now;
+  Reactor process(BooleanSupplier alive, Consumer<Runnable> turn, double drift, long wallOffsetMs) {
+    long startedAtMs = nowMs;
     return new Reactor() {
       @Override
       public long now() {
-        return Math.round((now - begun) * (1 + drift));
+        return Math.round((nowMs - startedAtMs) * (1 + drift));
       }
 
       @Override
       public long wall() {
-        return 1_700_000_000_000L + now + wallOff;
+        return 1_700_000_000_000L + nowMs + wallOffsetMs;
       }
 
       @Override
@@ -77,18 +81,18 @@
 
       @Override
       public Timer schedule(long delayMs, Runnable work) {
-        boolean[] off = {false};
+        boolean[] cancelled = {false};
         after(
             Math.round(delayMs / (1 + drift)),
             alive,
             () ->
                 turn.accept(
                     () -> {
-                      if (!off[0]) {
+                      if (!cancelled[0]) {
                         work.run();
                       }
                     }));
-        return () -> off[0] = true;
+        return () -> cancelled[0] = true;
       }
     };
   }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
@@ -8,23 +8,23 @@
 import org.fieldtrestle.transport.Http;
 
 /**
- * Users who submit jobs, ask about them every few seconds and cancel them, through a controller
- * that is ready. What they are told is checked by the {@link InvariantChecker}.
+ * Users who submit jobs, query their status every few seconds and cancel them, each time at a
+ * random controller that is ready. The {@link InvariantChecker} checks the answers.
  */
 final class SimulatedUsers {
-  private static final String JOBS = "/v2/runs";
+  private static final String JOBS_PATH = "/v2/runs";
   private static final long SUBMIT_TIMEOUT_MS = 5000;
   private static final long QUERY_TIMEOUT_MS = 2000;
   private static final long RETRY_MS = 1000;
   private static final int MAX_SUBMISSION_RETRIES = 600;
 
-  /** Share of jobs that are submitted again though their submission was answered at once. */
-  private static final double REPEATED_SUBMISSIONS = 0.2;
+  /** Share of jobs that are submitted again although the first submission was accepted. */
+  private static final double REPEATED_SUBMISSION_SHARE = 0.2;
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
-  private final Set<String> cancelled = new HashSet<>();
-  private double cancelledAtEnd;
+  private final Set<String> cancelledJobs = new HashSet<>();
+  private double cancelledAtEndShare;
 
   SimulatedUsers(SimulatedCluster cluster) {
     this.cluster = cluster;
@@ -33,43 +33,47 @@
 
   /** Whether a user has asked to cancel a job. */
   boolean hasCancelled(String jobId) {
-    return cancelled.contains(jobId);
+    return cancelledJobs.contains(jobId);
   }
 
-  /** Notes that a test cancels a job itself. */
+  /** Records that a test itself cancels a job. */
   void noteCancellation(String jobId) {
-    cancelled.add(jobId);
+    cancelledJobs.add(jobId);
   }
 
-  /** Cancels this share of jobs at the moment at which their last task is done. */
+  /** Cancels this share of jobs around the time at which their last task is done. */
   void cancelAtEnd(double share) {
-    cancelledAtEnd = share;
+    cancelledAtEndShare = share;
   }
 
   // ---- submissions
 
-  /** Submits a job, whose defaults a test may change, until it is accepted. */
-  SimulatedJob submit(String id, Consumer<SimulatedJob> shape) {
-    SimulatedJob job = define(id, shape);
-    post(job, 0);
+  /**
+   * Defines a job and submits it until it is accepted.
+   *
+   * @param configure changes properties of the job that differ from the defaults
+   */
+  SimulatedJob submit(String id, Consumer<SimulatedJob> configure) {
+    SimulatedJob job = define(id, configure);
+    submitWithRetries(job, 0);
     return job;
   }
 
-  /** Defines a job that workers and invariants know, but that is not submitted yet. */
-  SimulatedJob define(String id, Consumer<SimulatedJob> shape) {
+  /** Defines a job, which workers and invariants know from then on, without submitting it. */
+  SimulatedJob define(String id, Consumer<SimulatedJob> configure) {
     SimulatedJob job = new SimulatedJob(id);
-    shape.accept(job);
+    configure.accept(job);
     job.describe(time.now(), cluster.invariants.faultsSoFarMs());
     cluster.jobs.put(id, job);
     return job;
   }
 
-  /** Submits a job once that must be refused with a status. */
+  /** Submits a job once that must be rejected with this status. */
   void submitUnsatisfiable(String id, byte[] body, int expectedStatus) {
     cluster.jobs.put(id, new SimulatedJob(id).unsatisfiable(true).body(body));
     call(
         "POST",
-        JOBS,
+        JOBS_PATH,
         body,
         SUBMIT_TIMEOUT_MS,
         answer -> {
@@ -82,19 +86,19 @@
         });
   }
 
-  /** Submits a job to one controller, once. */
-  void submitAt(String label, SimulatedJob job, Consumer<Http.Answer> answered) {
+  /** Submits a job once to one controller. */
+  void submitAt(String label, SimulatedJob job, Consumer<Http.Answer> done) {
     callAt(
         label,
         "POST",
-        JOBS,
+        JOBS_PATH,
         job.body(),
         SUBMIT_TIMEOUT_MS,
         answer -> {
           if (isAccepted(answer)) {
             cluster.invariants.accepted(job.id());
           }
-          answered.accept(answer);
+          done.accept(answer);
         });
   }
 
@@ -106,20 +110,20 @@
     return answer.status() == 400 || answer.status() == 422;
   }
 
-  private void post(SimulatedJob job, int retries) {
+  private void submitWithRetries(SimulatedJob job, int retries) {
     send(
         job,
         answer -> {
           if (isAccepted(answer)) {
             cluster.invariants.accepted(job.id());
             poll(job);
-            if (retries > 0 || time.chance(REPEATED_SUBMISSIONS)) {
+            if (retries > 0 || time.chance(REPEATED_SUBMISSION_SHARE)) {
               time.after(time.between(1000, 60_000), () -> submitAgain(job));
             }
           } else if (isRejected(answer)) {
             cluster.invariants.report("refused " + job.id() + " with " + answer.status());
           } else if (retries < MAX_SUBMISSION_RETRIES) {
-            time.after(RETRY_MS, () -> post(job, retries + 1));
+            time.after(RETRY_MS, () -> submitWithRetries(job, retries + 1));
           }
         });
   }
@@ -140,15 +144,15 @@
   }
 
   private void send(SimulatedJob job, Consumer<Http.Answer> done) {
-    call("POST", JOBS, job.body(), SUBMIT_TIMEOUT_MS, done);
+    call("POST", JOBS_PATH, job.body(), SUBMIT_TIMEOUT_MS, done);
   }
 
   /** Called when the last task of a job is done. */
-  void lastTaskDone(SimulatedJob job) {
-    if (cancelledAtEnd > 0) {
+  void onLastTaskDone(SimulatedJob job) {
+    if (cancelledAtEndShare > 0) {
       time.after(time.between(0, 300), () -> query(job.id()));
       time.after(time.between(0, 300), () -> submitAgain(job));
-      if (time.chance(cancelledAtEnd)) {
+      if (time.chance(cancelledAtEndShare)) {
         time.after(time.between(0, 300), () -> cancel(job));
       }
     }
@@ -161,31 +165,37 @@
     time.after(time.between(3000, 6000), () -> poll(job));
   }
 
-  /** Asks about a job once. */
+  /** Queries the status of a job once. */
   void query(String id) {
     long askedAtMs = time.now();
     call(
         "GET",
-        JOBS + "/" + id,
+        JOBS_PATH + "/" + id,
         Http.Response.EMPTY,
         QUERY_TIMEOUT_MS,
         answer -> cluster.invariants.told(id, answer.status(), stage(answer), askedAtMs));
   }
 
-  /** What one controller answers about a job within two seconds; 0: nothing. */
+  /**
+   * Runs the simulation for two seconds and returns the status code with which one controller
+   * answers a query about a job in this time, or 0 if it does not answer.
+   */
   int statusAt(String label, String id) {
     int[] status = {0};
     cluster
         .controller(label)
         .handle(
-            "GET", JOBS + "/" + id, Http.Response.EMPTY, response -> status[0] = response.status());
+            "GET",
+            JOBS_PATH + "/" + id,
+            Http.Response.EMPTY,
+            response -> status[0] = response.status());
     time.runUntil(time.now() + QUERY_TIMEOUT_MS);
     return status[0];
   }
 
   // ---- cancellations
 
-  /** Cancels a job, until that is confirmed. */
+  /** Cancels a job, and retries until the cancellation is confirmed. */
   void cancel(SimulatedJob job) {
     call(
         "POST",
@@ -195,7 +205,7 @@
         onCancellation(job, () -> cancel(job)));
   }
 
-  /** Cancels a job at one controller, until that one confirms it. */
+  /** Cancels a job at one controller, and retries until this controller confirms it. */
   void cancelAt(String label, SimulatedJob job) {
     callAt(
         label,
@@ -207,12 +217,12 @@
   }
 
   private static String cancellationPath(SimulatedJob job) {
-    return JOBS + "/" + job.id() + "/abort";
+    return JOBS_PATH + "/" + job.id() + "/abort";
   }
 
   private Consumer<Http.Answer> onCancellation(SimulatedJob job, Runnable retry) {
     long askedAtMs = time.now();
-    cancelled.add(job.id());
+    cancelledJobs.add(job.id());
     return answer -> {
       if (answer.status() == 200) {
         cluster.invariants.told(job.id(), 200, stage(answer), askedAtMs);
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
@@ -8,17 +8,17 @@
 import org.fieldtrestle.transport.Http;
 
 /**
- * A machine and its worker, by the protocol of heartbeats, fencing tokens and leases. It can be
- * frozen, cut off, slow, faulty or lost.
+ * A simulated machine and its worker, which follows the protocol of heartbeats, fencing tokens and
+ * leases. The machine can hang, be disconnected, run slowly, fail its tasks or be lost.
  */
 final class SimulatedWorker implements Http.Handler {
-  /** How often a worker looks whether its lease has expired. */
-  private static final long LEASE_CHECK_MS = 50;
+  /** Interval at which a worker checks whether its lease has expired, in milliseconds. */
+  private static final long LEASE_CHECK_INTERVAL_MS = 50;
 
-  /** A command that is executed so long after it was sent counts as late. */
+  /** A command that arrives more than this time after it was sent counts as late. */
   private static final long LATE_COMMAND_MS = 1000;
 
-  private static final double ROUNDING_CPUS = 1e-6;
+  private static final double CPU_TOLERANCE = 1e-6;
 
   final String id;
   final String address;
@@ -33,11 +33,11 @@
   private final WorkerHeartbeats heartbeats;
   private boolean up;
   private boolean failed;
-  private boolean returned;
+  private boolean removed;
   private long incarnation = 1;
   private long sequence;
-  private long token;
-  private long leaseFromMs;
+  private long fencingToken;
+  private long leaseStartMs;
   private int lateCommands;
   private int commandsWhileMute;
 
@@ -56,7 +56,7 @@
     this.heartbeats = new WorkerHeartbeats(cluster, this);
   }
 
-  // ---- life of the machine
+  // ---- lifecycle of the machine
 
   boolean isUp() {
     return up;
@@ -67,30 +67,30 @@
   }
 
   boolean isAlive() {
-    return up && !returned && !failed;
+    return up && !removed && !failed;
   }
 
-  /** The machine is up, and its worker begins to send heartbeats. */
+  /** Called when the machine has booted. The worker begins to send heartbeats. */
   void boot() {
-    if (returned) {
+    if (removed) {
       return;
     }
     up = true;
-    leaseFromMs = time.now();
+    leaseStartMs = time.now();
     heartbeats.chooseController();
     cluster.network.serve(address, zone, this);
     heartbeats.start();
-    watchLease();
+    scheduleLeaseCheck();
   }
 
-  /** The cloud takes the machine away. */
-  void vanish() {
+  /** Called when the cloud removes the machine. */
+  void remove() {
     tasks.stopAll();
-    returned = true;
+    removed = true;
     cluster.network.stop(address);
   }
 
-  /** The machine fails, and stays in the cloud's list. */
+  /** Makes the machine fail. It remains in the cloud's list. */
   void fail() {
     if (isAlive()) {
       tasks.stopAll();
@@ -99,9 +99,9 @@
     }
   }
 
-  // ---- turns
+  // ---- hanging
 
-  /** Runs something once the machine does not hang, and checks the lease before. */
+  /** Checks the lease and runs work, as soon as the machine does not hang. */
   void whenResumed(Runnable work) {
     if (faults.isHanging()) {
       afterHanging(() -> whenResumed(work));
@@ -111,75 +111,78 @@
     }
   }
 
-  /** Runs something just after the machine stops hanging. */
+  /** Runs work just after the machine stops hanging. */
   void afterHanging(Runnable work) {
     time.after(faults.hangsForMs() + 1, this::isAlive, work);
   }
 
-  // ---- figures
+  // ---- state
 
-  /** The body of its last heartbeat, copies of which may arrive at any time. */
+  /** Returns the body of the last heartbeat, copies of which may arrive at any time. */
   byte[] lastHeartbeat() {
     return heartbeats.lastBody();
   }
 
-  /** The controller that it sends heartbeats to. */
+  /** Returns the label of the controller that the worker sends heartbeats to. */
   String reportsTo() {
     return heartbeats.target();
   }
 
-  /** Whether a task is on it that has not ended. */
+  /** Whether a task is on the machine and has not exited. */
   boolean holds(String task) {
     return tasks.holds(task);
   }
 
-  /** Adds the tasks on it that have not ended. */
+  /** Adds the tasks on the machine that have not exited. */
   void addTasksTo(Set<String> all) {
     tasks.addTo(all);
   }
 
-  /** Whether it works and has room for a task of so many CPUs. */
+  /**
+   * Whether the machine is alive and reachable in both directions, does not hang, and has this many
+   * free CPUs.
+   */
   boolean hasRoom(double cpus) {
     return isAlive()
         && !faults.isHanging()
         && !faults.isDeaf()
         && !faults.isMute()
-        && tasks.usedCpus() + cpus <= SimulatedCloud.CPUS + ROUNDING_CPUS;
+        && tasks.usedCpus() + cpus <= SimulatedCloud.CPUS + CPU_TOLERANCE;
   }
 
-  /** How many direct commands it executed or refused long after they were sent. */
+  /** Returns how many messages with direct commands arrived long after they were sent. */
   int lateCommands() {
     return lateCommands;
   }
 
-  /** How many direct commands it executed while it was mute. */
+  /** Returns how many messages with direct commands the worker executed while it was mute. */
   int commandsWhileMute() {
     return commandsWhileMute;
   }
 
   // ---- lease
 
-  /** Checks the lease at the first step after it expires, if nothing renews it until then. */
-  private void watchLease() {
-    long leftMs = leaseFromMs + cluster.leaseMs + 1 - time.now();
-    long steps = Math.max(1, (leftMs + LEASE_CHECK_MS - 1) / LEASE_CHECK_MS);
+  /** Schedules the check of the lease for the first interval after which it can have expired. */
+  private void scheduleLeaseCheck() {
+    long leftMs = leaseStartMs + cluster.leaseMs + 1 - time.now();
+    long steps = Math.max(1, (leftMs + LEASE_CHECK_INTERVAL_MS - 1) / LEASE_CHECK_INTERVAL_MS);
     time.after(
-        steps * LEASE_CHECK_MS,
+        steps * LEASE_CHECK_INTERVAL_MS,
         this::isAlive,
         () -> {
           checkLease();
-          watchLease();
+          scheduleLeaseCheck();
         });
   }
 
-  /** Stops all tasks if the lease has expired, and begins a new incarnation. */
+  /** Stops all tasks and begins a new incarnation if the lease has expired. */
   void checkLease() {
-    if (time.now() - leaseFromMs > cluster.leaseMs) {
-      // A hanging worker begins one when it resumes; its tasks do not run meanwhile.
+    if (time.now() - leaseStartMs > cluster.leaseMs) {
+      // A hanging worker begins a new incarnation when it resumes. Its tasks do not run meanwhile.
       tasks.stopAll();
       if (!faults.isHanging()) {
         incarnation++;
-        leaseFromMs = time.now();
+        leaseStartMs = time.now();
         heartbeats.onChange();
       }
     }
@@ -189,15 +192,15 @@
     return incarnation;
   }
 
-  /** Takes in the commands of an answer to a heartbeat, which renews the lease. */
+  /** Renews the lease after an answer to a heartbeat, and executes the commands in it. */
   void onHeartbeatAnswered(JsonNode body, long sentAtMs, long receivedAtMs) {
-    long newToken = body.path("warrant").asLong(-1);
-    if (newToken < token) {
+    long newFencingToken = body.path("warrant").asLong(-1);
+    if (newFencingToken < fencingToken) {
       return;
     }
-    boolean higher = newToken > token;
-    token = newToken;
-    leaseFromMs = Math.max(leaseFromMs, sentAtMs);
+    boolean higher = newFencingToken > fencingToken;
+    fencingToken = newFencingToken;
+    leaseStartMs = Math.max(leaseStartMs, sentAtMs);
     tasks.execute(body.path("orders"), receivedAtMs);
     if (higher) {
       heartbeats.onChange();
@@ -211,7 +214,7 @@
 
   // ---- messages
 
-  /** The body of a heartbeat now. */
+  /** Returns the body of a heartbeat with the current status and the next sequence number. */
   byte[] status() {
     ObjectNode status =
         Json.object()
@@ -222,14 +225,14 @@
             .put("loaners", spot)
             .put("shift", incarnation)
             .put("tally", ++sequence)
-            .put("warrant", token);
+            .put("warrant", fencingToken);
     tasks.writeTo(status.putArray("boards"));
     return Json.bytes(status);
   }
 
   @Override
   public void handle(Http.Request request, Consumer<Http.Response> reply) {
-    handle(request, reply, cluster.network.sentAtMs());
+    handle(request, reply, cluster.network.currentRequestSentAtMs());
   }
 
   private void handle(Http.Request request, Consumer<Http.Response> reply, long sentAtMs) {
@@ -255,11 +258,12 @@
     }
     boolean late = time.now() - sentAtMs > LATE_COMMAND_MS;
     lateCommands += late ? 1 : 0;
-    if (body.path("warrant").asLong() < token || body.path("shift").asLong() != incarnation) {
+    if (body.path("warrant").asLong() < fencingToken
+        || body.path("shift").asLong() != incarnation) {
       reply.accept(new Http.Response(409, status()));
       return;
     }
-    token = body.path("warrant").asLong();
+    fencingToken = body.path("warrant").asLong();
     if (late) {
       cluster.onLateCommandExecuted();
     }
@@ -268,7 +272,7 @@
     reply.accept(new Http.Response(200, status()));
   }
 
-  /** Takes a start from a former leader that does not know of the end of its term. */
+  /** Starts a task for a former shard leader that does not know that its term has ended. */
   void startForFormerLeader(String task, long attempt) {
     tasks.start(task, attempt);
     heartbeats.onChange();
--- a/src/test/java/org/fieldtrestle/simulation/StoreLeases.java
+++ b/src/test/java/org/fieldtrestle/simulation/StoreLeases.java
@@ -8,7 +8,7 @@
 
 /** The leases of a simulated key-value store. */
 final class StoreLeases {
-  private static final long CHECK_MS = 100;
+  private static final long CHECK_INTERVAL_MS = 100;
 
   private static final class Lease {
     private final long ttlMs;
@@ -26,10 +26,10 @@
   private long lastId;
 
   /**
-   * Creates the leases of a store, which are checked periodically.
+   * Starts the periodic check for expired leases.
    *
-   * @param paused whether no lease expires now
-   * @param onExpired called with each lease that has expired
+   * @param paused returns whether leases do not expire at present
+   * @param onExpired called with the identifier of each lease that has expired
    */
   StoreLeases(SimulatedTime time, BooleanSupplier paused, LongConsumer onExpired) {
     this.time = time;
@@ -40,7 +40,7 @@
 
   private void checkPeriodically() {
     time.after(
-        CHECK_MS,
+        CHECK_INTERVAL_MS,
         () -> {
           if (!paused.getAsBoolean()) {
             expire();
--- a/src/test/java/org/fieldtrestle/simulation/StoreWatches.java
+++ b/src/test/java/org/fieldtrestle/simulation/StoreWatches.java
@@ -26,21 +26,25 @@
 
   private final SimulatedTime time;
   private final VersionedKeys keys;
-  private final LongSupplier outageLeftMs;
+  private final LongSupplier remainingOutageMs;
   private final List<Watch> watches = new ArrayList<>();
 
   /**
    * Creates the watches of a store.
    *
-   * @param outageLeftMs for how long the store answers nobody; 0 or less if it does answer
+   * @param remainingOutageMs returns how much longer the outage of the store lasts, in
+   *     milliseconds; 0 or less if there is none
    */
-  StoreWatches(SimulatedTime time, VersionedKeys keys, LongSupplier outageLeftMs) {
+  StoreWatches(SimulatedTime time, VersionedKeys keys, LongSupplier remainingOutageMs) {
     this.time = time;
     this.keys = keys;
-    this.outageLeftMs = outageLeftMs;
+    this.remainingOutageMs = remainingOutageMs;
   }
 
-  /** Opens a watch, which is answered with the next changes or once its time is up. */
+  /**
+   * Opens a watch. It is answered with the next changes under its prefix, or without changes after
+   * {@code blockMs}.
+   */
   void open(String prefix, long fromRevision, long blockMs, Consumer<Http.Response> reply) {
     Watch watch = new Watch(prefix, fromRevision, reply);
     watches.add(watch);
@@ -48,26 +52,26 @@
     answerChanged();
   }
 
-  /** Answers all watches for which there are changes. */
+  /** Answers all watches for which there are changes, unless the store has an outage. */
   void answerChanged() {
-    if (outageLeftMs.getAsLong() <= 0) {
+    if (remainingOutageMs.getAsLong() <= 0) {
       List.copyOf(watches).forEach(watch -> answer(watch, false));
     }
   }
 
-  private void answer(Watch watch, boolean timeIsUp) {
+  private void answer(Watch watch, boolean timedOut) {
     if (watch.answered) {
       return;
     }
-    long leftMs = outageLeftMs.getAsLong();
+    long leftMs = remainingOutageMs.getAsLong();
     if (leftMs > 0) {
-      if (timeIsUp) {
+      if (timedOut) {
         time.after(leftMs + 1, () -> answer(watch, true));
       }
       return;
     }
     ArrayNode events = keys.changesAfter(watch.fromRevision, watch.prefix);
-    if (timeIsUp || !events.isEmpty()) {
+    if (timedOut || !events.isEmpty()) {
       watch.answered = true;
       watches.remove(watch);
       ObjectNode answer = Json.object().put("ledger", keys.revision());
--- a/src/test/java/org/fieldtrestle/simulation/VersionedKeys.java
+++ b/src/test/java/org/fieldtrestle/simulation/VersionedKeys.java
@@ -11,27 +11,27 @@
 import java.util.function.Predicate;
 import org.fieldtrestle.protocol.Json;
 
-/** The keys of a simulated key-value store, their versions, and the latest changes of them. */
+/** The keys of a simulated key-value store with their values, versions and latest changes. */
 final class VersionedKeys {
-  /** How many changes are kept for watches that begin at a past revision. */
+  /** At least this many of the latest changes are kept for watches from a past revision. */
   private static final int KEPT_CHANGES = 10_000;
 
   /**
-   * A value of a key.
+   * The value of a key.
    *
-   * @param version the revision at which it was written
-   * @param lease the key is removed with this lease; 0: with none
+   * @param version revision at which the value was written
+   * @param lease identifier of the lease with which the key is removed; 0 if there is none
    */
-  record Versioned(JsonNode value, long version, long lease) {}
+  record VersionedValue(JsonNode value, long version, long lease) {}
 
-  /** A change of a key; a value of null removes it. */
+  /** A change of a key. A value of {@code null} means that the key was removed. */
   private record Change(String key, JsonNode value, long revision) {}
 
-  private final TreeMap<String, Versioned> keys = new TreeMap<>();
+  private final TreeMap<String, VersionedValue> keys = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
   private long revision;
 
-  /** Changes up to this revision are not kept. */
+  /** The changes up to this revision are no longer kept. */
   private long compactedRevision;
 
   long revision() {
@@ -42,42 +42,42 @@
     return compactedRevision;
   }
 
-  /** Begins the next revision, which the next changes belong to. */
+  /** Begins the next revision. The changes that follow belong to it. */
   void beginRevision() {
     revision++;
   }
 
-  /** Returns a key's value, or null if it does not exist. */
-  Versioned get(String key) {
+  /** Returns the value of a key, or {@code null} if the key does not exist. */
+  VersionedValue get(String key) {
     return keys.get(key);
   }
 
-  /** Returns a key's version, or 0 if it does not exist. */
+  /** Returns the version of a key, or 0 if the key does not exist. */
   long version(String key) {
-    Versioned kept = keys.get(key);
-    return kept == null ? 0 : kept.version();
+    VersionedValue found = keys.get(key);
+    return found == null ? 0 : found.version();
   }
 
-  /** Returns all keys that a prefix begins, in order. */
-  SortedMap<String, Versioned> withPrefix(String prefix) {
+  /** Returns all keys with a prefix, in order. */
+  SortedMap<String, VersionedValue> withPrefix(String prefix) {
     return keys.subMap(prefix, prefix + Character.MAX_VALUE);
   }
 
-  /** Returns the names of the keys whose values a condition holds of, in order. */
-  List<String> namesOf(Predicate<Versioned> condition) {
+  /** Returns the names of the keys whose values meet a condition, in order. */
+  List<String> namesOf(Predicate<VersionedValue> condition) {
     return keys.entrySet().stream()
         .filter(key -> condition.test(key.getValue()))
         .map(Map.Entry::getKey)
         .toList();
   }
 
-  /** Sets a key at the present revision. */
+  /** Sets a key at the current revision. */
   void put(String key, JsonNode value, long lease) {
-    keys.put(key, new Versioned(value, revision, lease));
+    keys.put(key, new VersionedValue(value, revision, lease));
     addChange(new Change(key, value, revision));
   }
 
-  /** Removes a key, if it exists, at the present revision. */
+  /** Removes a key, if it exists, at the current revision. */
   void remove(String key) {
     if (keys.remove(key) != null) {
       addChange(new Change(key, null, revision));
@@ -93,18 +93,21 @@
     }
   }
 
-  /** Forgets all changes so far, so that earlier watches have to read everything again. */
+  /**
+   * Discards all changes so far. A watch from an earlier revision is no longer possible; its client
+   * has to read all keys again.
+   */
   void compact() {
     compactedRevision = revision;
     changes.clear();
   }
 
-  /** Writes a page of keys in the form of the protocol. */
+  /** Returns a page of keys in the format of the protocol. */
   ObjectNode page(String prefix, String after, int maxEntries) {
     ObjectNode page = Json.object().put("ledger", revision);
     ArrayNode items = page.putArray("items");
     boolean more = false;
-    for (Map.Entry<String, Versioned> key : withPrefix(prefix).entrySet()) {
+    for (Map.Entry<String, VersionedValue> key : withPrefix(prefix).entrySet()) {
       if (after != null && key.getKey().compareTo(after) <= 0) {
         continue;
       }
@@ -121,7 +124,7 @@
     return page.put("more", more);
   }
 
-  /** Writes the changes after a revision in the form of the protocol. */
+  /** Returns the changes after a revision in the format of the protocol. */
   ArrayNode changesAfter(long fromRevision, String prefix) {
     ArrayNode events = Json.array();
     for (Change change : changes.subList(firstAfter(fromRevision), changes.size())) {
--- a/src/test/java/org/fieldtrestle/simulation/WorkerHeartbeats.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerHeartbeats.java
@@ -3,27 +3,27 @@
 import org.fieldtrestle.protocol.Json;
 import org.fieldtrestle.transport.Http;
 
-/** The heartbeats of a simulated worker: periodically, and soon after a task has changed. */
+/** Sends the heartbeats of a simulated worker, periodically and soon after a task has changed. */
 final class WorkerHeartbeats {
-  /** A worker sends no heartbeat sooner than this after the one before. */
+  /** The minimum time between two heartbeats of a worker. */
   private static final long MIN_INTERVAL_MS = 500;
 
   private static final long TIMEOUT_MS = 4000;
 
-  /** After a failure the next controller is tried once this has passed. */
-  private static final long RETRY_MS = 1000;
+  /** The time after a failure until the next controller is tried. */
+  private static final long RETRY_DELAY_MS = 1000;
 
   private final SimulatedCluster cluster;
   private final SimulatedTime time;
   private final SimulatedWorker worker;
   private int targetIndex;
-  private boolean pending;
+  private boolean awaitingAnswer;
   private boolean due;
   private boolean changed;
   private long lastSentAtMs = -10_000;
   private byte[] lastBody = Http.Response.EMPTY;
 
-  /** A heartbeat on its way. */
+  /** A heartbeat that was sent and not answered yet. */
   private record Sent(long atMs, long incarnation) {}
 
   WorkerHeartbeats(SimulatedCluster cluster, SimulatedWorker worker) {
@@ -32,12 +32,12 @@
     this.worker = worker;
   }
 
-  /** Chooses any controller for the first heartbeat. */
+  /** Chooses a random controller for the first heartbeat. */
   void chooseController() {
     targetIndex = (int) time.between(0, cluster.labels().size() - 1);
   }
 
-  /** The controller that heartbeats go to. */
+  /** Returns the label of the controller that heartbeats are sent to. */
   String target() {
     return cluster.labels().get(targetIndex);
   }
@@ -59,14 +59,14 @@
         });
   }
 
-  /** Called when there is something to report. */
+  /** Called when something has changed that a heartbeat reports. */
   void onChange() {
     changed = true;
     sendIfDue();
   }
 
   private void sendIfDue() {
-    if (!worker.isAlive() || pending || !(due || changed)) {
+    if (!worker.isAlive() || awaitingAnswer || !(due || changed)) {
       return;
     }
     if (worker.faults.isHanging()) {
@@ -83,7 +83,7 @@
   }
 
   private void send() {
-    pending = true;
+    awaitingAnswer = true;
     due = false;
     changed = false;
     lastSentAtMs = time.now();
@@ -119,7 +119,7 @@
   }
 
   private void receive(Http.Outcome outcome, Sent sent, long receivedAtMs) {
-    pending = false;
+    awaitingAnswer = false;
     int status = outcome instanceof Http.Answer answer ? answer.status() : 0;
     byte[] body = outcome instanceof Http.Answer answer ? answer.body() : Http.Response.EMPTY;
     switch (status) {
@@ -147,7 +147,7 @@
   private void tryNextController() {
     targetIndex = (targetIndex + 1) % cluster.labels().size();
     time.after(
-        RETRY_MS,
+        RETRY_DELAY_MS,
         worker::isAlive,
         () -> {
           due = true;
--- a/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
@@ -10,13 +10,13 @@
 
 /** The tasks on a simulated machine, and the commands that start, stop and clear them. */
 final class WorkerTasks {
-  private static final long FAILS_AFTER_MS = 300;
+  private static final long FAILURE_DELAY_MS = 300;
   private static final String EXITED = "exited";
 
   private static final class Task {
     private final long attempt;
 
-    /** Distinguishes attempts of the same number, also of a task that was cleared. */
+    /** Distinguishes starts with the same attempt number, which are possible after a clear. */
     private final long startNumber;
 
     private String state = "fetching";
@@ -37,8 +37,8 @@
   private final SimulatedTime time;
   private final SimulatedWorker worker;
   private final TreeMap<String, Task> tasks = new TreeMap<>();
-  private final Set<String> images = new HashSet<>();
-  private long starts;
+  private final Set<String> fetchedImages = new HashSet<>();
+  private long startCount;
 
   WorkerTasks(SimulatedCluster cluster, SimulatedWorker worker) {
     this.cluster = cluster;
@@ -70,7 +70,7 @@
     return used;
   }
 
-  /** Writes the status of all tasks. */
+  /** Adds the status of all tasks to a list. */
   void writeTo(ArrayNode list) {
     tasks.forEach(
         (name, task) -> {
@@ -82,22 +82,26 @@
         });
   }
 
-  /** Nothing is left on the machine. */
+  /** Stops all tasks, without reporting their ends, and removes them from the machine. */
   void stopAll() {
     for (String name : List.copyOf(tasks.keySet())) {
-      leave(name, tasks.get(name));
+      stopRunning(name, tasks.get(name));
     }
     tasks.clear();
   }
 
-  private void leave(String name, Task task) {
+  private void stopRunning(String name, Task task) {
     if (task.running) {
       task.running = false;
       cluster.invariants.left(name, worker.id);
     }
   }
 
-  /** Executes commands that were sent at a time. */
+  /**
+   * Executes commands.
+   *
+   * @param sentAtMs when the commands were sent
+   */
   void execute(JsonNode commands, long sentAtMs) {
     for (JsonNode command : commands) {
       String name = command.path("board").asText();
@@ -106,7 +110,7 @@
       switch (command.path("order").asText()) {
         case "start" -> {
           cluster.invariants.startOrdered(name, sentAtMs);
-          startUnlessHeld(name, attempt, task);
+          startUnlessPresent(name, attempt, task);
         }
         case "stop" -> {
           if (task != null && task.attempt == attempt && !task.hasExited()) {
@@ -123,7 +127,7 @@
     worker.onTaskChange();
   }
 
-  private void startUnlessHeld(String name, long attempt, Task task) {
+  private void startUnlessPresent(String name, long attempt, Task task) {
     if (task == null) {
       start(name, attempt);
     } else if (task.attempt != attempt && task.hasExited()) {
@@ -132,9 +136,9 @@
     }
   }
 
-  /** Starts a task: its image is fetched first. */
+  /** Starts a task. Its image is fetched first unless the machine has it already. */
   void start(String name, long attempt) {
-    Task task = new Task(attempt, ++starts);
+    Task task = new Task(attempt, ++startCount);
     tasks.put(name, task);
     SimulatedJob job = cluster.jobs.get(SimulatedJob.idOf(name));
     if (job == null) {
@@ -146,14 +150,16 @@
       return;
     }
     long fetchMs =
-        images.contains(job.image()) ? 0 : cluster.imageFetchFactor() * time.between(500, 3000);
+        fetchedImages.contains(job.image())
+            ? 0
+            : cluster.imageFetchFactor() * time.between(500, 3000);
     time.after(
         fetchMs,
         worker::isAlive,
         () -> worker.whenResumed(() -> onFetched(name, task.startNumber, job)));
   }
 
-  /** Whether a start is still the latest of a task that has not exited. */
+  /** Whether a start is still the latest one of its task, and the task has not exited. */
   private boolean isCurrent(String name, long startNumber) {
     Task task = tasks.get(name);
     return task != null && task.startNumber == startNumber && !task.hasExited();
@@ -164,7 +170,7 @@
       return;
     }
     Task task = tasks.get(name);
-    images.add(job.image());
+    fetchedImages.add(job.image());
     task.state = "running";
     task.running = true;
     cluster.invariants.started(name, worker);
@@ -180,7 +186,7 @@
       return 0;
     }
     if (worker.faults.failsTasks() || job.isFailing()) {
-      return FAILS_AFTER_MS;
+      return FAILURE_DELAY_MS;
     }
     return worker.faults.slowness()
         * (1 + (long) job.unevenness() * SimulatedJob.indexOf(name))
@@ -202,7 +208,7 @@
   }
 
   private void exit(String name, Task task, String cause) {
-    leave(name, task);
+    stopRunning(name, task);
     task.state = EXITED;
     task.cause = cause;
     worker.onTaskChange();
