--- a/src/main/java/org/fieldtrestle/StubKeyValueStore.java
+++ b/src/main/java/org/fieldtrestle/StubKeyValueStore.java
@@ -7,14 +7,16 @@
 import java.util.TreeMap;
 import org.fieldtrestle.protocol.Json;
 
-/** A key-value store without conditions and leases, for {@link ClassListRecorder}. */
+/**
+ * A stub of a key-value store that ignores conditions and leases, for {@link ClassListRecorder}.
+ */
 final class StubKeyValueStore {
-  /** The change that has written each key last. */
-  private final Map<String, JsonNode> changes = new TreeMap<>();
+  /** The last change that has written each key. */
+  private final Map<String, JsonNode> lastChangeByKey = new TreeMap<>();
 
   private long revision = 1;
 
-  /** Applies a transaction without looking at its conditions. */
+  /** Applies a transaction without checking its conditions. */
   ObjectNode commit(JsonNode transaction) {
     transaction.path("apply").forEach(this::apply);
     return Json.object().put("ledger", ++revision);
@@ -22,9 +24,9 @@
 
   private void apply(JsonNode change) {
     if (change.has("write")) {
-      changes.put(change.path("write").asText(), change);
+      lastChangeByKey.put(change.path("write").asText(), change);
     } else {
-      changes.remove(change.path("remove").asText());
+      lastChangeByKey.remove(change.path("remove").asText());
     }
   }
 
@@ -32,11 +34,11 @@
     return Json.object().put("permit", 1);
   }
 
-  /** All keys of a listing, in one page. */
+  /** Returns all keys that a list request asks for, as a single page. */
   ObjectNode list(Map<String, String> query) {
     ObjectNode listing = Json.object().put("more", false).put("ledger", revision);
     ArrayNode items = listing.putArray("items");
-    for (String key : changes.keySet()) {
+    for (String key : lastChangeByKey.keySet()) {
       if (key.startsWith(query.get("prefix"))
           && key.compareTo(query.getOrDefault("from", "")) > 0) {
         items.add(entry(key));
@@ -47,11 +49,11 @@
 
   private ObjectNode entry(String key) {
     ObjectNode entry = Json.object().put("key", key).put("entry", revision);
-    entry.set("v", changes.get(key).path("v"));
+    entry.set("v", lastChangeByKey.get(key).path("v"));
     return entry;
   }
 
-  /** Answers a watch with the change of another member's key. */
+  /** Answers a watch with a change to the key of another controller's membership. */
   ObjectNode watch() {
     ObjectNode events = Json.object();
     ObjectNode change = events.putArray("log").addObject();
--- a/src/main/java/org/fieldtrestle/controller/PeerLiveness.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerLiveness.java
@@ -27,7 +27,7 @@
   }
 
   void messageReceived(PeerMessage.Liveness message) {
-    lastMessages.put(message.sender(), new LastMessage(reactor.now(), message.storeAvailable()));
+    lastMessages.put(message.sender(), new LastMessage(reactor.nowMs(), message.storeAvailable()));
   }
 
   /** Returns the labels of all controllers from which a liveness message was ever received. */
@@ -44,7 +44,7 @@
    * controller has to be one of {@link #peers}.
    */
   long silentMs(String peer) {
-    return reactor.now() - lastMessages.get(peer).receivedAtMs();
+    return reactor.nowMs() - lastMessages.get(peer).receivedAtMs();
   }
 
   boolean isAnyAlive() {
--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -89,8 +89,8 @@
       // would rent a second fleet for them.
       if (range.spec() != null
           && !term.policy().mustStop(range)
-          && range.waiting() > 0
-          && !ranges.blocked(range)) {
+          && range.waitingCount() > 0
+          && !ranges.mayHaveUnreportedTasks(range)) {
         Optional<MachineType> type = machineTypes.cheapestFor(range.spec());
         if (type.isPresent()) {
           demands.add(demand(range, type.get(), nowMs));
@@ -105,12 +105,12 @@
     JobSpec spec = range.spec();
     double machineS =
         (spec.estimateS() + type.imageFetchS(spec) / 2)
-            * range.waiting()
+            * range.waitingCount()
             / type.tasksPerMachine(spec);
     String zone = range.zone() != null ? range.zone() : spec.zone();
     double wantedS = DEFAULT_TIME_LIMIT_BOOTS * type.bootS();
     if (spec.deadlineS() >= 0) {
-      double waitedS = (nowMs - range.waitingSince()) / 1000.0;
+      double waitedS = (nowMs - range.waitingSinceMs()) / 1000.0;
       double slackS = spec.deadlineS() - waitedS - spec.estimateS() - type.imageFetchS(spec);
       wantedS = slackS * slackShare(spec) + spec.estimateS();
     }
@@ -182,14 +182,14 @@
     return !worker.isDraining()
         && !(worker.isLeaseExpired() && health.isSilent(worker, nowMs))
         && kind.isServedBy(worker)
-        && !failures.avoids(kind.range(), worker);
+        && !failures.mustAvoid(kind.range(), worker);
   }
 
   /** Adds the time in seconds for which the tasks of a worker occupy a whole machine of a type. */
   private static double addBusyS(double sumS, Worker worker, MachineType type, long nowMs) {
     double busyS = sumS;
     for (TaskAttempt task : worker.attempts()) {
-      if (task.live() && task.range() != null && task.range().spec() != null) {
+      if (task.isLive() && task.range() != null && task.range().spec() != null) {
         busyS +=
             Math.max(MIN_REMAINING_S, remainingS(task, type, nowMs))
                 / type.tasksPerMachine(task.range().spec());
@@ -201,9 +201,9 @@
   private static double remainingS(TaskAttempt task, MachineType type, long nowMs) {
     JobSpec spec = task.range().spec();
     double fetchS =
-        task.runningSince() >= 0
+        task.runningSinceMs() >= 0
             ? 0
-            : Math.max(0, type.imageFetchS(spec) - (nowMs - task.placedAt()) / 1000.0);
+            : Math.max(0, type.imageFetchS(spec) - (nowMs - task.placedAtMs()) / 1000.0);
     return fetchS + task.remainingS(nowMs, spec.estimateS());
   }
 }
--- a/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
@@ -82,8 +82,8 @@
   void drainIfIdle(Worker worker, MachineType type, FleetStatus fleet, long nowMs) {
     if (worker.isUp()
         && worker.isReconciled()
-        && worker.empty()
-        && workers.listenedFor(worker.idleSince(), nowMs) > maxIdleMs(worker, type, fleet)) {
+        && worker.isEmpty()
+        && workers.listenedForMs(worker.idleSinceMs(), nowMs) > maxIdleMs(worker, type, fleet)) {
       MachineHealth.drain(worker, worker.isCordoned() ? "not needed" : "idle");
     }
   }
@@ -191,12 +191,13 @@
 
   private boolean mayBeReturned(Worker worker, long nowMs) {
     if (worker.hasSpotNotice()) {
+
       // The machine is charged for until the cloud takes it back, so its tasks may run until then.
-      return worker.empty()
-          || (nowMs > worker.spotNoticeUntil() + context.heartbeatIntervalsMs(1)
+      return worker.isEmpty()
+          || (nowMs > worker.spotNoticeUntilMs() + context.heartbeatIntervalsMs(1)
               && health.isSilent(worker, nowMs));
     }
-    return (worker.empty() && worker.hasNoCommandInFlight())
+    return (worker.isEmpty() && worker.hasNoCommandInFlight())
         || worker.isLeaseExpired()
         || health.isSilent(worker, nowMs)
         || health.isUnresponsive(worker, nowMs);
--- a/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
+++ b/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
@@ -45,13 +45,13 @@
       return;
     }
     if (range.isInherited()) {
-      double ageS = (context.nowMs() - range.waitingSince()) / 1000.0;
+      double ageS = (context.nowMs() - range.waitingSinceMs()) / 1000.0;
       busyMachines +=
           machineTypes.machineSeconds(range.spec(), range.record().size())
               * Math.exp(-ageS / TIME_CONSTANT_S)
               / TIME_CONSTANT_S;
     } else {
-      arrivedMachineS += machineTypes.machineSeconds(range.spec(), range.waiting());
+      arrivedMachineS += machineTypes.machineSeconds(range.spec(), range.waitingCount());
     }
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -60,7 +60,8 @@
    */
   boolean mayFetchConcurrently(WaitingTasks tasks, long nowMs) {
     return context.isLatencySensitive(tasks.range().spec())
-        && (!downloads.shared() || usedSlackShare(tasks, nowMs) > CONCURRENT_FETCH_SLACK_SHARE);
+        && (!downloads.isBandwidthShared()
+            || usedSlackShare(tasks, nowMs) > CONCURRENT_FETCH_SLACK_SHARE);
   }
 
   /**
@@ -107,7 +108,9 @@
     double fetchS = 0;
     double slots = 0;
     for (Worker worker : workers.all()) {
-      if (!worker.hasImage(spec.image()) || !workers.acceptsStarts(worker) || worker.isDraining()) {
+      if (!worker.hasImage(spec.image())
+          || !workers.mayStartTasksOn(worker)
+          || worker.isDraining()) {
         continue;
       }
       MachineType type = context.machineType(worker.machineType());
@@ -126,7 +129,7 @@
     if (spec.deadlineS() < 0) {
       return waitS;
     }
-    double slackS = spec.deadlineS() - spec.estimateS() - (nowMs - range.waitingSince()) / 1000.0;
+    double slackS = spec.deadlineS() - spec.estimateS() - (nowMs - range.waitingSinceMs()) / 1000.0;
     return Math.max(waitS, Math.min(slackS * WAIT_SLACK_SHARE, fetchS * MAX_WAIT_FETCHES));
   }
 
@@ -137,7 +140,7 @@
   private static double slotsFor(Worker worker, MachineType type, JobSpec spec) {
     double otherCpus = 0;
     for (TaskAttempt task : worker.attempts()) {
-      if (task.live() && !usesImage(task, spec.image())) {
+      if (task.isLive() && !usesImage(task, spec.image())) {
         otherCpus += task.cpus();
       }
     }
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -60,7 +60,7 @@
    * shards reserve together.
    */
   double reservedCpus() {
-    double capacity = workers.capacity();
+    double capacity = workers.capacityCpus();
     double capacityShare =
         capacity / Math.max(1, capacity + context.loads().capacityOfOthers(shard));
     return Math.min(
@@ -89,7 +89,7 @@
       range.markNotWithheld();
       return false;
     }
-    if (range.withheldSince() == TaskRange.NOT_WITHHELD) {
+    if (range.withheldSinceMs() == TaskRange.NOT_WITHHELD) {
       range.markWithheldSince(pass.nowMs());
     }
     long maxWithheldMs =
@@ -97,12 +97,12 @@
             Math.min(
                 context.settings().workerLeaseMs() * MAX_WITHHELD_LEASES,
                 context.shortestBootS() * 1000));
-    return pass.nowMs() - range.withheldSince() > maxWithheldMs;
+    return pass.nowMs() - range.withheldSinceMs() > maxWithheldMs;
   }
 
   /** Whether any worker has room for a task of the range, reserved or not. */
   private boolean hasRoomFor(TaskRange range, PlacementPass pass) {
-    int offset = range.firstWaiting();
+    int offset = range.firstWaitingOffset();
     for (FreeResources free : pass.candidates()) {
       if (free.fits(range.spec()) && constraints.allow(range, offset, free.worker())) {
         return true;
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -150,9 +150,11 @@
   private FreeResources selectWorker(
       PlacementPass pass, WaitingTasks tasks, long step, boolean preferImage) {
     TaskRange range = tasks.range();
+
     // Free resources only shrink during a step: if one task of a range finds no room, neither do
+
     // the others.
-    if (range.noRoomIn() == step
+    if (range.noRoomInStep() == step
         || !quotaShares.allows(range.spec())
         || isReservedForOthers(pass, tasks)) {
       return null;
@@ -179,7 +181,7 @@
       PlacementPass pass, WaitingTasks tasks, Worker worker, boolean preferImage) {
     TaskRange range = tasks.range();
     if (worker.hasImage(range.spec().image())
-        || worker.claimedBy(range, pass.nowMs())
+        || worker.isClaimedBy(range, pass.nowMs())
         || tasks.overdue()) {
       return false;
     }
@@ -202,7 +204,7 @@
     TaskRange range = tasks.range();
     int offset = tasks.firstOffset();
     executor.place(range, offset, free.worker(), executor.nextAttempt());
-    range.placed().get(offset).exemptFromPreemption(tasks.overdue());
+    range.placed().get(offset).setExemptFromPreemption(tasks.overdue());
     pass.recordPlacement(free, range.spec());
   }
 }
--- a/src/main/java/org/fieldtrestle/shard/ShardLog.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLog.java
@@ -78,7 +78,7 @@
   private static double notRunningCpus(Worker worker) {
     double cpus = 0;
     for (TaskAttempt attempt : worker.attempts()) {
-      if (attempt.live() && !attempt.hasRun()) {
+      if (attempt.isLive() && !attempt.hasRun()) {
         cpus += attempt.cpus();
       }
     }
@@ -94,7 +94,7 @@
     WorkerTotals totals = workerTotals();
     int waitingTasks = 0;
     for (TaskRange range : ranges.all()) {
-      waitingTasks += range.waiting();
+      waitingTasks += range.waitingCount();
     }
     LOG.atInfo()
         .addKeyValue("shard", term.shard())
--- a/src/main/java/org/fieldtrestle/worker/AttemptTable.java
+++ b/src/main/java/org/fieldtrestle/worker/AttemptTable.java
@@ -8,14 +8,14 @@
 import org.fieldtrestle.protocol.TaskId;
 
 /**
- * The attempts that are or may be on one worker, and what those that have not ended use. The sums
- * are kept up with every change, as placement passes and heartbeats ask for them all the time.
+ * The attempts that are or may be on a worker, and the resources used by those that have not ended.
+ * The sums are updated with every change because placement passes and heartbeats read them often.
  */
 final class AttemptTable {
   private final Map<TaskId, TaskAttempt> attempts = new HashMap<>();
   private final TeamUsage teamUsage;
-  private int live;
-  private int beforeImage;
+  private int liveCount;
+  private int awaitingImage;
   private double usedCpus;
   private double usedGpus;
   private double usedMemoryGb;
@@ -41,9 +41,9 @@
   }
 
   void put(TaskAttempt attempt) {
-    TaskAttempt before = attempts.put(attempt.task(), attempt);
-    if (before != null) {
-      count(before, -1);
+    TaskAttempt previous = attempts.put(attempt.task(), attempt);
+    if (previous != null) {
+      count(previous, -1);
     }
     count(attempt, 1);
   }
@@ -54,7 +54,7 @@
     }
   }
 
-  /** An attempt, which need not be in this table any more, has come to another state. */
+  /** Changes the state of an attempt, which may have been removed from this table before. */
   void changeState(TaskAttempt attempt, TaskAttempt.State next) {
     if (attempt.state() == next) {
       return;
@@ -63,18 +63,18 @@
     if (counted) {
       count(attempt, -1);
     }
-    attempt.enter(next);
+    attempt.setState(next);
     if (counted) {
       count(attempt, 1);
     }
   }
 
   private void count(TaskAttempt attempt, int sign) {
-    if (!attempt.live()) {
+    if (!attempt.isLive()) {
       return;
     }
-    live += sign;
-    beforeImage += attempt.state().isBeforeImage() ? sign : 0;
+    liveCount += sign;
+    awaitingImage += attempt.state().isAwaitingImage() ? sign : 0;
     usedCpus += sign * attempt.cpus();
     usedGpus += sign * attempt.gpus();
     usedMemoryGb += sign * attempt.memoryGb();
@@ -83,21 +83,21 @@
     } else {
       teamUsage.remove(attempt);
     }
-    if (live == 0) { // drops what rounding has left
+    if (liveCount == 0) { // removes rounding errors
       usedCpus = 0;
       usedGpus = 0;
       usedMemoryGb = 0;
     }
   }
 
-  /** Whether nothing that has not ended is on the worker. */
+  /** Whether all attempts on the worker have ended. */
   boolean isEmpty() {
-    return live == 0;
+    return liveCount == 0;
   }
 
-  /** Whether some attempt still waits for its image. */
+  /** Whether any attempt is still waiting for its image. */
   boolean isFetching() {
-    return beforeImage > 0;
+    return awaitingImage > 0;
   }
 
   double usedCpus() {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
@@ -14,8 +14,8 @@
   /** The maximum drift of a controller's steady clock. */
   private static final double MAX_CLOCK_DRIFT = 0.0005;
 
-  /** The maximum error of a controller's time of day. */
-  private static final long MAX_WALL_OFFSET_MS = 100;
+  /** The maximum error of a controller's wall clock. */
+  private static final long MAX_WALL_CLOCK_OFFSET_MS = 100;
 
   private static final double REPEATED_FRAME_SHARE = 0.05;
   private static final double LATE_FRAME_SHARE = 0.05;
@@ -47,7 +47,7 @@
             this::isAlive,
             this::turn,
             time.random.nextDouble() * MAX_CLOCK_DRIFT,
-            time.between(-MAX_WALL_OFFSET_MS, MAX_WALL_OFFSET_MS));
+            time.between(-MAX_WALL_CLOCK_OFFSET_MS, MAX_WALL_CLOCK_OFFSET_MS));
     this.controller =
         new Controller(
             ClusterLayout.settings(label, cluster.deployment()),
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
@@ -59,19 +59,20 @@
    * @param alive returns whether the process has not been killed
    * @param turn runs work, or keeps it for later while the process is frozen
    * @param drift relative error of the steady clock
-   * @param wallOffsetMs error of the time of day, in milliseconds
+   * @param wallClockOffsetMs error of the wall clock, in milliseconds
    */
-  Reactor process(BooleanSupplier alive, Consumer<Runnable> turn, double drift, long wallOffsetMs) {
+  Reactor process(
+      BooleanSupplier alive, Consumer<Runnable> turn, double drift, long wallClockOffsetMs) {
     long startedAtMs = nowMs;
     return new Reactor() {
       @Override
-      public long now() {
+      public long nowMs() {
         return Math.round((nowMs - startedAtMs) * (1 + drift));
       }
 
       @Override
-      public long wall() {
-        return 1_700_000_000_000L + nowMs + wallOffsetMs;
+      public long wallClockMs() {
+        return 1_700_000_000_000L + nowMs + wallClockOffsetMs;
       }
 
       @Override
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -15,7 +15,7 @@
 import org.fieldtrestle.state.StateKeys;
 import org.junit.jupiter.api.Test;
 
-/** Each reason for which a task may not be started or has to be stopped, by itself. */
+/** Tests each reason why a task may not be started or must be stopped in isolation. */
 class CommandPolicyTest {
   private final ShardLeaderFixture fixture = new ShardLeaderFixture();
   private final CommandPolicy policy = fixture.policy();
@@ -36,7 +36,7 @@
     assertTrue(policy.mustStop(range));
   }
 
-  /** The range's record may be written later than the job's end, in a transaction of its own. */
+  /** The range's record may be written later than the job's end, in a separate transaction. */
   @Test
   void aJobThatWasSeenAndIsAbsentHasEndedWhateverTheVersionOfItsRange() {
     range.followRecord(range.record(), ShardLeaderFixture.LATER_REVISION * 2);
@@ -73,7 +73,8 @@
       fixture.context.cancellations().noticeReceived("job-" + (100_000 + i));
     }
     assertFalse(
-        fixture.context.cancellations().hasNotice(ShardLeaderFixture.JOB), "forgotten by itself");
+        fixture.context.cancellations().hasNotice(ShardLeaderFixture.JOB),
+        "later notices have displaced it");
     assertEquals(StartRefusal.JOB_CANCELLED, policy.startRefusal(range));
     assertTrue(policy.mustStop(range));
   }
@@ -124,7 +125,7 @@
     assertEquals(StartRefusal.FENCE_CLOSED, policy.startRefusal(range));
     assertFalse(policy.mayAcknowledge());
     fixture.network.runFor(60_000);
-    assertNull(policy.startRefusal(range), "it opens again by itself");
+    assertNull(policy.startRefusal(range), "the fence opens again once the store answers");
   }
 
   @Test
