--- a/src/test/java/org/fieldtrestle/simulation/MessageObserver.java
+++ b/src/test/java/org/fieldtrestle/simulation/MessageObserver.java
@@ -8,7 +8,7 @@
   /** The message is delivered without delay. */
   long NO_DELAY = 0;
 
-  /** Returned in place of a delay: the message is lost, and its sender waits for its timeout. */
+  /** Returned in place of a delay: the message is lost, and its sender gives up at its timeout. */
   long LOST = -1;
 
   /**
