--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -10,57 +10,62 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Many running jobs are cancelled within a fifth of a second, and the key-value store begins to
- * fail at one moment after another of that time and the next. Once the leadership fence bounds what
- * a controller may not have heard of, no task of theirs is started, whichever step the failure
- * falls between.
+ * Cancels many running jobs within 200 ms and lets the key-value store fail during that time or
+ * shortly afterwards; each step of the sweep begins the failure a little later. A controller may
+ * miss a cancellation only until its leadership fence closes. After that no task of these jobs may
+ * be started, whichever steps of the cancellations the failure falls between.
  *
- * <p>By hand, more machines or other steps, with the figures of each step in {@code
- * target/surefire-reports}: {@code mvn -o -B test -Dtest=CancellationSweepTest -DargLine="-Xmx6g
- * -Dsweep.machines=4000 -Dorg.slf4j.simpleLogger.log.org.fieldtrestle.simulation=info"}.
+ * <p>To run the test by hand with more machines or other steps, and with the figures of each step
+ * in {@code target/surefire-reports}: {@code mvn -o -B test -Dtest=CancellationSweepTest
+ * -DargLine="-Xmx6g -Dsweep.machines=4000
+ * -Dorg.slf4j.simpleLogger.log.org.fieldtrestle.simulation=info"}.
  */
 class CancellationSweepTest {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationSweepTest.class);
   private static final int MACHINES = Integer.getInteger("sweep.machines", 120);
   private static final int STEP_MS = Integer.getInteger("sweep.stepMs", 20);
-  private static final int LAST_MS = 240;
+  private static final int LAST_OFFSET_MS = 240;
   private static final int JOBS = 30;
-  private static final int CANCELLED = 18;
-  private static final long CANCELLED_WITHIN_MS = 200;
+  private static final int CANCELLED_JOBS = 18;
+  private static final long CANCELLATIONS_WITHIN_MS = 200;
   private static final int CPUS_PER_TASK = 4;
-  private static final long LONG_RUN_MS = 600_000;
+  private static final long TASK_RUN_MS = 600_000;
   private static final long SETTLED_MS = 90_000;
-  private static final long AFTERWARDS_MS = 40_000;
+  private static final long RECOVERY_MS = 40_000;
 
-  /** A failure of the key-value store for some time. */
+  /** A failure of the key-value store that lasts for some time. */
   private interface Failure {
-    void begin(SimulatedCluster cluster, long ms);
+    void begin(SimulatedCluster cluster, long durationMs);
   }
 
   @Test
-  void cancelledTasksStayStoppedWhenTheStoreRefusesEverybody() {
-    sweep((cluster, ms) -> cluster.store.outage(ms));
+  void cancelledTasksStayStoppedWhenTheStoreRefusesAllControllers() {
+    sweep((cluster, durationMs) -> cluster.store.outage(durationMs));
   }
 
   @Test
   void cancelledTasksStayStoppedWhenTheStoreRefusesOneController() {
-    sweep((cluster, ms) -> cluster.faults.refuse("trestle-" + cluster.time.between(0, 2), ms));
+    sweep(
+        (cluster, durationMs) ->
+            cluster.faults.refuse("trestle-" + cluster.time.between(0, 2), durationMs));
   }
 
   @Test
   void cancelledTasksStayStoppedWhenTheStoreIsSlow() {
-    sweep((cluster, ms) -> cluster.network.slow(ClusterLayout.STORE_ADDRESS, 700, ms));
+    sweep(
+        (cluster, durationMs) ->
+            cluster.network.slow(ClusterLayout.STORE_ADDRESS, 700, durationMs));
   }
 
   private static void sweep(Failure failure) {
-    List<String> failed = new ArrayList<>();
-    for (int offset = 0; offset <= LAST_MS; offset += STEP_MS) {
-      play(failure, offset, failed);
+    List<String> failedChecks = new ArrayList<>();
+    for (int offsetMs = 0; offsetMs <= LAST_OFFSET_MS; offsetMs += STEP_MS) {
+      runStep(failure, offsetMs, failedChecks);
     }
-    assertEquals(List.of(), failed);
+    assertEquals(List.of(), failedChecks);
   }
 
-  private static void play(Failure failure, int offsetMs, List<String> failed) {
+  private static void runStep(Failure failure, int offsetMs, List<String> failedChecks) {
     SimulatedCluster cluster =
         SimulatedCluster.builder()
             .seed(offsetMs + 1)
@@ -73,22 +78,26 @@
     List<SimulatedJob> running =
         jobs.stream()
             .filter(job -> cluster.invariants.runningTasksOf(job.id()) > 0)
-            .limit(CANCELLED)
+            .limit(CANCELLED_JOBS)
             .toList();
-    assertEquals(CANCELLED, running.size(), "enough jobs run");
-    long failsMs = cluster.cancelMs + 12_000;
-    cluster.faults.note(failsMs + offsetMs);
-    for (int i = 0; i < CANCELLED; i++) {
+    assertEquals(CANCELLED_JOBS, running.size(), "enough jobs are running");
+    long failureMs = cluster.cancelMs + 12_000;
+    cluster.faults.note(failureMs + offsetMs);
+    for (int i = 0; i < CANCELLED_JOBS; i++) {
       SimulatedJob job = running.get(i);
-      cluster.time.after(i * CANCELLED_WITHIN_MS / CANCELLED, () -> cluster.users.cancel(job));
+      cluster.time.after(
+          i * CANCELLATIONS_WITHIN_MS / CANCELLED_JOBS, () -> cluster.users.cancel(job));
     }
-    cluster.time.after(offsetMs, () -> failure.begin(cluster, failsMs));
-    cluster.time.runUntil(SETTLED_MS + failsMs + AFTERWARDS_MS);
-    addFailures(cluster, running, offsetMs, failed);
+    cluster.time.after(offsetMs, () -> failure.begin(cluster, failureMs));
+    cluster.time.runUntil(SETTLED_MS + failureMs + RECOVERY_MS);
+    addFailures(cluster, running, offsetMs, failedChecks);
   }
 
   private static void addFailures(
-      SimulatedCluster cluster, List<SimulatedJob> cancelled, int offsetMs, List<String> failed) {
+      SimulatedCluster cluster,
+      List<SimulatedJob> cancelled,
+      int offsetMs,
+      List<String> failedChecks) {
     List<String> violations = cluster.invariants.violations();
     long lastStartMs = cluster.invariants.lastStartOrderedAfterCancellationMs();
     LOG.atInfo()
@@ -97,16 +106,17 @@
         .addKeyValue("lastAfterMs", lastStartMs)
         .addKeyValue("violations", violations.stream().limit(5).toList())
         .log("sweep step is over");
-    String where = "failing from " + offsetMs + " ms on";
+    String context = "store failure after " + offsetMs + " ms";
     if (!violations.isEmpty()) {
-      failed.add(where + ": " + violations.size() + " times " + violations.get(0));
+      failedChecks.add(
+          context + ": " + violations.size() + " violations, the first: " + violations.get(0));
     }
     if (lastStartMs > cluster.cancelMs - cluster.leaseMs) {
-      failed.add(where + ": a start after " + lastStartMs + " ms");
+      failedChecks.add(context + ": a start ordered " + lastStartMs + " ms after the cancellation");
     }
     for (SimulatedJob job : cancelled) {
       if (cluster.invariants.runningTasksOf(job.id()) > 0) {
-        failed.add(where + ": " + job.id() + " is still on machines");
+        failedChecks.add(context + ": " + job.id() + " is still on machines");
       }
     }
   }
@@ -121,7 +131,7 @@
               job -> {
                 job.tasks(tasks);
                 job.cpus(CPUS_PER_TASK);
-                job.runMs(LONG_RUN_MS);
+                job.runMs(TASK_RUN_MS);
               }));
     }
     return jobs;
--- a/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
@@ -11,20 +11,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Incident: cancelled tasks were started again at production size.
+ * A controller that has confirmed the cancellation of a job starts none of the job's tasks again,
+ * even if it missed the watch answers that would have shown it its own commit.
  *
- * <p>Seen: a job was confirmed as cancelled, the key-value store was out for 75 s, and just after
- * the outage five tasks of the job were started once more and stopped 130 ms later.
+ * <p>Guards against a failure seen at production size: a job was confirmed as cancelled, the
+ * key-value store was out for 75 s, and just after the outage five tasks of the job were started
+ * once more and stopped 130 ms later. The controller that confirmed the cancellation also led the
+ * job's range. It learned of the end of the job from the answer to its own commit, and the outage
+ * began before its next watch was answered. Only a periodic check marked a range as ended, and only
+ * once the state had been followed past the range's own version. After the outage a placement pass
+ * ran before that check, and the start of a task did not check the job again.
  *
- * <p>How it came about: the controller that confirmed the cancellation also led the job's range. It
- * learned of the end of the job by the answer to its own commit, the outage began before its next
- * watch was answered, and after the outage a placement pass ran before the next periodic check.
- *
- * <p>Cause: whether a range has ended was a flag that only that check set, and only once the state
- * had been followed past the range's own version; nothing asked again when a task was started.
- *
- * <p>Proof: each test loses exactly the watch answers that would have shown the controller its own
- * commit. Then none of the job's tasks may be started, and all of them are to be stopped.
+ * <p>Each test loses exactly the watch answers that would have shown the controller its own commit.
+ * After that, none of the job's tasks may be started, and all of them must be stopped.
  */
 class ConfirmedCancellationTest {
   private static final int SEEDS = 3;
@@ -32,16 +31,20 @@
   private static final int MACHINES = 90;
 
   /**
-   * Each fills a machine, so that after an outage many machines send heartbeats within a moment.
+   * Each task fills a machine, so that after an outage many machines send heartbeats at about the
+   * same time.
    */
   private static final int TASKS = 60;
 
   private static final long LONG_RUN_MS = 400_000;
 
-  /** Within the time-out of a request to the key-value store, and well after the next watches. */
-  private static final long ANSWER_LATE_MS = 1200;
+  /**
+   * Shorter than the time-out of a request to the key-value store, but long enough for the next
+   * watches to be answered first.
+   */
+  private static final long ANSWER_DELAY_MS = 1200;
 
-  /** After how long the fleet is up and everything runs. */
+  /** When all machines are up and the tasks run. */
   private static final long SETTLED_MS = 60_000;
 
   private static void forEachDeployment(Consumer<SimulatedCluster> scenario) {
@@ -50,56 +53,59 @@
         SimulatedCluster cluster =
             SimulatedCluster.builder().seed(seed).machines(MACHINES).deployment(deployment).start();
         scenario.accept(cluster);
-        String where = "seed " + seed + ", lease " + deployment.leaseMs();
-        assertEquals(List.of(), cluster.invariants.violations(), where);
+        String context = "seed " + seed + ", lease " + deployment.leaseMs();
+        assertEquals(List.of(), cluster.invariants.violations(), context);
       }
     }
   }
 
   /**
-   * A job whose ranges its own record alone names: they get records of their own in the transaction
-   * that cancels it. As its tasks are spread over the zones, none is handed on while it waits.
+   * Starts a job whose ranges are named only by the job's own record; the transaction that cancels
+   * the job writes the records of the ranges. The job's tasks are spread over the zones, so that no
+   * waiting task is reassigned to another shard.
    */
-  private static SimulatedJob runningJob(SimulatedCluster cluster) {
+  private static SimulatedJob startLongJob(SimulatedCluster cluster) {
     SimulatedJob job =
         cluster.users.submit(
             "job-1",
-            one -> {
-              one.tasks(TASKS);
-              one.cpus(SimulatedCloud.CPUS);
-              one.runMs(LONG_RUN_MS);
-              one.spread(true);
+            newJob -> {
+              newJob.tasks(TASKS);
+              newJob.cpus(SimulatedCloud.CPUS);
+              newJob.runMs(LONG_RUN_MS);
+              newJob.spread(true);
             });
-    run(cluster, SETTLED_MS);
-    assertTrue(cluster.invariants.runningTasksOf(job.id()) >= TASKS / 2, "it runs");
+    runFor(cluster, SETTLED_MS);
+    assertTrue(cluster.invariants.runningTasksOf(job.id()) >= TASKS / 2, "the job runs");
     assertEquals(
-        0, cluster.store.rangeRecordsOf(job.id()), "its ranges have no records of their own");
+        0, cluster.store.rangeRecordsOf(job.id()), "the job's ranges have no records of their own");
     return job;
   }
 
   private static void assertNoneStarted(SimulatedCluster cluster, SimulatedJob job) {
     assertEquals(0, cluster.invariants.runningTasksOf(job.id()));
     assertEquals(
-        0, cluster.invariants.startsOrderedAfterCancellation(), "started after the confirmation");
+        0,
+        cluster.invariants.startsOrderedAfterCancellation(),
+        "starts ordered after the confirmation");
   }
 
-  private static void run(SimulatedCluster cluster, long ms) {
+  private static void runFor(SimulatedCluster cluster, long ms) {
     cluster.time.runUntil(cluster.time.now() + ms);
   }
 
-  private static boolean endsAJob(String path, byte[] body) {
+  private static boolean isEndOfJob(String path, byte[] body) {
     return path.equals("/commit") && new String(body, StandardCharsets.UTF_8).contains("ft/final/");
   }
 
   /**
-   * Cancels a job at the controller that leads it, and loses that controller's watch answers from
-   * before the commit on.
+   * Cancels a job at the controller that leads it, and loses that controller's watch answers,
+   * beginning before the commit.
    *
-   * @param confirmed run when the answer to the commit comes in
-   * @return counts the pages of the state that the controller reads from then on
+   * @param onCommitAnswered run when the answer to the commit arrives
+   * @return a counter of the pages of the state that the controller reads from then on
    */
-  private static AtomicInteger cancelUnwatched(
-      SimulatedCluster cluster, SimulatedJob job, Runnable confirmed) {
+  private static AtomicInteger cancelWithoutWatchAnswers(
+      SimulatedCluster cluster, SimulatedJob job, Runnable onCommitAnswered) {
     String leader = cluster.leaderOf(job);
     AtomicInteger pagesRead = new AtomicInteger();
     cluster.delayStoreAnswers(
@@ -107,8 +113,8 @@
           if (!controller.equals(leader)) {
             return 0;
           }
-          if (endsAJob(path, body)) {
-            confirmed.run();
+          if (isEndOfJob(path, body)) {
+            onCommitAnswered.run();
           }
           if (path.startsWith("/kv?")) {
             pagesRead.incrementAndGet();
@@ -116,12 +122,15 @@
           return path.startsWith("/watch") ? MessageObserver.LOST : 0;
         });
     cluster.users.cancelAt(leader, job);
-    run(cluster, 200);
-    assertEquals("cancelled", cluster.invariants.lastStageOf(job.id()), "confirmed by its leader");
+    runFor(cluster, 200);
+    assertEquals(
+        "cancelled",
+        cluster.invariants.lastStageOf(job.id()),
+        "confirmed by the leader of the job");
     return pagesRead;
   }
 
-  private static void watchAgain(SimulatedCluster cluster) {
+  private static void restoreWatchAnswers(SimulatedCluster cluster) {
     cluster.delayStoreAnswers((controller, path, body) -> 0);
   }
 
@@ -129,12 +138,12 @@
   void noTaskStartsAfterAnOutageThatBeganBeforeTheNextWatch() {
     forEachDeployment(
         cluster -> {
-          SimulatedJob job = runningJob(cluster);
+          SimulatedJob job = startLongJob(cluster);
           long outageMs = cluster.cancelMs + 12_000;
           cluster.faults.note(outageMs);
-          cancelUnwatched(cluster, job, () -> cluster.store.outage(outageMs));
-          watchAgain(cluster);
-          run(cluster, outageMs + 30_000);
+          cancelWithoutWatchAnswers(cluster, job, () -> cluster.store.outage(outageMs));
+          restoreWatchAnswers(cluster);
+          runFor(cluster, outageMs + 30_000);
           assertNoneStarted(cluster, job);
         });
   }
@@ -143,20 +152,22 @@
   void noTaskStartsAfterTheStateIsReadFromTheStart() {
     forEachDeployment(
         cluster -> {
-          SimulatedJob job = runningJob(cluster);
+          SimulatedJob job = startLongJob(cluster);
           String leader = cluster.leaderOf(job);
-          long cutMs = cluster.cancelMs + 12_000;
-          cluster.faults.note(cutMs);
+          long disconnectedMs = cluster.cancelMs + 12_000;
+          cluster.faults.note(disconnectedMs);
           AtomicInteger pagesRead =
-              cancelUnwatched(
-                  cluster, job, () -> cluster.faults.disconnect(leader, cutMs, Link.STORE));
-          run(cluster, cutMs);
+              cancelWithoutWatchAnswers(
+                  cluster,
+                  job,
+                  () -> cluster.faults.disconnect(leader, disconnectedMs, Link.STORE));
+          runFor(cluster, disconnectedMs);
           for (int i = 0; i < 1000 && pagesRead.get() == 0; i++) {
-            run(cluster, 10);
+            runFor(cluster, 10);
           }
-          assertTrue(pagesRead.get() > 0, "the state is read from the start");
-          watchAgain(cluster);
-          run(cluster, 60_000);
+          assertTrue(pagesRead.get() > 0, "the controller reads the state from the start");
+          restoreWatchAnswers(cluster);
+          runFor(cluster, 60_000);
           assertNoneStarted(cluster, job);
         });
   }
@@ -165,76 +176,80 @@
   void noTaskStartsAfterARestartOfTheConfirmingController() {
     forEachDeployment(
         cluster -> {
-          SimulatedJob job = runningJob(cluster);
+          SimulatedJob job = startLongJob(cluster);
           String leader = cluster.leaderOf(job);
           cluster.faults.note(cluster.cancelMs);
-          // Just after the user has the answer.
-          cancelUnwatched(
+          // Shortly after the user has received the confirmation.
+          cancelWithoutWatchAnswers(
               cluster, job, () -> cluster.time.after(20, () -> cluster.faults.kill(leader, 300)));
-          watchAgain(cluster);
-          run(cluster, cluster.cancelMs + 30_000);
+          restoreWatchAnswers(cluster);
+          runFor(cluster, cluster.cancelMs + 30_000);
           assertNoneStarted(cluster, job);
         });
   }
 
   @Test
-  void tasksStopAndStartNowhereElseWhileTheNextWatchIsLate() {
+  void tasksStopAndStartNowhereElseWhileWatchAnswersAreLost() {
     forEachDeployment(
         cluster -> {
-          SimulatedJob job = runningJob(cluster);
-          SimulatedWorker first =
+          SimulatedJob job = startLongJob(cluster);
+          SimulatedWorker firstMachine =
               cluster.cloud.machines.values().stream()
                   .filter(machine -> machine.holds(job.id() + "/0"))
                   .findFirst()
                   .orElseThrow();
-          cancelUnwatched(cluster, job, () -> cluster.cloud.remove(first.id));
-          run(cluster, cluster.heartbeatIntervalMs * 2);
+          cancelWithoutWatchAnswers(cluster, job, () -> cluster.cloud.remove(firstMachine.id));
+          runFor(cluster, cluster.heartbeatIntervalMs * 2);
           assertEquals(
-              0, cluster.invariants.runningTasksOf(job.id()), "stopped with the next command");
-          watchAgain(cluster);
-          run(cluster, 30_000);
+              0, cluster.invariants.runningTasksOf(job.id()), "stopped by the next command");
+          restoreWatchAnswers(cluster);
+          runFor(cluster, 30_000);
           assertNoneStarted(cluster, job);
         });
   }
 
   /**
-   * Found by reading, in the same class: the answer to the commit that accepts a job comes only
-   * after the job was cancelled through another controller, and after both were followed.
+   * A fault of the same kind: the answer to the commit that accepts a job arrives only after
+   * another controller has cancelled the job, and after the first controller has followed both
+   * changes.
    */
   @Test
   void noTaskStartsWhenTheAcceptanceIsAnsweredAfterTheCancellation() {
     forEachDeployment(
         cluster -> {
-          runningJob(cluster);
+          startLongJob(cluster);
           cluster.delayStoreAnswers(
               (controller, path, body) ->
                   controller.equals("trestle-0")
                           && new String(body, StandardCharsets.UTF_8).contains("ft/live/job/job-2")
-                      ? ANSWER_LATE_MS
+                      ? ANSWER_DELAY_MS
                       : 0);
           SimulatedJob job =
               cluster.users.define(
                   "job-2",
-                  one -> {
-                    one.tasks(MACHINES);
-                    one.runMs(LONG_RUN_MS);
+                  newJob -> {
+                    newJob.tasks(MACHINES);
+                    newJob.runMs(LONG_RUN_MS);
                   });
           List<Integer> answers = new ArrayList<>();
           cluster.users.submitAt("trestle-0", job, answer -> answers.add(answer.status()));
-          run(cluster, ANSWER_LATE_MS / 4);
+          runFor(cluster, ANSWER_DELAY_MS / 4);
           cluster.users.cancelAt("trestle-1", job);
-          run(cluster, ANSWER_LATE_MS / 4);
+          runFor(cluster, ANSWER_DELAY_MS / 4);
           assertEquals(
-              "cancelled", cluster.invariants.lastStageOf(job.id()), "before the late answer");
+              "cancelled",
+              cluster.invariants.lastStageOf(job.id()),
+              "cancelled before the late answer");
           assertEquals(List.of(), answers, "the submission is not answered yet");
-          int onTheirWay = cluster.invariants.startsOrderedAfterCancellation();
-          run(cluster, 30_000);
+          int startsBeforeLateAnswer = cluster.invariants.startsOrderedAfterCancellation();
+          runFor(cluster, 30_000);
           assertEquals(0, cluster.invariants.runningTasksOf(job.id()));
           assertEquals(
-              onTheirWay,
+              startsBeforeLateAnswer,
               cluster.invariants.startsOrderedAfterCancellation(),
               "no further start is ordered");
-          assertEquals(List.of(200), answers, "as known already, not as accepted just now");
+          assertEquals(
+              List.of(200), answers, "answered as a known job, not as a newly accepted one");
         });
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
@@ -39,35 +39,37 @@
   }
 
   @Test
-  void controllerIsNotReadyWhileTheStoreRefusesItAlone() {
+  void controllerIsNotReadyWhileTheStoreRefusesOnlyThatController() {
     SimulatedCluster cluster = startCluster(12);
     cluster.time.runUntil(10_000);
     cluster.faults.refuse("trestle-1", 60_000);
     cluster.time.runUntil(16_000);
-    assertFalse(cluster.isReady("trestle-1"), "users are better off elsewhere");
+    assertFalse(cluster.isReady("trestle-1"), "users should use the other controllers");
     assertTrue(cluster.isReady("trestle-0") && cluster.isReady("trestle-2"));
     cluster.time.runUntil(76_000);
-    assertTrue(cluster.isReady("trestle-1"), "and it is back by itself");
+    assertTrue(cluster.isReady("trestle-1"), "ready again without intervention");
     cluster.store.outage(20_000);
     cluster.time.runUntil(90_000);
     for (String label : cluster.labels()) {
-      assertTrue(cluster.isReady(label), "leaving helps nobody where nobody is served: " + label);
+      assertTrue(
+          cluster.isReady(label), "ready, as the outage affects all controllers alike: " + label);
     }
   }
 
   @Test
-  void jobsAreAnsweredAfterAnOutageThatOutlastsWatches() {
+  void jobsAreAnsweredAfterAnOutageThatMakesAWatchTooOld() {
     SimulatedCluster cluster = startCluster(12);
     submit(cluster, "job-1", 8, 120_000);
     submit(cluster, "job-2", 4, 2000);
     cluster.time.runUntil(30_000);
     cluster.store.outage(40_000);
-    // The last one hears nothing for a while more, and what it has missed is forgotten meanwhile.
+    // The last controller stays cut off from the store for longer, and the store meanwhile drops
+    // the changes that this controller has missed.
     cluster.time.after(40_000, () -> cluster.faults.disconnect("trestle-2", 25_000, Link.STORE));
     cluster.time.after(50_000, () -> submit(cluster, "job-3", 2, 2000));
     cluster.time.after(64_000, cluster.store::compact);
     cluster.faults.note(65_000);
-    // One goes on, and has to find out that its watch is too old.
+    // The last controller is not restarted and has to find out that its watch is too old.
     for (String label : cluster.labels().subList(0, 2)) {
       cluster.time.after(10_000, () -> cluster.faults.kill(label, 300));
     }
@@ -81,7 +83,7 @@
   }
 
   @Test
-  void jobsEndWhenNewLeadersRestartAgainAndAgain() {
+  void jobsEndWhenNewLeadersRestartRepeatedly() {
     SimulatedCluster cluster = startCluster(12);
     submitJobs(cluster, 5, 10, 20_000);
     cluster.time.runUntil(25_000);
@@ -130,12 +132,12 @@
   }
 
   @Test
-  void noShardChangesHandsWhenControllersDoNotReachEachOther() {
+  void noShardChangesItsLeaderWhenControllersDoNotReachEachOther() {
     SimulatedCluster cluster =
         SimulatedCluster.builder().seed(37).machines(12).timing(4000, 22_000, 52_000).start();
     submit(cluster, "job-1", 48, 300_000);
     cluster.time.runUntil(60_000);
-    // Workers are just being redirected to their leader, as after a failover.
+    // Workers are being redirected to their leader at the time, as after a failover.
     cluster.faults.note(60_000);
     cluster.faults.kill("trestle-1", 35_000);
     cluster.time.runUntil(98_000);
@@ -144,7 +146,7 @@
     List<Long> before = cluster.store.shardEpochs();
     cluster.time.runUntil(140_000);
     assertNoViolations(cluster);
-    assertEquals(before, cluster.store.shardEpochs(), "no shard changes hands");
+    assertEquals(before, cluster.store.shardEpochs(), "no shard changes its leader");
   }
 
   @Test
@@ -166,7 +168,7 @@
   @Test
   void lostTasksAreReassignedToAShardThatHasRoom() {
     SimulatedCluster cluster = startCluster(9);
-    // Short tasks beside long ones leave room on every machine once they have ended.
+    // Short tasks run beside long ones and leave room on every machine once they have ended.
     for (int i = 0; i < 9; i++) {
       int number = i;
       cluster.time.after(2000L * i, () -> submit(cluster, "job-" + number, 2, 400_000));
@@ -176,61 +178,68 @@
     String label = cluster.leaderOf(cluster.jobs.get("job-0"));
     List<SimulatedWorker> lost =
         cluster.cloud.machines.values().stream().filter(m -> m.reportsTo().equals(label)).toList();
-    // All machines of one shard end, and the cloud has no more to give.
+    // All machines of one shard fail, and the cloud has no others to rent.
     cluster.cloud.limit(cluster.cloud.machines.size() - lost.size());
     lost.forEach(SimulatedWorker::die);
     cluster.time.runUntil(65_000);
-    int left = runningLongTasks(cluster);
-    assertTrue(left > 0 && left < 18, "some of the long ones are lost: " + left);
+    int remaining = runningLongTasks(cluster);
+    assertTrue(
+        remaining > 0 && remaining < 18, "some of the long tasks are lost, running: " + remaining);
     cluster.time.runUntil(160_000);
     assertNoViolations(cluster);
     assertTrue(
-        runningLongTasks(cluster) > left, "lost ones run with other shards; left were " + left);
+        runningLongTasks(cluster) > remaining,
+        "lost tasks run in other shards; running before: " + remaining);
   }
 
   /**
-   * A leader that does not know of the end of its term may start a lost task again. The next leader
-   * hears of that only after it has found the task on its first machine.
+   * A leader that does not know that its term has ended may start a lost task again. The next
+   * leader learns of the second machine only after it has found the task on the first one.
    */
   @Test
-  void taskThatAFormerLeaderStartedAgainStartsNowhereElse() {
-    // Heartbeats so rare that trying one controller after the other does not yet count as silence.
+  void taskRestartedByAFormerLeaderStartsNowhereElse() {
+    // The heartbeat interval is so long that a worker which tries one controller after the other
+    // does not yet count as silent.
     SimulatedCluster cluster =
         SimulatedCluster.builder().seed(23).machines(12).timing(6000, 34_000, 64_000).start();
     submit(cluster, "job-1", 34, 100_000); // not all machines are full
     cluster.time.runUntil(40_000);
-    Restart restart =
-        findRestart(cluster, "job-1", 34)
+    RestartCandidate candidate =
+        findRestartCandidate(cluster, "job-1", 34)
             .orElseThrow(
-                () -> new AssertionError("a controller has two machines, one of them with room"));
-    String task = restart.task();
-    SimulatedWorker next = restart.to();
-    restart.from().die();
-    next.startForFormerLeader(task, 1);
-    // It reports the task, but cannot be told to stop it until its lease has expired.
-    next.faults.deafen(60_000);
-    submit(cluster, "job-2", 10, 100_000); // takes what looks like room there
+                () -> new AssertionError("no controller has two machines, one of them with room"));
+    String task = candidate.task();
+    SimulatedWorker secondMachine = candidate.to();
+    candidate.from().die();
+    secondMachine.startForFormerLeader(task, 1);
+    // The worker reports the task, but receives no command to stop it until its lease has expired.
+    secondMachine.faults.deafen(60_000);
+    submit(cluster, "job-2", 10, 100_000); // fills the room that this machine seems to have
     cluster.time.runUntil(45_000);
-    assertTrue(next.holds(task), "it has begun");
+    assertTrue(secondMachine.holds(task), "the task runs on the second machine");
     cluster.time.runUntil(300_000);
     assertNoViolations(cluster);
     assertDone(cluster, "job-1");
   }
 
-  /** Does something to each controller in turn that must not cost a task that runs. */
+  /** Injects a fault into each controller in turn; the fault must not end any running task. */
   private static void assertNoLeaseExpires(
-      Supplier<SimulatedCluster> clusters, long forMs, BiConsumer<SimulatedCluster, String> fault) {
+      Supplier<SimulatedCluster> newCluster,
+      long faultMs,
+      BiConsumer<SimulatedCluster, String> fault) {
     for (String label : List.of("trestle-0", "trestle-1", "trestle-2")) {
-      SimulatedCluster cluster = clusters.get();
+      SimulatedCluster cluster = newCluster.get();
       submit(cluster, "job-1", 48, 300_000);
       cluster.time.runUntil(60_000);
-      int starts = cluster.invariants.starts();
-      cluster.faults.note(forMs);
+      int startsBefore = cluster.invariants.starts();
+      cluster.faults.note(faultMs);
       fault.accept(cluster, label);
       cluster.time.runUntil(150_000);
       assertNoViolations(cluster);
       assertEquals(
-          starts, cluster.invariants.starts(), "no lease ran out on the machines of " + label);
+          startsBefore,
+          cluster.invariants.starts(),
+          "no lease expired on the machines of " + label);
     }
   }
 
@@ -243,23 +252,24 @@
   }
 
   /** A task on a machine, and another machine of the same controller with room for it. */
-  private record Restart(String task, SimulatedWorker from, SimulatedWorker to) {}
+  private record RestartCandidate(String task, SimulatedWorker from, SimulatedWorker to) {}
 
-  private static Optional<Restart> findRestart(SimulatedCluster cluster, String job, int tasks) {
+  private static Optional<RestartCandidate> findRestartCandidate(
+      SimulatedCluster cluster, String job, int tasks) {
     for (int i = 0; i < tasks; i++) {
       String task = job + "/" + i;
-      SimulatedWorker from = machine(cluster, m -> m.holds(task)).orElseThrow();
+      SimulatedWorker from = findMachine(cluster, m -> m.holds(task)).orElseThrow();
       String label = from.reportsTo();
       Optional<SimulatedWorker> to =
-          machine(cluster, m -> m.hasRoom(4) && !m.holds(task) && m.reportsTo().equals(label));
+          findMachine(cluster, m -> m.hasRoom(4) && !m.holds(task) && m.reportsTo().equals(label));
       if (to.isPresent()) {
-        return Optional.of(new Restart(task, from, to.get()));
+        return Optional.of(new RestartCandidate(task, from, to.get()));
       }
     }
     return Optional.empty();
   }
 
-  private static Optional<SimulatedWorker> machine(
+  private static Optional<SimulatedWorker> findMachine(
       SimulatedCluster cluster, Predicate<SimulatedWorker> condition) {
     return cluster.cloud.machines.values().stream()
         .filter(machine -> machine.isUp() && condition.test(machine))
--- a/src/test/java/org/fieldtrestle/simulation/ControllerStartTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerStartTest.java
@@ -5,21 +5,28 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a controller that has just started accepts requests of users and workers. */
+/**
+ * A newly started controller accepts requests of users and workers once it may act, or after a
+ * quarter of a lease if it cannot reach the key-value store.
+ */
 class ControllerStartTest {
-  private static final long DOWN_FOR_LONG_MS = 1_000_000;
+  /** Longer than any of the tests runs. */
+  private static final long DOWNTIME_MS = 1_000_000;
+
   private static final String LABEL = "trestle-0";
   private static final long LEASE_MS = 16_000;
-  private static final long LISTENS_AT_LAST_MS = LEASE_MS / 4;
 
-  /** More than clocks drift apart in that time. */
+  /** When a controller listens at the latest, even if it cannot reach the key-value store. */
+  private static final long LISTENS_AFTER_MS = LEASE_MS / 4;
+
+  /** More than clocks drift apart in a quarter of a lease. */
   private static final long DRIFT_MS = 10;
 
-  private static SimulatedCluster stopped() {
+  private static SimulatedCluster startWithStoppedController() {
     SimulatedCluster cluster =
         SimulatedCluster.builder().seed(1).machines(1).timing(2500, LEASE_MS, 46_000).start();
     cluster.time.runUntil(10_000);
-    cluster.faults.kill(LABEL, DOWN_FOR_LONG_MS);
+    cluster.faults.kill(LABEL, DOWNTIME_MS);
     return cluster;
   }
 
@@ -30,21 +37,22 @@
 
   @Test
   void requestsAreRefusedUntilTheControllerMayAct() {
-    SimulatedCluster cluster = stopped();
+    SimulatedCluster cluster = startWithStoppedController();
     cluster.store.outage(1000);
     cluster.start(LABEL);
-    assertFalse(listensAfter(cluster, 999), "nothing can be served without the key-value store");
+    assertFalse(
+        listensAfter(cluster, 999),
+        "a controller cannot serve requests without the key-value store");
     assertTrue(
-        listensAfter(cluster, LISTENS_AT_LAST_MS - 1500),
-        "a controller that may act should listen");
+        listensAfter(cluster, LISTENS_AFTER_MS - 1500), "a controller that may act should listen");
   }
 
   @Test
   void requestsAreAcceptedAfterAQuarterOfALeaseWithoutTheStore() {
-    SimulatedCluster cluster = stopped();
-    cluster.store.outage(10 * LISTENS_AT_LAST_MS);
+    SimulatedCluster cluster = startWithStoppedController();
+    cluster.store.outage(10 * LISTENS_AFTER_MS);
     cluster.start(LABEL);
-    assertFalse(listensAfter(cluster, LISTENS_AT_LAST_MS - DRIFT_MS));
+    assertFalse(listensAfter(cluster, LISTENS_AFTER_MS - DRIFT_MS));
     assertTrue(listensAfter(cluster, 2 * DRIFT_MS));
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/DemandTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/DemandTest.java
@@ -13,7 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Demanding, excessive and invalid submissions meet faults: the invariants hold and all jobs end.
+ * Demanding, excessive and invalid submissions while faults occur: the invariants hold and all jobs
+ * end.
  */
 class DemandTest {
   @Test
@@ -42,7 +43,7 @@
   }
 
   @Test
-  void jobsEndWhenUrgentAndOtherWorkExceedsTheRoomOverSlowLinks() {
+  void jobsEndWhenWorkExceedsTheCapacityAndImageFetchesAreSlow() {
     forEachDeployment(
         5,
         cluster -> {
@@ -55,7 +56,7 @@
           }
           assertTrue(
               cluster.jobs.values().stream().anyMatch(job -> !hasEnded(cluster, job)),
-              "work piles up");
+              "some jobs are still waiting");
           cluster.faults.note(0);
         });
   }
@@ -76,11 +77,14 @@
           }
           jobs.forEach(cluster.users::cancel);
           cluster.runFor(3000);
-          assertTrue(lastNumber > 1020, "all were sent");
+          assertTrue(lastNumber > 1020, "all variants were submitted");
         });
   }
 
-  /** Submits a job once without each of the fields that it must have. */
+  /**
+   * Submits variants of a complete job that each lack one required field, numbered from {@code
+   * lastNumber + 1}. Returns the last number.
+   */
   private static int submitIncomplete(
       SimulatedCluster cluster, SimulatedJob complete, int lastNumber) {
     int number = lastNumber;
@@ -95,7 +99,10 @@
     return number;
   }
 
-  /** Submits a job once with each of several values that no machine or team allows. */
+  /**
+   * Submits variants of a job that each have one value that no machine or team allows, numbered
+   * from {@code lastNumber + 1}. Returns the last number.
+   */
   private static int submitUnsatisfiable(
       SimulatedCluster cluster, SimulatedJob satisfiable, int lastNumber) {
     int number = lastNumber;
--- a/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Leaders fail or change while other faults last: the invariants hold and all jobs end. */
+/** Leaders fail or change during other faults: the invariants hold and all jobs end. */
 class FailoverTest {
   @Test
   void shortJobsEndWhenEveryLeaderFailsInTurn() {
@@ -32,7 +32,8 @@
             assertLeadersChanged(cluster, before);
           }
           assertTrue(
-              jobs.stream().anyMatch(job -> cluster.hasResult(job.id() + "/0")), "some ended");
+              jobs.stream().anyMatch(job -> cluster.hasResult(job.id() + "/0")),
+              "some tasks have ended");
         });
   }
 
@@ -50,7 +51,7 @@
           assertLeadersChanged(cluster, before);
           before = cluster.store.shardEpochs();
           cluster.runFor(25_000);
-          // One is back within a second, and again.
+          // One controller is back within a second, twice.
           cluster.faults.kill("trestle-0", 45_000);
           cluster.faults.kill("trestle-1", 45_000);
           cluster.faults.kill("trestle-2", 200);
@@ -64,7 +65,7 @@
   }
 
   @Test
-  void jobsEndWhenLeadersChangeTenTimesAlsoDuringAStoreOutage() {
+  void jobsEndWhenLeadersChangeOftenAndRestartDuringAStoreOutage() {
     forEachDeployment(
         14,
         cluster -> {
@@ -84,7 +85,9 @@
             cluster.runFor(10_000);
             changes += before.equals(cluster.store.shardEpochs()) ? 0 : 1;
           }
-          assertTrue(changes >= 8, "and twice within the outage: " + changes);
+          assertTrue(
+              changes >= 8,
+              "leaders change, apart from two restarts within the outage: " + changes);
         });
   }
 
@@ -103,9 +106,9 @@
               .labels()
               .forEach(label -> cluster.faults.kill(label, ms + cluster.time.between(0, 900)));
           cluster.runFor(ms);
-          assertEquals(0, runningTasks(cluster, jobs), "all leases have run out");
+          assertEquals(0, runningTasks(cluster, jobs), "all worker leases have expired");
           cluster.runFor(30_000);
-          assertTrue(cluster.invariants.starts() > starts, "they go on");
+          assertTrue(cluster.invariants.starts() > starts, "the jobs resume");
         });
   }
 
@@ -117,16 +120,16 @@
           List<SimulatedJob> jobs = submit(cluster, 6, 6, 20_000);
           cluster.runFor(30_000);
           String leader = cluster.leaderOf(jobs.get(0));
-          Map<String, byte[]> held = heartbeats(cluster);
+          Map<String, byte[]> oldHeartbeats = heartbeats(cluster);
           List<Long> before = cluster.store.shardEpochs();
           cluster.faults.note(90_000);
           cluster.faults.kill(leader, 80_000);
-          // Their tasks end while nobody hears of it, or hang.
+          // Tasks on these machines end without any controller hearing of it, or hang with them.
           cluster.machines().stream().limit(4).forEach(machine -> machine.faults.hang(45_000));
           cluster.runFor(45_000);
           assertLeadersChanged(cluster, before);
           for (int i = 0; i < 8; i++) {
-            for (byte[] heartbeat : held.values()) {
+            for (byte[] heartbeat : oldHeartbeats.values()) {
               for (String label : cluster.labels()) {
                 cluster.deliverCopy(label, heartbeat);
               }
@@ -160,13 +163,13 @@
   }
 
   @Test
-  void quotaHoldsWhenALeaderFailsAndJobsOfAFullTeamAreCancelled() {
+  void quotaHoldsWhenALeaderFailsAndJobsOfATeamAtItsQuotaAreCancelled() {
     forEachDeployment(
         14,
         cluster -> {
           List<SimulatedJob> jobs = submit(cluster, 4, 5, 100_000, job -> job.team("limited"));
           cluster.runFor(50_000);
-          assertEquals(10, runningTasks(cluster, jobs), "at its limit of 40 CPUs");
+          assertEquals(10, runningTasks(cluster, jobs), "the team is at its quota of 40 CPUs");
           String leader = cluster.leaderOf(jobs.get(0));
           List<Long> before = cluster.store.shardEpochs();
           cluster.faults.note(80_000);
--- a/src/test/java/org/fieldtrestle/simulation/FaultContainmentTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FaultContainmentTest.java
@@ -14,7 +14,7 @@
 import org.fieldtrestle.protocol.Json;
 import org.junit.jupiter.api.Test;
 
-/** A fault of one job, machine, record or controller does no harm to anything else. */
+/** A fault of one job, machine, record or controller does not affect any other. */
 class FaultContainmentTest {
   private final SimulatedCluster cluster = SimulatedCluster.builder().seed(11).machines(12).start();
 
@@ -69,8 +69,8 @@
     cluster.time.runUntil(250_000);
     assertNoViolations(cluster);
     assertDone(cluster, "job-2");
-    int failing = cluster.invariants.starts() - 30;
-    assertTrue(failing < 400, "retries pause longer and longer: " + failing);
+    int failingStarts = cluster.invariants.starts() - 30;
+    assertTrue(failingStarts < 400, "the pause between retries grows, starts: " + failingStarts);
   }
 
   @Test
@@ -79,13 +79,13 @@
     submit(cluster, "job-1", 40, 10_000);
     submit(cluster, "job-2", 40, 10_000);
     cluster.time.runUntil(25_000);
-    String bad = cluster.cloud.machines.firstKey();
-    cluster.cloud.machines.get(bad).faults.failTasks();
+    String faulty = cluster.cloud.machines.firstKey();
+    cluster.cloud.machines.get(faulty).faults.failTasks();
     cluster.time.runUntil(300_000);
     assertNoViolations(cluster);
     assertDone(cluster, "job-1");
     assertDone(cluster, "job-2");
-    assertFalse(cluster.cloud.machines.containsKey(bad), "the faulty machine was returned");
+    assertFalse(cluster.cloud.machines.containsKey(faulty), "the faulty machine was returned");
   }
 
   @Test
@@ -98,7 +98,7 @@
     assertNoViolations(cluster);
     assertJobsDone(cluster, 4);
     assertFalse(cluster.cloud.machines.containsKey(slow), "the slow machine was returned");
-    assertTrue(cluster.invariants.startsOn(slow) < 40, "and given little more");
+    assertTrue(cluster.invariants.startsOn(slow) < 40, "the slow machine gets few tasks");
   }
 
   @Test
@@ -124,7 +124,7 @@
                   "job-" + number,
                   job -> {
                     job.tasks(10);
-                    // Those that are cancelled run for longer than a cancellation has time.
+                    // Jobs to be cancelled run for longer than a cancellation may take.
                     job.runMs(number == 1 || number == 3 ? 120_000 : 20_000);
                   }));
     }
