--- a/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The checker itself: every rule's check can fail, and is silent otherwise. */
+/** Tests the invariant checker itself: each rule reports its violation, and nothing otherwise. */
 class InvariantCheckerTest {
   private final SimulatedCluster cluster = SimulatedCluster.builder().seed(3).machines(0).start();
 
-  private SimulatedJob job(String id, Consumer<SimulatedJob> shape) {
+  private SimulatedJob submit(String id, Consumer<SimulatedJob> shape) {
     return cluster.users.submit(
         id,
         job -> {
@@ -20,8 +20,11 @@
         });
   }
 
-  /** A job that nobody hands in, so that nothing but the test tells the rules of it. */
-  private SimulatedJob known(String id, Consumer<SimulatedJob> shape) {
+  /**
+   * Defines a job without submitting it, so that the rules see only those events of the job that
+   * the test reports.
+   */
+  private SimulatedJob define(String id, Consumer<SimulatedJob> shape) {
     return cluster.users.define(
         id,
         job -> {
@@ -30,13 +33,13 @@
         });
   }
 
-  private SimulatedWorker machine(String id, String type, String zone, boolean spot) {
+  private SimulatedWorker addMachine(String id, String type, String zone, boolean spot) {
     SimulatedWorker machine = new SimulatedWorker(cluster, id, "10.1.0.9:1", type, zone, spot);
     cluster.cloud.machines.put(id, machine);
     return machine;
   }
 
-  private void only(String rule) {
+  private void assertOnlyViolation(String rule) {
     assertEquals(
         1, cluster.invariants.violations().size(), cluster.invariants.violations().toString());
     assertTrue(
@@ -46,179 +49,188 @@
 
   @Test
   void taskOnTwoMachinesAtATimeIsAViolation() {
-    job("job-1", j -> {});
-    cluster.invariants.started("job-1/0", machine("host-1", "big", "a", false));
+    submit("job-1", j -> {});
+    cluster.invariants.started("job-1/0", addMachine("host-1", "big", "a", false));
     cluster.invariants.left("job-1/0", "host-1");
-    cluster.invariants.started("job-1/0", machine("host-2", "big", "a", false));
-    assertEquals(0, cluster.invariants.violations().size(), "one after the other is fine");
-    cluster.invariants.started("job-1/0", machine("host-3", "big", "a", false));
-    only("ran_twice");
+    cluster.invariants.started("job-1/0", addMachine("host-2", "big", "a", false));
+    assertEquals(
+        0, cluster.invariants.violations().size(), "a task may move from one machine to another");
+    cluster.invariants.started("job-1/0", addMachine("host-3", "big", "a", false));
+    assertOnlyViolation("ran_twice");
   }
 
   @Test
   void teamBeyondItsQuotaIsAViolation() {
-    job("job-1", j -> j.team("limited"));
+    submit("job-1", j -> j.team("limited"));
     for (int i = 0; i < 10; i++) {
-      cluster.invariants.started("job-1/" + i, machine("host-" + i, "big", "a", false));
+      cluster.invariants.started("job-1/" + i, addMachine("host-" + i, "big", "a", false));
     }
     assertEquals(0, cluster.invariants.violations().size(), "40 CPUs are allowed");
-    cluster.invariants.started("job-1/10", machine("host-10", "big", "a", false));
-    only("quota");
+    cluster.invariants.started("job-1/10", addMachine("host-10", "big", "a", false));
+    assertOnlyViolation("quota");
   }
 
   @Test
   void taskOnAnotherMachineTypeIsAViolation() {
-    job("job-1", j -> j.type("odd"));
-    cluster.invariants.started("job-1/0", machine("host-1", "big", "a", true));
-    only("wrong_place");
+    submit("job-1", j -> j.type("odd"));
+    cluster.invariants.started("job-1/0", addMachine("host-1", "big", "a", true));
+    assertOnlyViolation("wrong_place");
   }
 
   @Test
   void taskOnASpotMachineThatItsJobExcludesIsAViolation() {
-    job("job-2", j -> j.spot(false));
-    cluster.invariants.started("job-2/0", machine("host-2", "big", "a", true));
-    only("wrong_place");
+    submit("job-2", j -> j.spot(false));
+    cluster.invariants.started("job-2/0", addMachine("host-2", "big", "a", true));
+    assertOnlyViolation("wrong_place");
   }
 
   @Test
   void taskInAnotherZoneIsAViolation() {
-    job("job-3", j -> j.zone("b"));
-    cluster.invariants.started("job-3/0", machine("host-3", "big", "a", true));
-    only("wrong_place");
+    submit("job-3", j -> j.zone("b"));
+    cluster.invariants.started("job-3/0", addMachine("host-3", "big", "a", true));
+    assertOnlyViolation("wrong_place");
   }
 
   @Test
   void tasksInTwoZonesOfAJobBoundToOneIsAViolation() {
-    job("job-4", j -> j.oneZone(true));
-    cluster.invariants.started("job-4/0", machine("host-4", "big", "a", true));
-    cluster.invariants.started("job-4/1", machine("host-5", "big", "b", true));
-    only("wrong_place");
+    submit("job-4", j -> j.oneZone(true));
+    cluster.invariants.started("job-4/0", addMachine("host-4", "big", "a", true));
+    cluster.invariants.started("job-4/1", addMachine("host-5", "big", "b", true));
+    assertOnlyViolation("wrong_place");
   }
 
   @Test
   void moreThanHalfOfASpreadJobInOneZoneIsAViolation() {
-    job("job-5", j -> j.spread(true));
+    submit("job-5", j -> j.spread(true));
     for (int i = 0; i < 6; i++) {
-      cluster.invariants.started("job-5/" + i, machine("host-1" + i, "big", "a", true));
+      cluster.invariants.started("job-5/" + i, addMachine("host-1" + i, "big", "a", true));
     }
-    assertEquals(0, cluster.invariants.violations().size(), "half of twelve");
-    cluster.invariants.started("job-5/6", machine("host-17", "big", "a", true));
-    only("wrong_place");
+    assertEquals(0, cluster.invariants.violations().size(), "half of the twelve tasks");
+    cluster.invariants.started("job-5/6", addMachine("host-17", "big", "a", true));
+    assertOnlyViolation("wrong_place");
   }
 
   @Test
-  void taskThatOutlivesItsCancellationIsAViolation() {
-    SimulatedJob job = job("job-1", j -> {});
+  void taskThatRunsTooLongAfterItsCancellationIsAViolation() {
+    SimulatedJob job = submit("job-1", j -> {});
     cluster.users.noteCancellation(job.id());
-    cluster.invariants.started("job-1/0", machine("host-1", "big", "a", false));
+    cluster.invariants.started("job-1/0", addMachine("host-1", "big", "a", false));
     cluster.invariants.told("job-1", 200, "cancelled", 0);
     cluster.time.runUntil(cluster.cancelMs - 1000);
     assertTrue(
-        cluster.invariants.violations().stream().noneMatch(b -> b.startsWith("ran_cancelled")));
+        cluster.invariants.violations().stream()
+            .noneMatch(violation -> violation.startsWith("ran_cancelled")));
     cluster.time.runUntil(cluster.cancelMs + 2000);
     assertTrue(
-        cluster.invariants.violations().stream().anyMatch(b -> b.startsWith("ran_cancelled")));
+        cluster.invariants.violations().stream()
+            .anyMatch(violation -> violation.startsWith("ran_cancelled")));
   }
 
   @Test
   void acceptedJobThatIsNotFoundIsAViolation() {
     cluster.invariants.accepted("job-1");
     cluster.invariants.told("job-1", 404, "", 0);
-    only("forgotten");
+    assertOnlyViolation("forgotten");
   }
 
   @Test
-  void jobThatNobodySubmittedIsAViolationOnceItIsFound() {
+  void unsubmittedJobThatIsFoundIsAViolation() {
     cluster.invariants.told("job-7", 404, "", 0);
     assertEquals(0, cluster.invariants.violations().size(), "nobody submitted it");
     cluster.invariants.told("job-7", 200, "queued", 0);
-    only("invented");
+    assertOnlyViolation("invented");
   }
 
   @Test
   void jobThatIsDoneWithoutResultsIsAViolation() {
-    job("job-1", j -> j.tasks(1));
+    submit("job-1", j -> j.tasks(1));
     cluster.invariants.told("job-1", 200, "done", 0);
-    only("not_done");
+    assertOnlyViolation("not_done");
   }
 
   @Test
   void doneJobThatRunsAgainIsAViolation() {
-    job("job-1", j -> j.tasks(1));
+    submit("job-1", j -> j.tasks(1));
     cluster.addResult("job-1/0");
     cluster.invariants.told("job-1", 200, "done", 0);
     cluster.time.runUntil(10);
     cluster.invariants.told("job-1", 200, "running", 5);
-    only("went_back");
+    assertOnlyViolation("went_back");
   }
 
   @Test
-  void cancellationThatNobodyAskedForIsAViolation() {
-    job("job-2", j -> {});
+  void unrequestedCancellationIsAViolation() {
+    submit("job-2", j -> {});
     cluster.invariants.told("job-2", 200, "cancelled", 0);
-    only("went_back");
+    assertOnlyViolation("went_back");
   }
 
   @Test
   void cancelledTaskThatStartsAgainAfterAHangIsAViolation() {
-    SimulatedJob job = known("job-1", j -> {});
+    SimulatedJob job = define("job-1", j -> {});
     cluster.users.noteCancellation(job.id());
-    SimulatedWorker machine = machine("host-1", "big", "a", false);
+    SimulatedWorker machine = addMachine("host-1", "big", "a", false);
     machine.faults.hang(cluster.cancelMs + 5000);
     cluster.invariants.started("job-1/0", machine);
     cluster.invariants.told("job-1", 200, "cancelled", 0);
     cluster.invariants.left("job-1/0", "host-1");
     cluster.time.runUntil(cluster.cancelMs + 6000);
-    assertEquals(List.of(), cluster.invariants.violations(), "gone in time");
+    assertEquals(List.of(), cluster.invariants.violations(), "the task stopped in time");
     cluster.invariants.started("job-1/0", machine);
     assertTrue(
-        cluster.invariants.violations().stream().anyMatch(b -> b.startsWith("ran_cancelled")));
+        cluster.invariants.violations().stream()
+            .anyMatch(violation -> violation.startsWith("ran_cancelled")));
   }
 
   @Test
-  void startOrderedLongAfterACancellationIsAViolation() {
-    SimulatedJob job = known("job-1", j -> {});
+  void startOrderedTooLongAfterACancellationIsAViolation() {
+    SimulatedJob job = define("job-1", j -> {});
     cluster.users.noteCancellation(job.id());
     cluster.time.runUntil(1000);
     cluster.invariants.told("job-1", 200, "cancelled", 0);
     cluster.invariants.startOrdered("job-1/0", 1001);
-    assertEquals(0, cluster.invariants.violations().size(), "it may have been on its way");
+    assertEquals(
+        0,
+        cluster.invariants.violations().size(),
+        "a start may be ordered shortly after the confirmation");
     assertEquals(1, cluster.invariants.startsOrderedAfterCancellation());
     cluster.time.runUntil(4000);
     cluster.invariants.startOrdered("job-1/1", 4000);
-    only("started_cancelled");
+    assertOnlyViolation("started_cancelled");
     cluster.invariants.clearViolations();
     cluster.faults.note(60_000);
     cluster.invariants.startOrdered("job-1/2", 4000);
     assertEquals(
-        0, cluster.invariants.violations().size(), "not every controller can have heard of it");
+        0,
+        cluster.invariants.violations().size(),
+        "the fault may keep a controller from learning of the cancellation");
   }
 
   @Test
   void acceptedUnsatisfiableJobIsAViolation() {
     cluster.users.submitUnsatisfiable("job-1", new byte[0], 400);
     cluster.invariants.accepted("job-1");
-    only("accepted_hopeless");
+    assertOnlyViolation("accepted_hopeless");
   }
 
   @Test
-  void jobWithoutAnswersForLongIsAViolation() {
-    known("job-1", j -> {});
+  void jobUnansweredForTooLongIsAViolation() {
+    define("job-1", j -> {});
     cluster.invariants.accepted("job-1");
     cluster.faults.note(20_000);
     cluster.invariants.told("job-1", 503, "", 0);
     cluster.time.runUntil(94_000);
     cluster.invariants.told("job-1", 503, "", 0);
-    assertEquals(0, cluster.invariants.violations().size(), "not 75 s after the faults yet");
+    assertEquals(0, cluster.invariants.violations().size(), "less than 75 s after the faults");
     cluster.time.runUntil(96_000);
     cluster.invariants.told("job-1", 0, "", 0);
-    only("forgotten");
+    assertOnlyViolation("forgotten");
   }
 
   @Test
-  void jobThatWaitsForLongBesideRoomIsAViolation() {
+  void jobThatWaitsTooLongDespiteFreeRoomIsAViolation() {
     SimulatedJob job =
-        known(
+        define(
             "job-1",
             j -> {
               j.tasks(2);
@@ -226,38 +238,45 @@
               j.zone("b");
             });
     cluster.invariants.accepted(job.id());
-    cluster.labels().forEach(label -> cluster.faults.kill(label, 1_000_000)); // nobody takes it up
-    machine("host-1", "big", "a", false).boot();
+    cluster
+        .labels()
+        .forEach(label -> cluster.faults.kill(label, 1_000_000)); // no controller schedules the job
+    addMachine("host-1", "big", "a", false).boot();
     cluster.time.runUntil(100_000);
-    assertEquals(0, cluster.invariants.violations().size(), "no machine of its zone");
-    machine("host-2", "big", "b", false).boot();
-    cluster.invariants.started("job-1/0", machine("host-3", "big", "b", false));
+    assertEquals(0, cluster.invariants.violations().size(), "no machine in the zone of the job");
+    addMachine("host-2", "big", "b", false).boot();
+    cluster.invariants.started("job-1/0", addMachine("host-3", "big", "b", false));
     cluster.time.runUntil(185_000);
-    assertEquals(0, cluster.invariants.violations().size(), "not for 90 s yet");
+    assertEquals(0, cluster.invariants.violations().size(), "less than 90 s with free room");
     cluster.time.runUntil(195_000);
-    assertTrue(cluster.invariants.violations().stream().anyMatch(b -> b.startsWith("waits")));
+    assertTrue(
+        cluster.invariants.violations().stream()
+            .anyMatch(violation -> violation.startsWith("waits")));
     cluster.invariants.clearViolations();
     cluster.jobs.get("job-1").team("limited");
     cluster.jobs.get("job-1").cpus(30);
     cluster.time.runUntil(300_000);
-    assertEquals(List.of(), cluster.invariants.violations(), "its team is at its limit");
+    assertEquals(List.of(), cluster.invariants.violations(), "the team is at its quota");
   }
 
   @Test
-  void dayOnWhichTooFewJobsEndIsAViolation() {
+  void dayWithTooFewFinishedJobsIsAViolation() {
     for (int i = 0; i < 4; i++) {
       int tasks = i + 1;
-      known("job-" + i, j -> j.tasks(tasks));
+      define("job-" + i, j -> j.tasks(tasks));
     }
-    cluster.invariants.started("job-3/0", machine("host-1", "big", "a", false));
+    cluster.invariants.started("job-3/0", addMachine("host-1", "big", "a", false));
     cluster.invariants.told("job-0", 200, "running", 0);
     cluster.invariants.checkEndOfDay();
     assertTrue(
-        cluster.invariants.violations().stream().anyMatch(b -> b.contains("team open: 0 of 4")));
+        cluster.invariants.violations().stream()
+            .anyMatch(violation -> violation.contains("team open: 0 of 4")));
     assertTrue(
-        cluster.invariants.violations().stream().anyMatch(b -> b.contains("class batch: 0 of 4")));
+        cluster.invariants.violations().stream()
+            .anyMatch(violation -> violation.contains("class batch: 0 of 4")));
     assertTrue(
-        cluster.invariants.violations().stream().anyMatch(b -> b.contains("largest: 0 of 1")));
+        cluster.invariants.violations().stream()
+            .anyMatch(violation -> violation.contains("largest: 0 of 1")));
     cluster.invariants.clearViolations();
     for (int i = 1; i < 4; i++) {
       for (int task = 0; task <= i; task++) {
@@ -266,13 +285,18 @@
       cluster.invariants.told("job-" + i, 200, "done", 0);
     }
     cluster.invariants.checkEndOfDay();
-    assertEquals(List.of(), cluster.invariants.violations(), "three of four, with the largest");
-    known("job-9", j -> j.tasks(12));
+    assertEquals(
+        List.of(),
+        cluster.invariants.violations(),
+        "three of four jobs are done, the largest among them");
+    define("job-9", j -> j.tasks(12));
     cluster.time.runUntil(250_000);
     cluster.invariants.clearViolations();
     cluster.invariants.checkEndOfDay();
     assertTrue(
         cluster.invariants.violations().stream()
-            .anyMatch(b -> b.contains("job-9 is of the largest and began after 250000 ms")));
+            .anyMatch(
+                violation ->
+                    violation.contains("job-9 is of the largest and began after 250000 ms")));
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -11,26 +11,32 @@
 import org.fieldtrestle.transport.Http;
 import org.junit.jupiter.api.Test;
 
-/** Questions and repeated submissions about jobs whose state here is not as elsewhere. */
+/**
+ * Queries and repeated submissions that reach a controller whose knowledge of the job differs from
+ * that of the other controllers.
+ */
 class JobQueriesTest {
   private static final int JOBS = 400;
 
-  private static List<Integer> askAll(
-      SimulatedCluster cluster, String label, int firstId, int count) {
+  private static List<Integer> queryAll(
+      SimulatedCluster cluster, String label, int firstNumber, int count) {
     List<Integer> statuses = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       cluster.network.deliver(
           ClusterLayout.address(label),
           "GET",
-          "/v2/runs/job-" + (firstId + i),
+          "/v2/runs/job-" + (firstNumber + i),
           Http.Response.EMPTY,
           response -> statuses.add(response.status()));
     }
     return statuses;
   }
 
-  /** A cluster in which many jobs have been done, and whose controllers have forgotten how. */
-  private static SimulatedCluster afterARestart() {
+  /**
+   * Returns a cluster in which many jobs are done, and whose controllers were restarted since and
+   * do not remember how these jobs ended.
+   */
+  private static SimulatedCluster startClusterWithFinishedJobs() {
     SimulatedCluster cluster =
         SimulatedCluster.builder()
             .seed(5)
@@ -50,42 +56,47 @@
     return cluster;
   }
 
-  private static void assertAllEndedAreAnswered(SimulatedCluster cluster) {
-    List<Integer> statuses = askAll(cluster, "trestle-1", 1000, JOBS);
+  private static void assertAllFinishedJobsAreAnswered(SimulatedCluster cluster) {
+    List<Integer> statuses = queryAll(cluster, "trestle-1", 1000, JOBS);
     cluster.time.runUntil(cluster.time.now() + 2000);
     assertEquals(JOBS, statuses.stream().filter(status -> status == 200).count());
   }
 
   @Test
   void allFinishedJobsAreAnsweredWithinSecondsAfterARestart() {
-    SimulatedCluster cluster = afterARestart();
-    assertAllEndedAreAnswered(cluster);
+    SimulatedCluster cluster = startClusterWithFinishedJobs();
+    assertAllFinishedJobsAreAnswered(cluster);
   }
 
   @Test
   void finishedJobsAreAnsweredDuringQueriesAboutUnknownJobs() {
-    SimulatedCluster cluster = afterARestart();
-    // As many unknown ids before and between those that are known as could ever wait.
-    askAll(cluster, "trestle-1", 1, 900);
-    askAll(cluster, "trestle-1", 10_000_000, 2500);
-    assertAllEndedAreAnswered(cluster);
+    SimulatedCluster cluster = startClusterWithFinishedJobs();
+    // About as many unknown jobs as may have pending queries; their ids lie before and between
+    // those
+    // of the known jobs.
+    queryAll(cluster, "trestle-1", 1, 900);
+    queryAll(cluster, "trestle-1", 10_000_000, 2500);
+    assertAllFinishedJobsAreAnswered(cluster);
   }
 
-  /** Each page of ends begins where the one before ended; reads are not short here. */
+  /**
+   * Each page of finished jobs begins where the previous page ended. Reads are not scarce in this
+   * test.
+   */
   @Test
   void finishedJobOfAHighIdIsAnsweredDuringQueriesAboutLowIds() {
-    SimulatedCluster cluster = afterARestart();
+    SimulatedCluster cluster = startClusterWithFinishedJobs();
     for (int i = 0; i < 500; i++) {
-      int low = i % 2 == 0 ? 10 : 100; // in the order of keys before all that have ended
-      cluster.time.after(i * 10L, () -> askAll(cluster, "trestle-1", low, 1));
+      int low = i % 2 == 0 ? 10 : 100; // sorts before the keys of all finished jobs
+      cluster.time.after(i * 10L, () -> queryAll(cluster, "trestle-1", low, 1));
     }
     cluster.time.runUntil(cluster.time.now() + 1000);
-    List<Integer> statuses = askAll(cluster, "trestle-1", 1000 + JOBS - 1, 1);
+    List<Integer> statuses = queryAll(cluster, "trestle-1", 1000 + JOBS - 1, 1);
     cluster.time.runUntil(cluster.time.now() + 4000);
     assertEquals(List.of(200), statuses);
   }
 
-  /** A question that came first must not make a later one say that there is no such job. */
+  /** A read that was sent for an earlier query must not answer a later query with 404. */
   @Test
   void readSentBeforeAnAcceptanceDoesNotAnswerLaterQueries() {
     SimulatedCluster cluster =
@@ -93,19 +104,20 @@
     cluster.time.runUntil(20_000);
     cluster.delayStoreAnswers(
         (label, path, body) -> label.equals("trestle-0") && path.startsWith("/kv") ? 1000 : 0);
-    SimulatedJob job = cluster.users.define("job-77", one -> one.runMs(60_000));
-    List<Integer> early = askAll(cluster, "trestle-0", 77, 1);
-    List<String> late = new ArrayList<>();
-    // Its reading is under way while the job is accepted and called off at another controller.
+    SimulatedJob job = cluster.users.define("job-77", newJob -> newJob.runMs(60_000));
+    List<Integer> earlyStatuses = queryAll(cluster, "trestle-0", 77, 1);
+    List<String> lateAnswers = new ArrayList<>();
+    // The read for the early query is under way while another controller accepts and cancels the
+    // job.
     cluster.time.after(
-        100, () -> acceptAndCancel(cluster, job, () -> askUntilKnown(cluster, late)));
+        100, () -> acceptAndCancel(cluster, job, () -> queryRepeatedly(cluster, lateAnswers)));
     cluster.time.runUntil(40_000);
-    assertEquals(1, early.size());
-    assertTrue(!late.isEmpty() && !late.contains("404"), late.toString());
+    assertEquals(1, earlyStatuses.size());
+    assertTrue(!lateAnswers.isEmpty() && !lateAnswers.contains("404"), lateAnswers.toString());
   }
 
   private static void acceptAndCancel(
-      SimulatedCluster cluster, SimulatedJob job, Runnable cancelled) {
+      SimulatedCluster cluster, SimulatedJob job, Runnable onCancelled) {
     cluster.users.noteCancellation(job.id());
     cluster.network.deliver(
         ClusterLayout.address("trestle-1"),
@@ -120,12 +132,12 @@
                 Http.Response.EMPTY,
                 response -> {
                   if (response.status() == 200) {
-                    cancelled.run();
+                    onCancelled.run();
                   }
                 }));
   }
 
-  private static void askUntilKnown(SimulatedCluster cluster, List<String> answers) {
+  private static void queryRepeatedly(SimulatedCluster cluster, List<String> answers) {
     for (int i = 0; i < 40; i++) {
       cluster.time.after(
           i * 50L,
@@ -143,66 +155,72 @@
     }
   }
 
-  private record Answered(Http.Response response, long afterMs) {}
+  private record TimedResponse(Http.Response response, long afterMs) {}
 
-  /** Asks one controller and returns what comes within ten seconds. */
-  private static Answered ask(
+  /**
+   * Sends a request to one controller and returns the response, {@code null} if none comes within
+   * ten seconds.
+   */
+  private static TimedResponse send(
       SimulatedCluster cluster, String label, String method, String path, byte[] body) {
-    long asked = cluster.time.now();
-    Answered[] answered = {null};
+    long sentAtMs = cluster.time.now();
+    TimedResponse[] answered = {null};
     cluster.network.deliver(
         ClusterLayout.address(label),
         method,
         path,
         body,
-        response -> answered[0] = new Answered(response, cluster.time.now() - asked));
-    cluster.time.runUntil(asked + 10_000);
+        response -> answered[0] = new TimedResponse(response, cluster.time.now() - sentAtMs));
+    cluster.time.runUntil(sentAtMs + 10_000);
     return answered[0];
   }
 
-  private static Answered ask(SimulatedCluster cluster, String label, String job) {
-    return ask(cluster, label, "GET", "/v2/runs/" + job, Http.Response.EMPTY);
+  private static TimedResponse query(SimulatedCluster cluster, String label, String job) {
+    return send(cluster, label, "GET", "/v2/runs/" + job, Http.Response.EMPTY);
   }
 
   @Test
   void nextQueryIsAnsweredByAReadThatWasTooLateForTheFirst() {
-    SimulatedCluster cluster = afterARestart();
+    SimulatedCluster cluster = startClusterWithFinishedJobs();
     cluster.delayStoreAnswers((label, path, body) -> path.contains("ft/final/") ? 2500 : 0);
-    cluster.faults.kill("trestle-1", 100); // it has read nothing yet once it is back
+    cluster.faults.kill("trestle-1", 100); // after the restart it has read no finished jobs
     cluster.time.runUntil(cluster.time.now() + 200);
     while (!cluster.isReady("trestle-1")) {
       cluster.time.runUntil(cluster.time.now() + 10);
     }
-    Answered first = ask(cluster, "trestle-1", "job-1000");
+    TimedResponse first = query(cluster, "trestle-1", "job-1000");
     assertEquals(503, first.response().status());
     assertTrue(first.afterMs() < 2000, "the user still waits: " + first.afterMs());
-    Answered next = ask(cluster, "trestle-1", "job-1000");
+    TimedResponse next = query(cluster, "trestle-1", "job-1000");
     assertEquals(200, next.response().status());
     assertEquals(0, next.afterMs());
   }
 
-  private static boolean comparison(String path, byte[] body) {
+  private static boolean isReadBarrierRequest(String path, byte[] body) {
     return path.equals("/commit") && Json.parseOrEmpty(body).path("apply").isEmpty();
   }
 
   @Test
-  void queryIsAnsweredByAWatchWhenItsOwnRequestIsLate() {
+  void queryIsAnsweredByAWatchWhenItsReadBarrierRequestIsLate() {
     SimulatedCluster cluster =
         SimulatedCluster.builder().seed(7).machines(4).deployment(Deployment.timberFleet()).start();
     cluster.users.submit("job-77", job -> job.runMs(60_000));
     cluster.time.runUntil(20_000);
-    cluster.delayStoreAnswers((label, path, body) -> comparison(path, body) ? 10_000 : 0);
-    // Others change something all the time, so that watches are answered.
+    cluster.delayStoreAnswers((label, path, body) -> isReadBarrierRequest(path, body) ? 10_000 : 0);
+    // Other users submit jobs all the time, so that watches are answered.
     for (int i = 0; i < 40; i++) {
       int number = 100 + i;
       cluster.time.after(i * 250L, () -> cluster.users.submit("job-" + number, job -> {}));
     }
-    Answered answered = ask(cluster, "trestle-1", "job-77");
+    TimedResponse answered = query(cluster, "trestle-1", "job-77");
     assertEquals(200, answered.response().status());
     assertTrue(answered.afterMs() < 2000, "the user still waits: " + answered.afterMs());
   }
 
-  /** Load balancers do not move open connections: a user who kept this one would get no answer. */
+  /**
+   * Load balancers do not move open connections, so that a user who kept this connection would get
+   * no answer.
+   */
   @Test
   void controllerWhoseWatchesAreLateClosesConnectionsOfUsers() {
     SimulatedCluster cluster =
@@ -211,55 +229,62 @@
     cluster.time.runUntil(20_000);
     cluster.delayStoreAnswers(
         (label, path, body) -> label.equals("trestle-1") && path.startsWith("/watch") ? 60_000 : 0);
-    cluster.users.submit("job-78", job -> {}); // so that there is something to follow
+    cluster.users.submit("job-78", job -> {}); // so that there is a change to follow
     cluster.time.runUntil(21_000);
-    Answered answered = ask(cluster, "trestle-1", "job-77");
+    TimedResponse answered = query(cluster, "trestle-1", "job-77");
     assertEquals(503, answered.response().status());
-    assertTrue(answered.response().close(), "the next question goes elsewhere");
-    assertEquals(200, ask(cluster, "trestle-0", "job-77").response().status());
+    assertTrue(answered.response().close(), "the next query goes to another controller");
+    assertEquals(200, query(cluster, "trestle-0", "job-77").response().status());
   }
 
   private static final int LONG_NAME_BYTES = 500;
 
-  /** What a job's record holds beside its description where it is one range, and the brackets. */
-  private static final int ONE_RANGE_BYTES = 130;
+  /**
+   * Size of the record of a job with one range apart from the job's description, including
+   * brackets.
+   */
+  private static final int RECORD_OVERHEAD_BYTES = 130;
 
-  /** How a job is split depends on how many shards are known, and with that its record's size. */
+  /**
+   * The number of known shards decides into how many ranges a job is split, and thereby how large
+   * the job's record is.
+   */
   @Test
-  void repeatedSubmissionIsKnownThoughItsRecordWouldBeTooLargeNow() {
+  void repeatedSubmissionIsRecognizedThoughItsRecordWouldNowBeTooLarge() {
     SimulatedCluster cluster =
         SimulatedCluster.builder()
             .seed(7)
             .machines(30)
             .deployment(Deployment.payrollFleet())
             .start();
-    SimulatedJob job = cluster.users.define("job-77", one -> one.tasks(300));
+    SimulatedJob job = cluster.users.define("job-77", newJob -> newJob.tasks(300));
     ObjectNode body = (ObjectNode) Json.parseOrEmpty(job.body());
     ArrayNode types = body.putArray("rigs").add("big");
-    int room = (int) (cluster.deployment().state().maxValueKb() * 1024) - ONE_RANGE_BYTES;
-    while (Json.bytes(body).length + LONG_NAME_BYTES < room) {
+    int maxBodyBytes =
+        (int) (cluster.deployment().state().maxValueKb() * 1024) - RECORD_OVERHEAD_BYTES;
+    while (Json.bytes(body).length + LONG_NAME_BYTES < maxBodyBytes) {
       types.add("x".repeat(LONG_NAME_BYTES));
     }
-    types.add("x".repeat(Math.max(1, room - Json.bytes(body).length - 3)));
+    types.add("x".repeat(Math.max(1, maxBodyBytes - Json.bytes(body).length - 3)));
     job.body(Json.bytes(body));
-    acceptAsSoonAsReady(cluster, job, "trestle-0"); // while it knows of no other shard
+    submitAsSoonAsReady(cluster, job, "trestle-0"); // while the controller knows of no other shard
     cluster.time.runUntil(300_000);
     for (String label : cluster.labels()) {
-      Answered repeated = ask(cluster, label, "POST", "/v2/runs", job.body());
+      TimedResponse repeated = send(cluster, label, "POST", "/v2/runs", job.body());
       assertEquals(200, repeated.response().status(), label);
     }
-    byte[] another = Json.bytes(body.deepCopy().put("uid", "job-78"));
+    byte[] newSubmission = Json.bytes(body.deepCopy().put("uid", "job-78"));
     assertEquals(
         400,
-        ask(cluster, "trestle-0", "POST", "/v2/runs", another).response().status(),
-        "a new one is too large by now");
+        send(cluster, "trestle-0", "POST", "/v2/runs", newSubmission).response().status(),
+        "a new job of this size is too large by now");
   }
 
-  private static void acceptAsSoonAsReady(
+  private static void submitAsSoonAsReady(
       SimulatedCluster cluster, SimulatedJob job, String label) {
     while (!cluster.isReady(label)) {
       cluster.time.runUntil(cluster.time.now() + 10);
     }
-    assertEquals(201, ask(cluster, label, "POST", "/v2/runs", job.body()).response().status());
+    assertEquals(201, send(cluster, label, "POST", "/v2/runs", job.body()).response().status());
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Commands, transactions and heartbeats arrive late while other faults last: the invariants hold
- * and all jobs end.
+ * Commands, transactions and heartbeats arrive late during other faults: the invariants hold and
+ * all jobs end.
  */
 class LateMessagesTest {
   @Test
@@ -23,7 +23,7 @@
           List<SimulatedJob> jobs = submit(cluster, 6, 4, 15_000);
           cluster.runFor(25_000);
           for (int i = 0; i < 10; i++) {
-            // Just before there is something to tell: new work, and work that is called off.
+            // Machines hang just before commands for new and cancelled jobs are sent to them.
             cluster
                 .machines()
                 .forEach(machine -> machine.faults.hang(cluster.time.between(2000, 9000)));
@@ -31,15 +31,15 @@
             cluster.users.cancel(jobs.get(i));
             cluster.runFor(14_000);
           }
-          // On any machine, also on one that has been returned since.
-          assertTrue(cluster.lateCommandsExecuted() > 0, "commands were carried out late");
+          // Counts all machines, also those that have been returned since.
+          assertTrue(cluster.lateCommandsExecuted() > 0, "commands were executed late");
         });
   }
 
-  /** Copies of direct commands come late, after their tasks were stopped and cleared. */
+  /** Copies of direct commands arrive late, after their tasks were stopped and removed. */
   @Test
   void jobsEndWhenStartsArriveAfterTheirTasksWerePreempted() {
-    int[] late = {0};
+    int[] lateCommands = {0};
     forEachDeployment(
         4,
         cluster -> {
@@ -49,21 +49,22 @@
             cluster.network.delayCommands(0.7);
             submit(cluster, 1, 6, 60_000);
             cluster.runFor(9000);
-            // They are preempted soon after their start, and start elsewhere or later.
+            // These short jobs preempt the tasks above soon after their start, which start again
+            // elsewhere or later.
             submit(cluster, 3, 4, 2500);
             cluster.runFor(30_000);
           }
           cluster.network.delayCommands(0);
           for (SimulatedWorker machine : cluster.machines()) {
-            late[0] += machine.lateCommands();
+            lateCommands[0] += machine.lateCommands();
           }
         });
-    assertTrue(late[0] > 0, "commands arrived late");
+    assertTrue(lateCommands[0] > 0, "commands arrived late");
   }
 
   @Test
   void jobsEndWhenUnansweredTransactionsAreExecutedLate() {
-    int[] committed = {0};
+    int[] lateCommits = {0};
     forEachDeployment(
         14,
         cluster -> {
@@ -80,10 +81,11 @@
           cluster.runFor(60_000);
           cluster.store.delayCommits(0);
           cluster.runFor(15_000);
-          committed[0] += cluster.store.lateCommitted();
-          assertTrue(cluster.store.lateConflicts() > 0, "some came after newer ones");
+          lateCommits[0] += cluster.store.lateCommitted();
+          assertTrue(
+              cluster.store.lateConflicts() > 0, "some transactions arrived after newer ones");
         });
-    assertTrue(committed[0] > 0, "some had their conditions met");
+    assertTrue(lateCommits[0] > 0, "the conditions of some late transactions were met");
   }
 
   @Test
@@ -92,30 +94,33 @@
         14,
         cluster -> {
           submit(cluster, 6, 6, 15_000);
-          List<Map<String, byte[]>> old = new ArrayList<>();
-          cluster.observeListening(label -> deliverNewest(cluster, label, old));
+          List<Map<String, byte[]>> oldHeartbeats = new ArrayList<>();
+          cluster.observeListening(label -> deliverNewest(cluster, label, oldHeartbeats));
           cluster.faults.note(140_000);
           for (int i = 0; i < 270; i++) {
             cluster.runFor(500);
             if (i % 6 == 0) {
-              old.add(heartbeats(cluster));
+              oldHeartbeats.add(heartbeats(cluster));
             }
             if (i == 72) {
               cluster.faults.kill("trestle-1", 500);
-            } else if (i == 120) { // sessions end
+            } else if (i == 120) { // worker leases expire
               cluster.machines().forEach(machine -> machine.faults.hang(cluster.leaseMs + 4000));
               submit(cluster, 3, 6, 15_000);
             } else if (i == 192) {
               cluster.faults.kill("trestle-0", cluster.leaseMs + 30_000);
             }
             for (byte[] heartbeat :
-                old.get((int) cluster.time.between(0, old.size() - 1)).values()) {
+                oldHeartbeats
+                    .get((int) cluster.time.between(0, oldHeartbeats.size() - 1))
+                    .values()) {
               for (String label : cluster.labels()) {
                 cluster.deliverCopy(label, heartbeat);
               }
             }
           }
-          assertTrue(cluster.copiesAnswered() > 0, "some came before any newer one");
+          assertTrue(
+              cluster.copiesAnswered() > 0, "some old heartbeats arrived before any newer one");
         });
   }
 
@@ -128,7 +133,8 @@
           cluster.runFor(40_000);
           long ms = cluster.leaseMs + 10_000;
           cluster.faults.note(ms);
-          // Most of them, so that it looks like a cut; the others have room for what is lost.
+          // Most machines are silent, so that this looks like a partition; the others have room for
+          // the lost tasks.
           List<SimulatedWorker> all = cluster.machines();
           List<SimulatedWorker> mute = all.subList(0, all.size() * 2 / 3);
           mute.forEach(machine -> machine.faults.mute(ms));
@@ -143,7 +149,7 @@
         });
   }
 
-  /** The newest heartbeats that were kept are the first to reach a controller. */
+  /** Delivers the newest kept heartbeats, so that they are the first to reach a controller. */
   private static void deliverNewest(
       SimulatedCluster cluster, String label, List<Map<String, byte[]>> kept) {
     if (!kept.isEmpty()) {
--- a/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
@@ -10,14 +10,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** More work or more queries than a small cluster gets through: nothing is starved or forgotten. */
+/** Under more work or queries than a small cluster can handle, no job is starved or forgotten. */
 class OverloadTest {
   @Test
   void largestJobBeginsWithinFourMinutesDuringABurstOfUrgentJobs() {
     SimulatedCluster cluster = startCluster(4);
     submit(cluster, "job-0", 10, 2500);
     cluster.time.runUntil(40_000);
-    // More urgent work than the whole fleet gets through, for longer than four minutes.
+    // More urgent work than the whole fleet can run, for longer than four minutes.
     for (int i = 1; i < 160; i++) {
       int number = i;
       cluster.time.after(
@@ -34,7 +34,7 @@
     cluster.time.after(20_000, () -> submit(cluster, "job-900", 60, 20_000));
     cluster.time.runUntil(60_000 + 240_000);
     assertNoViolations(cluster);
-    assertTrue(cluster.invariants.hasBegun("job-900"), "a burst does not keep it from beginning");
+    assertTrue(cluster.invariants.hasBegun("job-900"), "the largest job begins despite the burst");
   }
 
   @Test
@@ -43,11 +43,11 @@
     submit(cluster, "job-1", 16, 300_000);
     cluster.time.runUntil(25_000);
     assertEquals(16, cluster.invariants.starts(), "the fleet is full");
-    submit(cluster, "job-2", 90, 10_000); // so that the first outscores enough of what waits
+    submit(cluster, "job-2", 90, 10_000); // so that the first task outscores enough waiting tasks
     cluster.time.runUntil(150_000);
     assertNoViolations(cluster);
-    assertEquals(16, cluster.invariants.starts(), "nobody was stopped and started again");
-    assertFalse(cluster.invariants.hasBegun("job-2"), "it waits for room");
+    assertEquals(16, cluster.invariants.starts(), "no task was stopped and started again");
+    assertFalse(cluster.invariants.hasBegun("job-2"), "the second job waits for room");
   }
 
   @Test
@@ -56,11 +56,10 @@
     submit(cluster, "job-1", 4, 3000);
     cluster.time.runUntil(40_000);
     assertDone(cluster, "job-1");
-    cluster
-        .labels()
-        .forEach(label -> cluster.faults.kill(label, 300)); // so that they forget how jobs ended
+    // After a restart, controllers do not remember how jobs ended.
+    cluster.labels().forEach(label -> cluster.faults.kill(label, 300));
     cluster.time.runUntil(50_000);
-    // Hundreds of questions a second, most about jobs that nobody submitted.
+    // Hundreds of queries a second, most of them about jobs that nobody submitted.
     for (int i = 0; i < 8000; i++) {
       String id = i % 5 == 0 ? "job-1" : "job-" + (100_000 + i);
       cluster.time.after(i * 3L, () -> cluster.users.ask(id));
@@ -70,7 +69,9 @@
       cluster.time.after(4000 + i * 300L, () -> submit(cluster, "job-" + number, 2, 2500));
       cluster.time.after(
           4000 + i * 300L + 900,
-          () -> assertTrue(cluster.invariants.isAccepted("job-" + number), "in time: " + number));
+          () ->
+              assertTrue(
+                  cluster.invariants.isAccepted("job-" + number), "accepted in time: " + number));
     }
     cluster.time.runUntil(140_000);
     assertNoViolations(cluster);
@@ -79,7 +80,10 @@
     }
   }
 
-  /** With a quarter of the requests for single reads, jobs were forgotten here. */
+  /**
+   * When only a quarter of a controller's requests could be reads of single jobs, jobs were
+   * forgotten in this test.
+   */
   @Test
   void noJobIsForgottenDuringAStormOfQueriesAfterARestart() {
     SimulatedCluster cluster =
@@ -90,9 +94,8 @@
     }
     cluster.time.runUntil(200_000);
     cluster.changeDeployment(cluster.deployment().withStateRequests(70));
-    cluster
-        .labels()
-        .forEach(label -> cluster.faults.kill(label, 300)); // so that they forget how jobs ended
+    // After a restart, controllers do not remember how jobs ended.
+    cluster.labels().forEach(label -> cluster.faults.kill(label, 300));
     cluster.time.runUntil(206_000);
     for (int i = 0; i < 10_000; i++) {
       String unknown = "job-" + (1_000_000 + i);
@@ -103,7 +106,7 @@
     assertEquals(250, cluster.invariants.doneJobs());
   }
 
-  /** Users count room as room, whatever it is kept for. */
+  /** Users count all free room, regardless of what it is reserved for. */
   @Test
   void noJobWaitsLongBesideRoomReservedForUrgentJobs() {
     SimulatedCluster cluster =
@@ -111,7 +114,7 @@
     submit(cluster, "job-1", 16, 120_000);
     cluster.time.runUntil(25_000);
     for (int i = 0; i < 6; i++) {
-      cluster.network.delayCommands(0.7); // so that more has to be placed again
+      cluster.network.delayCommands(0.7); // so that more tasks have to be placed again
       submit(cluster, "job-" + (10 + i), 8, 90_000);
       cluster.runFor(9000);
       for (int urgent = 0; urgent < 6; urgent++) {
--- a/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs are cancelled, or their leader is partitioned, while other faults last: the invariants hold
- * and all jobs end.
+ * Jobs are cancelled, or their leader is partitioned, during other faults: the invariants hold and
+ * all jobs end.
  */
 class PartitionAndCancellationTest {
   @Test
@@ -32,12 +32,13 @@
           cluster.faults.note(95_000);
           cluster.faults.disconnect(leader, 90_000, Link.STORE, Link.PEERS);
           cluster.runFor(3000);
-          assertTrue(runningTasks(cluster, jobs) > 0, "they run");
+          assertTrue(runningTasks(cluster, jobs) > 0, "the jobs run");
           cancelElsewhere(cluster, leader, jobs.subList(0, 2), 1500);
           cluster.runFor(3000);
-          long told = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
+          long confirmedAtMs = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
           assertTrue(
-              cluster.heartbeatAnsweredAtMs(leader) > told, "the old one still answers workers");
+              cluster.heartbeatAnsweredAtMs(leader) > confirmedAtMs,
+              "the cut-off leader still answers workers");
           cluster.runFor(35_000);
           assertLeadersChanged(cluster, before);
           cancelElsewhere(cluster, leader, jobs.subList(2, 4), 1500);
@@ -46,11 +47,12 @@
   }
 
   /**
-   * Some machines of a partitioned leader reach only the other controllers, which lead them then.
+   * Some machines of a partitioned leader reach only the other controllers, which then lead these
+   * machines.
    */
   @Test
   void partitionedLeaderInfersNothingFromSilenceOfMachinesThatOthersLead() {
-    int[] taken = {0};
+    int[] leaderChanges = {0};
     forEachDeployment(
         14,
         cluster -> {
@@ -63,21 +65,25 @@
           String leader = cluster.leaderOf(cluster.jobs.get("job-1"));
           List<Long> before = cluster.store.shardEpochs();
           cluster.faults.note(75_000);
-          // Without the cloud it cannot return the silent ones, which would end their tasks.
+          // Without the cloud the leader cannot return silent machines, which would end their
+          // tasks.
           cluster.faults.disconnect(leader, 70_000, Link.STORE, Link.PEERS, Link.CLOUD);
-          List<SimulatedWorker> its =
+          List<SimulatedWorker> ledMachines =
               cluster.machines().stream().filter(m -> m.reportsTo().equals(leader)).toList();
-          its.subList(0, its.size() / 2)
+          ledMachines
+              .subList(0, ledMachines.size() / 2)
               .forEach(machine -> machine.faults.disconnect(leader, 70_000));
           cluster.runFor(cluster.leaseMs + 8000);
-          taken[0] += before.equals(cluster.store.shardEpochs()) ? 0 : 1;
+          leaderChanges[0] += before.equals(cluster.store.shardEpochs()) ? 0 : 1;
           cluster.runFor(70_000);
         });
-    assertTrue(taken[0] > 0, "its shard was taken while it could still act");
+    assertTrue(
+        leaderChanges[0] > 0,
+        "a shard changed its leader while the partitioned one could still act");
   }
 
   @Test
-  void cancelledJobsStopWhenTheStoreIsSlowThenRefusesTheLeaderThenEverybody() {
+  void cancelledJobsStopWhenTheStoreIsSlowThenRefusesTheLeaderThenAllControllers() {
     forEachDeployment(
         14,
         cluster -> {
@@ -99,18 +105,23 @@
             }
             cluster.runFor(2000);
           }
-          long told = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
+          long confirmedAtMs = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
           assertTrue(
-              cluster.heartbeatAnsweredAtMs(leader) > told, "the old one still answered workers");
+              cluster.heartbeatAnsweredAtMs(leader) > confirmedAtMs,
+              "the cut-off leader still answered workers");
           cluster.runFor(30_000);
-          assertEquals(0, runningTasks(cluster, jobs.subList(0, 3)), "gone");
+          assertEquals(
+              0, runningTasks(cluster, jobs.subList(0, 3)), "the cancelled tasks have stopped");
           cluster.users.cancel(jobs.get(4));
         });
   }
 
-  /** The users' "gap". */
+  /**
+   * The store refuses the leader while the cancellations are committed, and right afterwards all
+   * controllers. Users call this case the "gap".
+   */
   @Test
-  void cancelledJobsStopInTimeWhenTheStoreRefusesTheLeaderThenEverybody() {
+  void cancelledJobsStopInTimeWhenTheStoreRefusesTheLeaderThenAllControllers() {
     forEachDeployment(
         14,
         cluster -> {
@@ -121,15 +132,19 @@
           maybeLosePeers(cluster, leader);
           cluster.faults.refuse(leader, 14_000);
           cluster.runFor(300);
-          assertTrue(runningTasks(cluster, jobs) > 0, "they run");
+          assertTrue(runningTasks(cluster, jobs) > 0, "the jobs run");
           cancelElsewhere(cluster, leader, jobs.subList(0, 5), 1200);
           cluster.store.outage(cluster.cancelMs + 12_000);
-          long told = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
+          long confirmedAtMs = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
           cluster.runFor(8000);
           assertTrue(
-              cluster.heartbeatAnsweredAtMs(leader) > told, "the old one still answers workers");
-          cluster.time.runUntil(told + cluster.cancelMs);
-          assertEquals(0, runningTasks(cluster, jobs.subList(0, 5)), "gone in time");
+              cluster.heartbeatAnsweredAtMs(leader) > confirmedAtMs,
+              "the cut-off leader still answers workers");
+          cluster.time.runUntil(confirmedAtMs + cluster.cancelMs);
+          assertEquals(
+              0,
+              runningTasks(cluster, jobs.subList(0, 5)),
+              "the cancelled tasks have stopped in time");
           cluster.runFor(20_000);
           cluster.users.cancel(jobs.get(5));
         });
@@ -141,14 +156,14 @@
         14,
         cluster -> {
           cluster.users.cancelAtEnd(0.8);
-          // An answer takes a few hundred ms now and then: here always, so that both ends are often
-          // on their way at once.
+          // Some answers of the store take a few hundred ms. Here all of them do, so that the end
+          // and the cancellation of a job are often under way at the same time.
           cluster.network.slow(ClusterLayout.STORE_ADDRESS, 300, 150_000);
           List<SimulatedJob> jobs = submit(cluster, 30, 2, 6000);
           cluster.runFor(150_000);
           long done = countLastStage(cluster, jobs, "done");
           long cancelled = countLastStage(cluster, jobs, "cancelled");
-          assertEquals(jobs.size(), done + cancelled, "each has one end");
+          assertEquals(jobs.size(), done + cancelled, "each job is either done or cancelled");
           assertTrue(done > 0 && cancelled > 0, done + " done, " + cancelled + " cancelled");
           Map<String, String> ends = new HashMap<>();
           jobs.forEach(job -> ends.put(job.id(), cluster.store.finishedRecordOf(job.id())));
@@ -177,18 +192,22 @@
         14,
         cluster -> {
           List<SimulatedJob> jobs = submit(cluster, 4, 6, 60_000);
-          List<SimulatedJob> bound = submit(cluster, 2, 6, 200_000, job -> job.zone("b"));
+          List<SimulatedJob> zoneBoundJobs = submit(cluster, 2, 6, 200_000, job -> job.zone("b"));
           cluster.runFor(35_000);
-          long ms = cluster.cancelMs + 12_000; // so that nobody behind it may answer any more
+          // Long enough that no controller behind the partition may still answer.
+          long ms = cluster.cancelMs + 12_000;
           cluster.faults.note(ms + 5000);
           cluster.network.partition("a", "b", ms);
           cluster.network.partition("b", "regional", ms);
           cluster.faults.disconnect("trestle-1", ms, Link.PEERS);
-          assertTrue(runningTasks(cluster, bound) > 0, "they run");
+          assertTrue(runningTasks(cluster, zoneBoundJobs) > 0, "the jobs run");
           cluster.runFor(2000);
           cluster.users.cancelAt("trestle-0", jobs.get(0));
           cluster.runFor(ms - 4000);
-          assertEquals(0, runningTasks(cluster, bound), "what is behind the cut has ended");
+          assertEquals(
+              0,
+              runningTasks(cluster, zoneBoundJobs),
+              "the tasks behind the partition have stopped");
           cluster.runFor(2000);
           assertEquals("cancelled", cluster.invariants.lastStageOf(jobs.get(0).id()));
         });
--- a/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
@@ -11,12 +11,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hundreds to thousands of machines, with the limits of the key-value store enforced, two faults at
- * a time: every accepted job can be asked about once the faults are over.
+ * Runs clusters of hundreds to thousands of machines, with the limits of the key-value store
+ * enforced and with two faults at a time. Queries about every accepted job must be answered once
+ * the faults are over.
  *
- * <p>By hand, more seeds and sizes, with the figures of each day in {@code
- * target/surefire-reports}: {@code mvn -o -B test -Dtest=ProductionSizeTest -DargLine="-Xmx6g
- * -Dproduction.seeds=20 -Dproduction.machines=4000
+ * <p>To run the test by hand with more seeds or other sizes, and with the figures of each day in
+ * {@code target/surefire-reports}: {@code mvn -o -B test -Dtest=ProductionSizeTest
+ * -DargLine="-Xmx6g -Dproduction.seeds=20 -Dproduction.machines=4000
  * -Dorg.slf4j.simpleLogger.log.org.fieldtrestle.simulation=info"}.
  */
 class ProductionSizeTest {
@@ -25,51 +26,51 @@
   private static final int SEEDS = Integer.getInteger("production.seeds", 1);
   private static final int FIRST_SEED = Integer.getInteger("production.first", 1);
 
-  /** A day begins without faults, then faults come, and there are none for the rest. */
-  private static final long FAULTS_FROM_MS = 90_000;
+  /** A day begins and ends with a time without faults; pairs of faults occur in between. */
+  private static final long FIRST_FAULTS_MS = 90_000;
 
-  private static final long FAULTS_EVERY_MS = 80_000;
-  private static final int FAULTS = 3;
-  private static final long ENDS_MS = 660_000;
+  private static final long FAULTS_INTERVAL_MS = 80_000;
+  private static final int FAULT_PAIRS = 3;
+  private static final long DAY_MS = 660_000;
 
   @Test
   void everyJobIsAnsweredAfterFaultsOfATimberFleet() {
-    play(Deployment.timberFleet());
+    runDays(Deployment.timberFleet());
   }
 
   @Test
   void everyJobIsAnsweredAfterFaultsOfAPayrollFleet() {
-    play(Deployment.payrollFleet());
+    runDays(Deployment.payrollFleet());
   }
 
   @Test
   void everyJobIsAnsweredAfterFaultsOfTheSmallestControllers() {
-    play(Deployment.payrollLean());
+    runDays(Deployment.payrollLean());
   }
 
-  private static void play(Deployment deployment) {
+  private static void runDays(Deployment deployment) {
     for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-      day(deployment, seed);
+      runDay(deployment, seed);
     }
   }
 
-  private static void day(Deployment deployment, long seed) {
+  private static void runDay(Deployment deployment, long seed) {
     SimulatedCluster cluster =
         SimulatedCluster.builder().seed(seed).machines(MACHINES).deployment(deployment).start();
     cluster.network.limitAnswers(HttpClient.MAX_RESPONSE);
     UserAnswerLog answers = new UserAnswerLog(cluster);
     submitAll(cluster, answers);
     List<Integer> kinds = new ArrayList<>();
-    for (int i = 0; i < FAULTS; i++) {
-      long at = FAULTS_FROM_MS + i * FAULTS_EVERY_MS;
-      for (int each = 0; each < 2; each++) {
+    for (int i = 0; i < FAULT_PAIRS; i++) {
+      long atMs = FIRST_FAULTS_MS + i * FAULTS_INTERVAL_MS;
+      for (int fault = 0; fault < 2; fault++) {
         int kind = ProductionFaults.drawKind(cluster.time);
         kinds.add(kind);
         cluster.time.after(
-            at + cluster.time.between(0, 10_000), () -> ProductionFaults.inject(cluster, kind));
+            atMs + cluster.time.between(0, 10_000), () -> ProductionFaults.inject(cluster, kind));
       }
     }
-    cluster.time.runUntil(ENDS_MS);
+    cluster.time.runUntil(DAY_MS);
     LOG.atInfo()
         .addKeyValue("seed", seed)
         .addKeyValue("machines", MACHINES)
@@ -88,16 +89,19 @@
         "seed " + seed + ", faults " + kinds + ": " + answers.longest());
   }
 
-  /** Arrays that fill most of the fleet, and single tasks four a second, some called off. */
+  /**
+   * Submits job arrays that fill most of the fleet, and four single tasks a second, some of which
+   * are cancelled.
+   */
   private static void submitAll(SimulatedCluster cluster, UserAnswerLog answers) {
     SimulatedTime time = cluster.time;
     int number = 0;
-    for (long at = 2000; at < 380_000; at += 250) {
+    for (long atMs = 2000; atMs < 380_000; atMs += 250) {
       int id = ++number;
       time.after(
-          at,
+          atMs,
           () -> {
-            SimulatedJob job = cluster.users.define("job-" + id, one -> one.runMs(4000));
+            SimulatedJob job = cluster.users.define("job-" + id, newJob -> newJob.runMs(4000));
             answers.submit(job);
             if (time.chance(0.25)) {
               time.after(time.between(100, 12_000), () -> answers.cancel(job));
@@ -105,19 +109,19 @@
           });
     }
     int slots = MACHINES * SimulatedCloud.CPUS / 8;
-    for (long at = 2000; at < 360_000; at += 4000) {
+    for (long atMs = 2000; atMs < 360_000; atMs += 4000) {
       int id = ++number;
       time.after(
-          at,
+          atMs,
           () ->
               answers.submit(
                   cluster.users.define(
                       "job-" + id,
-                      one -> {
-                        one.tasks(Math.max(1, slots / 12));
-                        one.cpus(8);
-                        one.runMs(30_000);
-                        one.image("img-" + id % 4);
+                      newJob -> {
+                        newJob.tasks(Math.max(1, slots / 12));
+                        newJob.cpus(8);
+                        newJob.runMs(30_000);
+                        newJob.image("img-" + id % 4);
                       })));
     }
   }
--- a/src/test/java/org/fieldtrestle/simulation/RandomHistoriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomHistoriesTest.java
@@ -10,14 +10,15 @@
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.Test;
 
-/** Generated histories with the faults that the protocol describes; no rule may be broken. */
+/** Random histories with the faults that the protocol describes; no invariant may be violated. */
 class RandomHistoriesTest {
-  private static List<SimulatedJob> submitSome(SimulatedCluster cluster, int count, long overMs) {
+  private static List<SimulatedJob> submitRandomJobs(
+      SimulatedCluster cluster, int count, long withinMs) {
     List<SimulatedJob> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       int number = i;
       cluster.time.after(
-          cluster.time.between(0, overMs),
+          cluster.time.between(0, withinMs),
           () ->
               jobs.add(
                   cluster.users.submit(
@@ -42,7 +43,7 @@
   @Property(tries = 6, seed = "4711", shrinking = ShrinkingMode.OFF)
   void everyJobEndsWithoutFaults(@ForAll long seed) {
     SimulatedCluster cluster = SimulatedCluster.builder().seed(seed).machines(12).start();
-    submitSome(cluster, 15, 60_000);
+    submitRandomJobs(cluster, 15, 60_000);
     cluster.time.runUntil(400_000);
     assertEquals(List.of(), cluster.invariants.violations());
     assertEquals(15, cluster.invariants.doneJobs(), "jobs done");
@@ -56,7 +57,7 @@
     cluster.network.loseAnswers(0.01);
     cluster.network.repeatHeartbeats(0.05, 1);
     cluster.cloud.failBoots(0.1);
-    List<SimulatedJob> jobs = submitSome(cluster, 18, 150_000);
+    List<SimulatedJob> jobs = submitRandomJobs(cluster, 18, 150_000);
     for (int i = 0; i < 9; i++) {
       time.after(time.between(10_000, 200_000), () -> RandomFaults.inject(cluster));
     }
@@ -82,9 +83,9 @@
 
   @Property(tries = 20, seed = "2026", shrinking = ShrinkingMode.OFF)
   void invariantsHoldWhenTwoFaultsCoincide(@ForAll long seed) {
-    boolean small = seed % 2 == 0;
+    boolean shortLease = seed % 2 == 0;
     SimulatedCluster cluster =
-        small
+        shortLease
             ? SimulatedCluster.builder()
                 .seed(seed)
                 .machines(12)
@@ -97,7 +98,7 @@
                 .start();
     SimulatedTime time = cluster.time;
     cluster.network.repeatHeartbeats(0.1, 2);
-    List<SimulatedJob> jobs = submitSome(cluster, 18, 150_000);
+    List<SimulatedJob> jobs = submitRandomJobs(cluster, 18, 150_000);
     for (int i = 0; i < 5; i++) {
       long at = 20_000 + i * 40_000L;
       time.after(at, () -> RandomFaults.inject(cluster));
@@ -108,14 +109,18 @@
     assertEnds(cluster, jobs);
   }
 
-  /** Machines that were gone once blocked a team's quota after each of four failovers. */
+  /**
+   * Guards against a fault in which machines that no longer existed blocked a team's quota after
+   * each of four failovers.
+   */
   @Test
-  void machinesThatAreGoneDoNotBlockAQuotaAfterFailovers() {
+  void machinesThatNoLongerExistDoNotBlockAQuotaAfterFailovers() {
     invariantsHoldWhenTwoFaultsCoincide(-33_671);
   }
 
   /**
-   * A former leader once took renewed leases of workers for expired ones, and started tasks again.
+   * Guards against a fault in which a former leader took renewed worker leases for expired ones and
+   * started the tasks again.
    */
   @Test
   void formerLeaderInfersNothingFromSilence() {
@@ -125,7 +130,7 @@
   private static void assertEnds(SimulatedCluster cluster, List<SimulatedJob> jobs) {
     cluster.invariants.checkEndOfDay();
     assertEquals(List.of(), cluster.invariants.violations());
-    assertTrue(cluster.invariants.starts() > 0, "something ran");
+    assertTrue(cluster.invariants.starts() > 0, "tasks ran");
     for (SimulatedJob job : jobs) {
       String last = cluster.invariants.lastStageOf(job.id());
       assertTrue(
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How one controller shares its part of the key-value store's limits among reads and writes, and
- * how it goes on following after failures.
+ * How a controller divides its part of the key-value store's limits between reads and writes, and
+ * how it keeps following the state after failures.
  */
 class StateAccessTest {
   private static final int ANSWER_MS = 5;
@@ -33,7 +33,7 @@
   private final SimulatedTime time = new SimulatedTime(new SplittableRandom(1));
   private final Reactor reactor = time.process(() -> true, Runnable::run, 0, 0);
   private final List<String> sent = new ArrayList<>();
-  private Function<String, Http.Outcome> service = path -> answer(200, "{\"ledger\":1}");
+  private Function<String, Http.Outcome> responder = path -> answer(200, "{\"ledger\":1}");
 
   private final Settings settings = new SimulatedNetwork().settings("trestle-0");
 
@@ -42,7 +42,7 @@
           reactor,
           (address, method, path, body, timeoutMs, done) -> {
             sent.add(path);
-            Http.Outcome outcome = service.apply(path);
+            Http.Outcome outcome = responder.apply(path);
             if (outcome != null) {
               time.after(ANSWER_MS, () -> done.accept(outcome));
             }
@@ -53,7 +53,7 @@
     return new Http.Answer(status, body.getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  /** As many writes as can wait, each as large as a transaction may be. */
+  /** Sends as many writes as can wait, each as large as a transaction may be. */
   private void fillWithWrites() {
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     for (int i = 0; i < settings.storeLimits().maxTransactionChanges(); i++) {
@@ -76,21 +76,21 @@
 
   @Test
   void readIsAnsweredWhileWritesWait() {
-    service = path -> answer(200, "{\"items\":[],\"more\":false,\"ledger\":1}");
+    responder = path -> answer(200, "{\"items\":[],\"more\":false,\"ledger\":1}");
     fillWithWrites();
     time.runUntil(1000);
     assertTrue(store.isCongested(), "the queue of writes is full");
     List<ListResult> pages = new ArrayList<>();
     assertTrue(
         store.enqueueRead(() -> store.list(StateKeys.FINISHED_PREFIX, "", 1, pages::add)),
-        "not refused");
+        "the read is not refused");
     time.runUntil(1500);
     assertEquals(1, pages.size());
     assertInstanceOf(ListResult.Listed.class, pages.get(0));
   }
 
   @Test
-  void writesAreSentDuringEndlessReads() {
+  void writesAreSentDuringContinuousReads() {
     for (int i = 0; i < 1000; i++) {
       time.after(
           i * 10L,
@@ -116,19 +116,19 @@
         List.of(new KeyValueProtocol.Delete("ft/live/member/trestle-0"));
     store.commitWithPriority(new Transaction(List.of(), change), result -> done[0] = true);
     time.runUntil(1000 + 1000 * settings.storeLimits().maxTransactionChanges() / 9);
-    assertTrue(done[0], "once the write before it has been paid for");
+    assertTrue(done[0], "written once the rate limit allows for the write before it");
   }
 
   @Test
   void refusalForTooManyRequestsDoesNotCountAsUnavailability() {
-    service = path -> new Http.Unknown("timeout");
+    responder = path -> new Http.Unknown("timeout");
     store.compare(List.of(), result -> {});
     time.runUntil(1000);
     assertTrue(store.unavailableForMs() > 0);
-    service = path -> answer(429, "{}");
+    responder = path -> answer(429, "{}");
     store.compare(List.of(), result -> {});
     time.runUntil(5000);
-    assertEquals(0, store.unavailableForMs(), "a 429 comes from a service that is there");
+    assertEquals(0, store.unavailableForMs(), "a 429 comes from an available store");
   }
 
   private static String page(long revision, boolean more, String... keys) {
@@ -140,25 +140,25 @@
     return new String(Json.bytes(node), java.nio.charset.StandardCharsets.UTF_8);
   }
 
-  /** A view of a state in which nothing happens after revision 10. */
+  /** Returns a started cache of a state that does not change after revision 10. */
   private StateCache startedStateCache() {
-    StateCache view = new StateCache(reactor, store, settings);
-    service =
+    StateCache stateCache = new StateCache(reactor, store, settings);
+    responder =
         path ->
             path.startsWith(KeyValueProtocol.WATCH_PATH)
                 ? answer(200, "{\"ledger\":10,\"log\":[]}")
                 : answer(200, page(10, false));
-    view.start();
+    stateCache.start();
     time.runUntil(1000);
-    return view;
+    return stateCache;
   }
 
   @Test
   void stateIsReadByPagesWhenTheAnswerOfAWatchIsTooLarge() {
-    StateCache view = startedStateCache();
-    assertEquals(10, view.appliedRevision());
-    // As long as it is asked for what came after 10, the answer never gets here whole.
-    service =
+    StateCache stateCache = startedStateCache();
+    assertEquals(10, stateCache.appliedRevision());
+    // The answer to a watch from revision 10 never arrives whole.
+    responder =
         path -> {
           if (!path.startsWith(KeyValueProtocol.WATCH_PATH)) {
             return answer(200, page(5000, false));
@@ -168,29 +168,29 @@
               : answer(200, "{\"ledger\":5001,\"log\":[]}");
         };
     time.runUntil(60_000);
-    assertEquals(5001, view.appliedRevision());
-    assertTrue(time.now() - view.freshAsOfMs() < 10_000, "and goes on being followed");
+    assertEquals(5001, stateCache.appliedRevision());
+    assertTrue(time.now() - stateCache.freshAsOfMs() < 10_000, "the state is still followed");
   }
 
   @Test
-  void stateIsNotReadAnewAfterAStoreOutage() {
-    StateCache view = startedStateCache();
+  void stateIsNotReadAgainAfterAStoreOutage() {
+    StateCache stateCache = startedStateCache();
     sent.clear();
-    service = path -> sent.size() == 1 ? new Http.Unknown("timeout") : answer(503, "{}");
+    responder = path -> sent.size() == 1 ? new Http.Unknown("timeout") : answer(503, "{}");
     time.runUntil(60_000);
-    service = path -> answer(200, "{\"ledger\":10,\"log\":[]}");
+    responder = path -> answer(200, "{\"ledger\":10,\"log\":[]}");
     time.runUntil(65_000);
     assertTrue(
         sent.stream().allMatch(path -> path.startsWith(KeyValueProtocol.WATCH_PATH)),
         sent.toString());
-    assertTrue(view.freshAsOfMs() > 60_000, "it is followed again");
+    assertTrue(stateCache.freshAsOfMs() > 60_000, "the state is followed again");
   }
 
   @Test
   void readingContinuesAfterTheLastPageThatWasRead() {
-    StateCache view = new StateCache(reactor, store, settings);
+    StateCache stateCache = new StateCache(reactor, store, settings);
     int[] failures = {0};
-    service =
+    responder =
         path -> {
           if (path.startsWith(KeyValueProtocol.WATCH_PATH)) {
             return null;
@@ -202,42 +202,45 @@
               ? answer(429, "{}")
               : answer(200, page(12, false, "ft/live/member/b"));
         };
-    view.start();
+    stateCache.start();
     time.runUntil(20_000);
-    assertTrue(view.isReady());
-    assertEquals(10, view.appliedRevision(), "the watch begins where the first page was read");
+    assertTrue(stateCache.isReady());
+    assertEquals(
+        10, stateCache.appliedRevision(), "the watch begins at the revision of the first page");
     long firstPages = sent.stream().filter(path -> !path.contains("from=")).count();
     assertEquals(1, firstPages, "pages that were read are kept: " + sent);
   }
 
-  private static String watched(long revision, String change) {
+  private static String watchAnswer(long revision, String change) {
     return "{\"ledger\":" + revision + ",\"log\":[" + change + "]}";
   }
 
-  /** A listener must not take the state for fresh before all changes are applied. */
+  /** A listener must not see the state as fresh before all changes are applied. */
   @Test
   void stateIsFreshOnlyOnceAllChangesAreApplied() {
-    StateCache view = startedStateCache();
-    List<Long> freshWhenTold = new ArrayList<>();
-    view.addKeyListener(key -> freshWhenTold.add(view.freshAsOfMs()));
-    long before = view.freshAsOfMs();
+    StateCache stateCache = startedStateCache();
+    List<Long> freshAsOfMsWhenNotified = new ArrayList<>();
+    stateCache.addKeyListener(key -> freshAsOfMsWhenNotified.add(stateCache.freshAsOfMs()));
+    long before = stateCache.freshAsOfMs();
     String member = "{\"write\":\"ft/live/member/a\",\"v\":{\"f\":1,\"boot\":\"b\"},\"entry\":11}";
-    service = path -> path.contains("from=10&") ? answer(200, watched(11, member)) : null;
+    responder = path -> path.contains("from=10&") ? answer(200, watchAnswer(11, member)) : null;
     time.runUntil(time.now() + 20_000);
-    assertEquals(11, view.appliedRevision());
-    assertTrue(view.freshAsOfMs() > before, "it is fresh afterwards");
-    assertEquals(1, freshWhenTold.size());
-    assertTrue(freshWhenTold.get(0) < view.freshAsOfMs(), "but not while the change is taken in");
+    assertEquals(11, stateCache.appliedRevision());
+    assertTrue(stateCache.freshAsOfMs() > before, "the state is fresh afterwards");
+    assertEquals(1, freshAsOfMsWhenNotified.size());
+    assertTrue(
+        freshAsOfMsWhenNotified.get(0) < stateCache.freshAsOfMs(),
+        "the state is not fresh while the change is applied");
   }
 
   /**
-   * A transaction wrote a key at revision 11, another removed it at 12, and both were followed
-   * before the answer to the first came. Taken in then, the key would be there for good: no watch
-   * would tell of its removal again.
+   * One transaction writes a key at revision 11, another removes the key at revision 12, and the
+   * cache has followed both before the answer to the first transaction arrives. If that answer were
+   * applied, the cache would keep the key for good, as no watch would report its removal again.
    */
   @Test
   void removedKeyStaysRemovedWhenItsCommitIsAnsweredLate() {
-    StateCache view = startedStateCache();
+    StateCache stateCache = startedStateCache();
     String member = "ft/live/member/a";
     String log =
         "{\"write\":\""
@@ -245,11 +248,11 @@
             + "\",\"v\":{\"f\":1,\"boot\":\"b\"},\"entry\":11},{\"remove\":\""
             + member
             + "\",\"entry\":12}";
-    service = path -> path.contains("from=10&") ? answer(200, watched(12, log)) : null;
+    responder = path -> path.contains("from=10&") ? answer(200, watchAnswer(12, log)) : null;
     time.runUntil(time.now() + 20_000);
-    assertEquals(12, view.appliedRevision());
-    view.applyCommit(List.of(StateChanges.put(member, new MemberRecord("b"), 0)), 11);
-    assertEquals(0, view.version(member));
-    assertTrue(view.members().isEmpty());
+    assertEquals(12, stateCache.appliedRevision());
+    stateCache.applyCommit(List.of(StateChanges.put(member, new MemberRecord("b"), 0)), 11);
+    assertEquals(0, stateCache.version(member));
+    assertTrue(stateCache.members().isEmpty());
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -16,19 +16,24 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Single faults of machines, and what must not pass for one: only faulty machines are replaced. */
+/**
+ * Single faults of machines, and events that must not be mistaken for one: only faulty machines are
+ * replaced.
+ */
 class WorkerFaultsTest {
   @Test
   void machineThatReceivesNothingIsReturned() {
-    // Heartbeats so rare that trying one controller after the other does not yet count as silence.
+    // The heartbeat interval is so long that a worker which tries one controller after the other
+    // does not yet count as silent.
     SimulatedCluster cluster =
         SimulatedCluster.builder().seed(23).machines(12).timing(6000, 34_000, 64_000).start();
     submit(cluster, "job-1", 600, 20_000);
     cluster.time.runUntil(60_000);
-    String deaf = cluster.cloud.machines.firstKey();
-    cluster.cloud.machines.get(deaf).faults.deafen(600_000);
+    String deafMachine = cluster.cloud.machines.firstKey();
+    cluster.cloud.machines.get(deafMachine).faults.deafen(600_000);
     cluster.time.runUntil(165_000);
-    assertFalse(cluster.cloud.machines.containsKey(deaf), "its heartbeats prove nothing");
+    assertFalse(
+        cluster.cloud.machines.containsKey(deafMachine), "returned although it sends heartbeats");
     cluster.time.runUntil(400_000);
     assertNoViolations(cluster);
     assertDone(cluster, "job-1");
@@ -48,16 +53,18 @@
   }
 
   @Test
-  void jobEndsWhenCopiesOfHeartbeatsOutliveTheirMachine() {
+  void jobEndsWhenCopiesOfHeartbeatsArriveAfterTheirMachineHangs() {
     SimulatedCluster cluster = startCluster(12);
     submit(cluster, "job-1", 48, 25_000);
     cluster.time.runUntil(25_000);
     cluster.network.repeatHeartbeats(1, 30);
     cluster.time.runUntil(30_000);
-    // Copies of its last heartbeats arrive until well after its lease, while it sends none itself.
-    String hanging = cluster.cloud.machines.firstKey();
-    cluster.cloud.machines.get(hanging).faults.hang(600_000);
-    // Its return is not to be had either: only its lease tells when its tasks are gone.
+    // Copies of the last heartbeats of a hanging machine arrive until well after its lease, while
+    // the machine itself sends none.
+    String hangingMachine = cluster.cloud.machines.firstKey();
+    cluster.cloud.machines.get(hangingMachine).faults.hang(600_000);
+    // The machine cannot be returned either: only the expiry of its lease shows that its tasks have
+    // stopped.
     cluster.labels().forEach(label -> cluster.faults.disconnect(label, 600_000, Link.CLOUD));
     cluster.time.runUntil(100_000);
     assertNoViolations(cluster);
@@ -65,21 +72,23 @@
   }
 
   @Test
-  void returnedMachineStaysGoneWhenCopiesOfItsHeartbeatsArrive() {
+  void returnedMachineIsNotListedAgainWhenCopiesOfItsHeartbeatsArrive() {
     SimulatedCluster cluster = startCluster(12);
     cluster.network.repeatHeartbeats(0.5, 10);
     submit(cluster, "job-1", 16, 4000);
-    // Controllers that have forgotten which machines were returned.
+    // Restarted controllers do not remember which machines were returned.
     cluster.time.after(
         70_000, () -> cluster.labels().forEach(label -> cluster.faults.kill(label, 200)));
-    Map<String, Integer> checksWhileGone = new HashMap<>();
-    for (long at = 76_000; at < 130_000; at += 1000) {
-      cluster.time.runUntil(at);
-      Set<String> counted = new HashSet<>(cluster.store.inventories());
-      counted.removeAll(cluster.cloud.machines.keySet());
-      checksWhileGone.keySet().retainAll(counted);
-      for (String gone : counted) { // a return may be known a moment before it is written
-        assertTrue(checksWhileGone.merge(gone, 1, Integer::sum) < 6, gone + " is back at " + at);
+    Map<String, Integer> checksWhileListed = new HashMap<>();
+    for (long atMs = 76_000; atMs < 130_000; atMs += 1000) {
+      cluster.time.runUntil(atMs);
+      Set<String> returnedButListed = new HashSet<>(cluster.store.inventories());
+      returnedButListed.removeAll(cluster.cloud.machines.keySet());
+      checksWhileListed.keySet().retainAll(returnedButListed);
+      for (String machine : returnedButListed) { // may be written a moment after the return
+        assertTrue(
+            checksWhileListed.merge(machine, 1, Integer::sum) < 6,
+            machine + " is listed again at " + atMs);
       }
     }
     assertNoViolations(cluster);
@@ -93,7 +102,7 @@
     cluster.time.runUntil(45_000);
     int before = cluster.cloud.rentedEver();
     cluster.labels().forEach(label -> cluster.faults.kill(label, 500));
-    // Found tasks end soon after; what is placed next takes its whole time.
+    // Tasks found after the restart end soon; tasks placed later run for their full time.
     cluster.time.runUntil(100_000);
     assertNoViolations(cluster);
     assertEquals(before, cluster.cloud.rentedEver(), "no machine had to be replaced");
@@ -101,18 +110,21 @@
 
   @Test
   void noMachineIsReplacedAfterAPauseOfAllControllers() {
-    // Shorter than a lease, so that nothing is lost by it; at every step of what it does in turn.
-    for (long at = 0; at < 2500; at += 250) {
+    // The pauses are shorter than a lease, so that no task is lost. They begin at different points
+    // of the periodic work of controllers.
+    for (long offsetMs = 0; offsetMs < 2500; offsetMs += 250) {
       SimulatedCluster cluster = startBusyCluster();
       int rented = cluster.cloud.rentedEver();
       int starts = cluster.invariants.starts();
-      cluster.time.runUntil(60_000 + at);
+      cluster.time.runUntil(60_000 + offsetMs);
       cluster.labels().forEach(label -> cluster.faults.freeze(label, 11_500));
       cluster.time.runUntil(120_000);
       assertNoViolations(cluster);
       assertEquals(
-          rented, cluster.cloud.rentedEver(), "its own pause, not the machines', at " + at);
-      assertEquals(starts, cluster.invariants.starts(), "nothing was lost by it at " + at);
+          rented,
+          cluster.cloud.rentedEver(),
+          "the controllers paused, not the machines; pause at " + offsetMs);
+      assertEquals(starts, cluster.invariants.starts(), "no task was lost; pause at " + offsetMs);
     }
   }
 
@@ -121,10 +133,10 @@
     SimulatedCluster cluster = startBusyCluster();
     int rented = cluster.cloud.rentedEver();
     cluster.faults.note(60_000);
-    cluster.store.outage(45_000); // longer than controllers and workers may go on without it
+    cluster.store.outage(45_000); // longer than controllers and workers may act without the store
     cluster.time.runUntil(180_000);
     assertNoViolations(cluster);
-    assertEquals(rented, cluster.cloud.rentedEver(), "the machines are as good as before");
+    assertEquals(rented, cluster.cloud.rentedEver(), "no machine was replaced");
   }
 
   @Test
@@ -141,10 +153,11 @@
     cluster.time.runUntil(110_000);
     assertNoViolations(cluster);
     int more = cluster.cloud.rentedEver() - rented;
-    assertTrue(more <= rented / 2, "not a second fleet: " + more + " beside " + rented);
+    assertTrue(
+        more <= rented / 2, "no second fleet was rented: " + more + " in addition to " + rented);
   }
 
-  /** A steady fleet, all of whose machines have work for longer than the test looks. */
+  /** Starts a fleet all of whose machines have work for longer than the test runs. */
   private static SimulatedCluster startBusyCluster() {
     SimulatedCluster cluster = startCluster(12);
     submit(cluster, "job-1", 48, 400_000);
