--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -71,9 +71,8 @@
   @Test
   void finishedJobsAreAnsweredDuringQueriesAboutUnknownJobs() {
     SimulatedCluster cluster = startClusterWithFinishedJobs();
-    // About as many unknown jobs as may have pending queries; their ids lie before and between
-    // those
-    // of the known jobs.
+    // About as many unknown jobs as may have pending queries; their ids sort before and between
+    // those of the known jobs.
     queryAll(cluster, "trestle-1", 1, 900);
     queryAll(cluster, "trestle-1", 10_000_000, 2500);
     assertAllFinishedJobsAreAnswered(cluster);
--- a/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
@@ -49,8 +49,8 @@
             cluster.network.delayCommands(0.7);
             submit(cluster, 1, 6, 60_000);
             cluster.runFor(9000);
-            // These short jobs preempt the tasks above soon after their start, which start again
-            // elsewhere or later.
+            // These short jobs preempt the tasks above soon after those have started; the preempted
+            // tasks start again elsewhere or later.
             submit(cluster, 3, 4, 2500);
             cluster.runFor(30_000);
           }
--- a/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
@@ -43,7 +43,8 @@
     submit(cluster, "job-1", 16, 300_000);
     cluster.time.runUntil(25_000);
     assertEquals(16, cluster.invariants.starts(), "the fleet is full");
-    submit(cluster, "job-2", 90, 10_000); // so that the first task outscores enough waiting tasks
+    // So many tasks that the first of them outscores enough waiting tasks to preempt running ones.
+    submit(cluster, "job-2", 90, 10_000);
     cluster.time.runUntil(150_000);
     assertNoViolations(cluster);
     assertEquals(16, cluster.invariants.starts(), "no task was stopped and started again");
--- a/src/test/java/org/fieldtrestle/simulation/RandomHistoriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomHistoriesTest.java
@@ -100,10 +100,10 @@
     cluster.network.repeatHeartbeats(0.1, 2);
     List<SimulatedJob> jobs = submitRandomJobs(cluster, 18, 150_000);
     for (int i = 0; i < 5; i++) {
-      long at = 20_000 + i * 40_000L;
-      time.after(at, () -> RandomFaults.inject(cluster));
-      time.after(at + time.between(0, 4000), () -> CoincidingFaults.inject(cluster, jobs));
-      time.after(at + time.between(0, 20_000), () -> RandomFaults.inject(cluster));
+      long atMs = 20_000 + i * 40_000L;
+      time.after(atMs, () -> RandomFaults.inject(cluster));
+      time.after(atMs + time.between(0, 4000), () -> CoincidingFaults.inject(cluster, jobs));
+      time.after(atMs + time.between(0, 20_000), () -> RandomFaults.inject(cluster));
     }
     time.runUntil(750_000);
     assertEnds(cluster, jobs);
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -32,7 +32,7 @@
 
   private final SimulatedTime time = new SimulatedTime(new SplittableRandom(1));
   private final Reactor reactor = time.process(() -> true, Runnable::run, 0, 0);
-  private final List<String> sent = new ArrayList<>();
+  private final List<String> sentPaths = new ArrayList<>();
   private Function<String, Http.Outcome> responder = path -> answer(200, "{\"ledger\":1}");
 
   private final Settings settings = new SimulatedNetwork().settings("trestle-0");
@@ -41,7 +41,7 @@
       new KeyValueClient(
           reactor,
           (address, method, path, body, timeoutMs, done) -> {
-            sent.add(path);
+            sentPaths.add(path);
             Http.Outcome outcome = responder.apply(path);
             if (outcome != null) {
               time.after(ANSWER_MS, () -> done.accept(outcome));
@@ -175,14 +175,14 @@
   @Test
   void stateIsNotReadAgainAfterAStoreOutage() {
     StateCache stateCache = startedStateCache();
-    sent.clear();
-    responder = path -> sent.size() == 1 ? new Http.Unknown("timeout") : answer(503, "{}");
+    sentPaths.clear();
+    responder = path -> sentPaths.size() == 1 ? new Http.Unknown("timeout") : answer(503, "{}");
     time.runUntil(60_000);
     responder = path -> answer(200, "{\"ledger\":10,\"log\":[]}");
     time.runUntil(65_000);
     assertTrue(
-        sent.stream().allMatch(path -> path.startsWith(KeyValueProtocol.WATCH_PATH)),
-        sent.toString());
+        sentPaths.stream().allMatch(path -> path.startsWith(KeyValueProtocol.WATCH_PATH)),
+        sentPaths.toString());
     assertTrue(stateCache.freshAsOfMs() > 60_000, "the state is followed again");
   }
 
@@ -207,8 +207,8 @@
     assertTrue(stateCache.isReady());
     assertEquals(
         10, stateCache.appliedRevision(), "the watch begins at the revision of the first page");
-    long firstPages = sent.stream().filter(path -> !path.contains("from=")).count();
-    assertEquals(1, firstPages, "pages that were read are kept: " + sent);
+    long firstPages = sentPaths.stream().filter(path -> !path.contains("from=")).count();
+    assertEquals(1, firstPages, "pages that were read are kept: " + sentPaths);
   }
 
   private static String watchAnswer(long revision, String change) {
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -85,7 +85,8 @@
       Set<String> returnedButListed = new HashSet<>(cluster.store.inventories());
       returnedButListed.removeAll(cluster.cloud.machines.keySet());
       checksWhileListed.keySet().retainAll(returnedButListed);
-      for (String machine : returnedButListed) { // may be written a moment after the return
+      // The inventory may be written a moment after a machine was returned.
+      for (String machine : returnedButListed) {
         assertTrue(
             checksWhileListed.merge(machine, 1, Integer::sum) < 6,
             machine + " is listed again at " + atMs);
