--- a/src/main/java/org/fieldtrestle/ControllerProcess.java
+++ b/src/main/java/org/fieldtrestle/ControllerProcess.java
@@ -20,25 +20,30 @@
 import org.fieldtrestle.transport.PeerTransport;
 import org.fieldtrestle.transport.SocketBudget;
 
-/** A controller with its event loop and its connections. */
+/** A controller with its event loop, its HTTP client and server, and its peer transport. */
 final class ControllerProcess {
-  /** Part of all sockets that commands to workers may use. */
+  /**
+   * The limit on connections for commands to workers is the number of all sockets divided by this.
+   */
   private static final int WORKER_CALLS_DIVISOR = 5;
 
-  /** Connections from each other controller: after a restart its old ones may still be open. */
-  private static final int INBOUND_PER_PEER = 8;
+  /**
+   * The number of inbound connections for each other controller. It is more than one, because the
+   * old connections of a restarted controller may still be open.
+   */
+  private static final int MAX_INBOUND_PER_PEER = 8;
 
-  /** Worker leases after which an idle connection is closed. */
-  private static final int IDLE_LEASES = 2;
+  /** The time after which an idle connection is closed, in worker leases. */
+  private static final int IDLE_TIMEOUT_LEASES = 2;
 
-  /** Part of a worker's lease within which a request has to arrive. */
-  private static final int REQUEST_LEASE_DIVISOR = 2;
+  /** A request must be complete within the worker lease divided by this. */
+  private static final int REQUEST_TIMEOUT_LEASE_DIVISOR = 2;
 
   private static final long SHUTDOWN_TIMEOUT_S = 1;
 
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final NettyReactor reactor = new NettyReactor(group.next());
-  private final PeerTransport peers;
+  private final PeerTransport peerTransport;
   private final Controller controller;
   private final HttpServer server;
 
@@ -46,7 +51,7 @@
     EventLoopMeter meter = new EventLoopMeter(System::nanoTime);
     int maxConnections = settings.processLimits().maxConnections();
     SocketBudget sockets = new SocketBudget(maxConnections);
-    long idleMs = settings.workerLeaseMs() * IDLE_LEASES;
+    long idleTimeoutMs = settings.workerLeaseMs() * IDLE_TIMEOUT_LEASES;
     HttpClient client =
         new HttpClient(
             group.next(),
@@ -54,51 +59,59 @@
             new HashSet<>(List.of(settings.keyValueStoreAddress(), settings.cloudAddress())),
             maxConnections / WORKER_CALLS_DIVISOR,
             meter);
-    peers =
+    peerTransport =
         new PeerTransport(
             group,
             sockets,
             PeerProtocol.MAX_FRAME_BYTES,
-            INBOUND_PER_PEER * (settings.peers().size() + 1),
-            idleMs,
+            MAX_INBOUND_PER_PEER * (settings.peers().size() + 1),
+            idleTimeoutMs,
             settings.heartbeatIntervalsMs(1));
     controller =
         new Controller(
-            settings, operatorSettings, reactor, new SplittableRandom(), client, peers, meter);
+            settings,
+            operatorSettings,
+            reactor,
+            new SplittableRandom(),
+            client,
+            peerTransport,
+            meter);
     server =
         new HttpServer(
             group,
             controller,
             sockets,
             WorkerProtocol.HEARTBEAT_PATH::equals,
-            idleMs,
-            settings.workerLeaseMs() / REQUEST_LEASE_DIVISOR,
+            idleTimeoutMs,
+            settings.workerLeaseMs() / REQUEST_TIMEOUT_LEASE_DIVISOR,
             meter);
   }
 
   /**
-   * Starts the controller, which begins to listen for users and workers once it acts.
+   * Starts the controller. When it begins to listen for users and workers is described at {@link
+   * Controller#start}.
    *
-   * @return completes with the port for users and workers, or with the failure to listen
+   * @return a future that completes with the port for users and workers, or with the failure to
+   *     listen
    */
   CompletableFuture<Integer> start(InetSocketAddress userAddress, InetSocketAddress peerAddress)
       throws InterruptedException {
-    peers.start(peerAddress, this::receiveFrame);
-    CompletableFuture<Integer> listening = new CompletableFuture<>();
-    reactor.execute(() -> controller.start(() -> listen(userAddress, listening)));
-    return listening;
+    peerTransport.start(peerAddress, this::receiveFrame);
+    CompletableFuture<Integer> boundPort = new CompletableFuture<>();
+    reactor.execute(() -> controller.start(() -> listen(userAddress, boundPort)));
+    return boundPort;
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // both outcomes are passed on
-  private void listen(InetSocketAddress userAddress, CompletableFuture<Integer> listening) {
+  @SuppressWarnings("FutureReturnValueIgnored") // whenComplete() passes on both outcomes
+  private void listen(InetSocketAddress userAddress, CompletableFuture<Integer> boundPort) {
     server
         .bind(userAddress)
         .whenComplete(
             (port, failure) -> {
               if (failure == null) {
-                listening.complete(port);
+                boundPort.complete(port);
               } else {
-                listening.completeExceptionally(failure);
+                boundPort.completeExceptionally(failure);
               }
             });
   }
@@ -108,12 +121,12 @@
     controller.peerFrameReceived(copy);
   }
 
-  /** Waits for as long as the controller runs. */
-  void await() throws InterruptedException {
+  /** Waits until the controller has stopped. */
+  void awaitTermination() throws InterruptedException {
     group.terminationFuture().sync();
   }
 
-  /** Ends the controller at once, without any message to others. */
+  /** Stops the controller immediately, without notifying other controllers. */
   void stop() throws InterruptedException {
     group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS).sync();
   }
--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -69,7 +69,7 @@
 
   /** Returns the time of the reactor's monotonic clock, in milliseconds. */
   public long nowMs() {
-    return reactor.now();
+    return reactor.nowMs();
   }
 
   /** Whether this controller may send commands and acknowledge heartbeats now. */
--- a/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
@@ -54,7 +54,7 @@
       shards.tellAll(new ShardLeader.JobCancelled(cancelled.job()));
       return;
     }
-    if (Math.abs(context.reactor().wall() - frame.sentWallMs()) > maxAgeMs) {
+    if (Math.abs(context.reactor().wallClockMs() - frame.sentWallMs()) > maxAgeMs) {
       return; // delayed in the network: the sender's status may have changed since
     }
     if (message instanceof PeerMessage.ShardLoad shardLoad && !shards.contains(shardLoad.shard())) {
--- a/src/main/java/org/fieldtrestle/controller/StatsPage.java
+++ b/src/main/java/org/fieldtrestle/controller/StatsPage.java
@@ -53,7 +53,7 @@
       int waitingTasks = 0;
       int placedTasks = 0;
       for (TaskRange range : shard.ranges().all()) {
-        waitingTasks += range.waiting();
+        waitingTasks += range.waitingCount();
         placedTasks += range.placed().size();
       }
       parent
@@ -102,7 +102,7 @@
       parent
           .putObject(activity.printedName())
           .put("count", meter.count(activity))
-          .put("ms", Math.round(meter.millis(activity)));
+          .put("ms", Math.round(meter.totalMs(activity)));
     }
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/VictimSelector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/VictimSelector.java
@@ -85,7 +85,7 @@
   }
 
   private static boolean mayBeStopped(TaskAttempt task) {
-    return task.live()
+    return task.isLive()
         && !task.isExemptFromPreemption()
         && task.range() != null
         && task.range().spec() != null;
@@ -96,6 +96,6 @@
    * be lost as well.
    */
   private static double elapsedS(TaskAttempt task, long nowMs) {
-    return (nowMs - task.placedAt()) / 1000.0;
+    return (nowMs - task.placedAtMs()) / 1000.0;
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/WorkerSelector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WorkerSelector.java
@@ -33,16 +33,18 @@
     double bestLeftFree = 0;
     for (FreeResources free : pass.candidates()) {
       Worker worker = free.worker();
-      if (!free.fits(spec) || worker.claimedFrom(range, pass.nowMs())) {
+      if (!free.fits(spec) || worker.isClaimedAheadOf(range, pass.nowMs())) {
         continue;
       }
       boolean hasImage = worker.hasImage(spec.image());
       boolean mustNotFetch =
-          !mayFetchConcurrently && worker.fetching() && !worker.claimedBy(range, pass.nowMs());
+          !mayFetchConcurrently
+              && worker.isFetchingImage()
+              && !worker.isClaimedBy(range, pass.nowMs());
       if (!hasImage && (bestHasImage || mustNotFetch)) {
         continue;
       }
-      double leftFree = free.after(spec);
+      double leftFree = free.remainingFractionAfter(spec);
       boolean better =
           best == null
               || (hasImage && !bestHasImage)
@@ -70,8 +72,8 @@
     if (worker.isCordoned() != best.isCordoned()) {
       return best.isCordoned();
     }
-    if (!hasImage && worker.fetching() != best.fetching()) {
-      return best.fetching();
+    if (!hasImage && worker.isFetchingImage() != best.isFetchingImage()) {
+      return best.isFetchingImage();
     }
     return worker.isSpot() != best.isSpot() ? worker.isSpot() : leftFree < bestLeftFree;
   }
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -71,7 +71,7 @@
 
   /** Returns for how long the store has been unavailable, in milliseconds; 0 while it answers. */
   public long unavailableForMs() {
-    return unavailableSinceMs == AVAILABLE ? 0 : reactor.now() - unavailableSinceMs;
+    return unavailableSinceMs == AVAILABLE ? 0 : reactor.nowMs() - unavailableSinceMs;
   }
 
   /** Returns the latencies, in milliseconds, of all requests except listings and watches. */
@@ -274,7 +274,7 @@
 
   private void call(
       String method, String path, byte[] body, long requestTimeoutMs, Consumer<Http.Outcome> done) {
-    long sentAtMs = reactor.now();
+    long sentAtMs = reactor.nowMs();
     caller.call(
         address,
         method,
@@ -285,7 +285,7 @@
           recordAvailability(outcome);
           if (requestTimeoutMs == timeoutMs) {
             latency.recordValue(
-                Math.min(MAX_RECORDED_LATENCY_MS, Math.max(0, reactor.now() - sentAtMs)));
+                Math.min(MAX_RECORDED_LATENCY_MS, Math.max(0, reactor.nowMs() - sentAtMs)));
           }
           done.accept(outcome);
         });
@@ -296,7 +296,7 @@
     if (outcome instanceof Http.Answer answer && answer.status() < FIRST_SERVER_ERROR) {
       unavailableSinceMs = AVAILABLE;
     } else if (unavailableSinceMs == AVAILABLE) {
-      unavailableSinceMs = reactor.now();
+      unavailableSinceMs = reactor.nowMs();
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/state/RequestQueue.java
+++ b/src/main/java/org/fieldtrestle/state/RequestQueue.java
@@ -52,7 +52,7 @@
 
   /** Called when a request is sent without waiting in a queue; counts it against the rate limit. */
   void requestSentDirectly() {
-    requestTokens.take(reactor.now(), 1);
+    requestTokens.take(reactor.nowMs(), 1);
   }
 
   /**
@@ -128,7 +128,7 @@
     if (waitingReads.isEmpty()) {
       return QUEUE_EMPTY;
     }
-    long now = reactor.now();
+    long now = reactor.nowMs();
     return Math.max(requestTokens.waitMs(now, 1), readTokens.waitMs(now, 1));
   }
 
@@ -136,7 +136,7 @@
     if (waitingWrites.isEmpty()) {
       return QUEUE_EMPTY;
     }
-    long now = reactor.now();
+    long now = reactor.nowMs();
     return Math.max(
         requestTokens.waitMs(now, 1),
         changeTokens.waitMs(now, waitingWrites.peekFirst().changes()));
@@ -144,20 +144,20 @@
 
   private void sendRead() {
     Request request = waitingReads.removeFirst();
-    readTokens.take(reactor.now(), 1);
+    readTokens.take(reactor.nowMs(), 1);
     readsNext = false;
     send(request);
   }
 
   private void sendWrite() {
     Request request = waitingWrites.removeFirst();
-    changeTokens.take(reactor.now(), request.changes());
+    changeTokens.take(reactor.nowMs(), request.changes());
     readsNext = true;
     send(request);
   }
 
   private void send(Request request) {
-    requestTokens.take(reactor.now(), 1);
+    requestTokens.take(reactor.nowMs(), 1);
     request.send().run();
   }
 }
--- a/src/main/java/org/fieldtrestle/state/StateCache.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -186,12 +186,12 @@
       done.accept(true);
       return;
     }
-    waiters.add(new Waiter(revision, reactor.now() + timeoutMs, done));
+    waiters.add(new Waiter(revision, reactor.nowMs() + timeoutMs, done));
     reactor.schedule(timeoutMs, this::expireWaiters);
   }
 
   private void expireWaiters() {
-    completeWaiters(waiter -> waiter.deadlineMs() <= reactor.now(), false);
+    completeWaiters(waiter -> waiter.deadlineMs() <= reactor.nowMs(), false);
   }
 
   private void completeWaiters(Predicate<Waiter> condition, boolean applied) {
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -16,22 +16,27 @@
 import org.fieldtrestle.state.Versioned;
 
 /**
- * Turns a job whose tasks are all durably done into its final record, in one transaction. Every
- * range that this relies on is a condition, so that it fails if one of them is not as it was seen.
+ * Replaces a job whose tasks are all durably done by its final record, in one transaction. The
+ * transaction has a condition on every range that it depends on, so that it fails if one of them
+ * has changed.
  */
 public final class JobCompletion {
-  /** Changes of the transaction beside those of the ranges: the job, and its final record. */
+  /**
+   * Changes of the transaction in addition to those of the ranges: the job and its final record.
+   */
   private static final int CHANGES_OF_JOB = 2;
 
   private JobCompletion() {}
 
   /**
-   * What ends the job if all its ranges are complete once {@code key} holds {@code next}, the
-   * removal of that range included. The caller adds the condition on the range itself.
+   * Returns the transaction that ends the job if all its ranges are complete once {@code key} holds
+   * {@code next}. It includes the removal of that range. The caller adds the condition on the range
+   * itself.
    *
-   * @return empty where the job does not end with this, or has too many ranges for a transaction
+   * @return empty if the job does not end with this change or has too many ranges for one
+   *     transaction
    */
-  static Optional<Transaction> byLastRange(
+  static Optional<Transaction> ifLastRange(
       ControllerContext context, StateKey.RangeKey key, RangeRecord next) {
     ActiveJob job = context.stateCache().job(key.job());
     if (job == null
@@ -40,8 +45,8 @@
       return Optional.empty();
     }
     int tasks = 0;
-    for (Map.Entry<Integer, Versioned<RangeRecord>> one : job.ranges().entrySet()) {
-      RangeRecord range = one.getKey() == key.index() ? next : one.getValue().record();
+    for (Map.Entry<Integer, Versioned<RangeRecord>> entry : job.ranges().entrySet()) {
+      RangeRecord range = entry.getKey() == key.index() ? next : entry.getValue().record();
       if (!range.isComplete()) {
         return Optional.empty();
       }
@@ -50,20 +55,20 @@
     if (tasks != job.job().record().spec().tasks()) {
       return Optional.empty();
     }
-    return Optional.of(ending(job, key, tasks));
+    return Optional.of(endTransaction(job, key, tasks));
   }
 
-  private static Transaction ending(ActiveJob job, StateKey.RangeKey key, int tasks) {
+  private static Transaction endTransaction(ActiveJob job, StateKey.RangeKey key, int tasks) {
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(StateKeys.job(key.job()), job.job().version()));
     changes.add(new KeyValueProtocol.Delete(StateKeys.job(key.job())));
-    for (Map.Entry<Integer, Versioned<RangeRecord>> one : job.ranges().entrySet()) {
-      String rangeKey = StateKeys.range(new StateKey.RangeKey(key.job(), one.getKey()));
-      if (one.getKey() != key.index()) {
-        conditions.add(new KeyValueProtocol.Condition(rangeKey, one.getValue().version()));
+    for (Map.Entry<Integer, Versioned<RangeRecord>> entry : job.ranges().entrySet()) {
+      String rangeKey = StateKeys.range(new StateKey.RangeKey(key.job(), entry.getKey()));
+      if (entry.getKey() != key.index()) {
+        conditions.add(new KeyValueProtocol.Condition(rangeKey, entry.getValue().version()));
       }
-      if (one.getValue().version() != 0) {
+      if (entry.getValue().version() != 0) {
         changes.add(new KeyValueProtocol.Delete(rangeKey));
       }
     }
@@ -73,26 +78,27 @@
   }
 
   /**
-   * Ends a job whose ranges all became complete without that any controller saw the last one do so.
+   * Ends a job whose ranges have all become complete although no controller saw the last one
+   * complete.
    *
-   * @return empty where the job is not complete, or has too many ranges for a transaction
+   * @return empty if the job is not complete or has too many ranges for one transaction
    */
   public static Optional<Transaction> ofCompleteJob(ControllerContext context, String jobId) {
     ActiveJob job = context.stateCache().job(jobId);
     if (job == null || !job.isComplete()) {
       return Optional.empty();
     }
-    Map.Entry<Integer, Versioned<RangeRecord>> any = job.ranges().firstEntry();
-    StateKey.RangeKey key = new StateKey.RangeKey(jobId, any.getKey());
+    Map.Entry<Integer, Versioned<RangeRecord>> firstRange = job.ranges().firstEntry();
+    StateKey.RangeKey key = new StateKey.RangeKey(jobId, firstRange.getKey());
     KeyValueProtocol.Condition unchanged =
-        new KeyValueProtocol.Condition(StateKeys.range(key), any.getValue().version());
-    return byLastRange(context, key, any.getValue().record())
+        new KeyValueProtocol.Condition(StateKeys.range(key), firstRange.getValue().version());
+    return ifLastRange(context, key, firstRange.getValue().record())
         .map(
-            ending -> {
+            endTransaction -> {
               List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
               conditions.add(unchanged);
-              conditions.addAll(ending.conditions());
-              return new Transaction(conditions, ending.changes());
+              conditions.addAll(endTransaction.conditions());
+              return new Transaction(conditions, endTransaction.changes());
             });
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Compares the tasks that a heartbeat shows with those that are expected on its worker. */
+/** Compares the tasks that a heartbeat reports with the tasks that are expected on its worker. */
 public final class Reconciler {
   private static final Logger LOG = LoggerFactory.getLogger(Reconciler.class);
 
@@ -22,7 +22,7 @@
   private final WorkerCommands commands;
   private final ImageDownloads downloads;
 
-  /** Reconciles these workers with these ranges. */
+  /** Creates a reconciler of these workers with these ranges. */
   public Reconciler(
       ControllerContext context,
       LeadershipTerm term,
@@ -40,47 +40,53 @@
     this.downloads = downloads;
   }
 
-  /** Takes over what the heartbeat shows; returns whether that matters to placement. */
+  /**
+   * Applies the tasks that the heartbeat reports; returns whether anything that matters to
+   * placement has changed.
+   */
   boolean reconcile(Worker worker, Heartbeat heartbeat) {
     boolean changed = false;
-    int shown = 0;
+    int reportedCount = 0;
     worker.clearUnknownTasks();
     workers.duplicates().forgetWorker(worker);
     for (TaskStatus reported : heartbeat.tasks()) {
       TaskAttempt attempt = worker.attempt(reported.task());
-      if (attempt == null || attempt.attempt() != reported.attempt()) {
+      if (attempt == null || attempt.attemptNumber() != reported.attempt()) {
         attempt = discover(worker, reported, attempt);
         changed |= attempt != null;
       }
       if (attempt == null) {
         worker.addUnknownTask(reported);
-        noteDuplicate(worker, reported);
+        recordDuplicate(worker, reported);
       } else {
-        shown += attempt.isShownIn(heartbeat.sequence()) ? 0 : 1;
-        attempt.markShownIn(heartbeat.sequence());
-        changed |= follow(attempt, reported);
+        reportedCount += attempt.isReportedIn(heartbeat.sequence()) ? 0 : 1;
+        attempt.markReportedIn(heartbeat.sequence());
+        changed |= applyReport(attempt, reported);
       }
     }
-    if (shown != worker.attempts().size()) {
+    if (reportedCount != worker.attempts().size()) {
       changed |= dropAbsent(worker, heartbeat.sequence());
     }
     return changed;
   }
 
-  /** Drops the attempts that the heartbeat does not show and that cannot appear any more. */
+  /**
+   * Drops the attempts that the heartbeat does not report and that can no longer appear on the
+   * worker.
+   */
   private boolean dropAbsent(Worker worker, long sequence) {
     boolean changed = false;
     for (TaskAttempt attempt : worker.copyOfAttempts()) {
-      if (attempt.isShownIn(sequence)) {
+      if (attempt.isReportedIn(sequence)) {
         continue;
       }
-      if (!attempt.live()) {
+      if (!attempt.isLive()) {
         if (attempt.isClearable()) {
           worker.remove(attempt);
         }
       } else if ((attempt.state() != TaskAttempt.State.STARTING || attempt.isStopping())
           && worker.hasNoCommandInFlight()) {
-        // Gone, unless a start of unknown outcome may still bring it back.
+        // The attempt is gone: no start command of unknown outcome can bring it back.
         outcomes.gone(attempt);
         changed = true;
       }
@@ -88,30 +94,31 @@
     return changed;
   }
 
-  private void noteDuplicate(Worker worker, TaskStatus reported) {
-    TaskRange range = ranges.of(reported.task());
+  private void recordDuplicate(Worker worker, TaskStatus reported) {
+    TaskRange range = ranges.containing(reported.task());
     if (range != null
         && reported.state() != TaskState.EXITED
-        && !range.isDone(reported.task().index() - range.record().from())) {
+        && !range.isDurablyDone(reported.task().index() - range.record().from())) {
       workers.duplicates().add(reported.task(), worker);
     }
   }
 
   /**
-   * A worker reports an attempt that was not placed there in this term.
+   * Handles a report of an attempt that was not placed on the worker in this term.
    *
-   * @param expected the attempt at the same task that was placed there; null where there is none
-   * @return the attempt, which is expected from now on; null where it is to be stopped and cleared
+   * @param expected the attempt at the same task that was placed on the worker, or {@code null}
+   * @return the attempt, which is expected on the worker from now on; {@code null} if the reported
+   *     attempt is to be stopped and cleared
    */
   private TaskAttempt discover(Worker worker, TaskStatus reported, TaskAttempt expected) {
-    TaskRange range = ranges.of(reported.task());
+    TaskRange range = ranges.containing(reported.task());
     if (range == null) {
       return null;
     }
     boolean exited = reported.state() == TaskState.EXITED;
     int offset = reported.task().index() - range.record().from();
     boolean placedElsewhere = expected == null && range.placed().containsKey(offset);
-    if (range.isDone(offset) || placedElsewhere) {
+    if (range.isDurablyDone(offset) || placedElsewhere) {
       if (!exited && range.placed().containsKey(offset)) {
         LOG.atError()
             .addKeyValue("task", reported.task())
@@ -148,7 +155,7 @@
   private TaskAttempt discoverRunning(
       Worker worker, TaskStatus reported, TaskRange range, int offset) {
     long now = context.nowMs();
-    double waitedS = (now - range.waitingSince()) / 1000.0;
+    double waitedS = (now - range.waitingSinceMs()) / 1000.0;
     TaskAttempt attempt =
         new TaskAttempt(reported.task(), reported.attempt(), worker, range, now, waitedS);
     attempt.markDiscovered();
@@ -160,27 +167,27 @@
     return attempt;
   }
 
-  /** Takes over the reported state; true where room or an image has become available by it. */
-  private boolean follow(TaskAttempt attempt, TaskStatus reported) {
+  /** Applies the reported state; returns whether resources or an image have become available. */
+  private boolean applyReport(TaskAttempt attempt, TaskStatus reported) {
     attempt.markStartSent();
-    boolean wasBeforeImage = attempt.state().isBeforeImage();
-    boolean ended = followState(attempt, reported);
-    noteImage(attempt);
-    // An image that has come may be what others wait for.
-    return ended || (wasBeforeImage && !attempt.state().isBeforeImage());
+    boolean wasAwaitingImage = attempt.state().isAwaitingImage();
+    boolean ended = applyState(attempt, reported);
+    recordImage(attempt);
+    // Other tasks may be waiting for the image that was fetched.
+    return ended || (wasAwaitingImage && !attempt.state().isAwaitingImage());
   }
 
-  private boolean followState(TaskAttempt attempt, TaskStatus reported) {
+  private boolean applyState(TaskAttempt attempt, TaskStatus reported) {
     Worker worker = attempt.worker();
     switch (reported.state()) {
       case FETCHING -> worker.changeState(attempt, TaskAttempt.State.FETCHING);
       case RUNNING -> {
-        noteRunning(attempt);
+        recordRunning(attempt);
         worker.changeState(attempt, TaskAttempt.State.RUNNING);
       }
       case SAVING -> worker.changeState(attempt, TaskAttempt.State.SAVING);
       case EXITED -> {
-        if (attempt.live()) {
+        if (attempt.isLive()) {
           worker.changeState(attempt, TaskAttempt.State.EXITED);
           attempt.recordExit(reported.cause());
           outcomes.exited(attempt);
@@ -191,25 +198,25 @@
     return false;
   }
 
-  private void noteRunning(TaskAttempt attempt) {
+  private void recordRunning(TaskAttempt attempt) {
     if (attempt.hasRun()) {
       return;
     }
     long now = context.nowMs();
     attempt.markRunning(now);
-    if (attempt.concurrentFetchAloneS() > 0) {
-      downloads.record((now - attempt.placedAt()) / 1000.0, attempt.concurrentFetchAloneS());
+    if (attempt.uncontendedFetchS() > 0) {
+      downloads.record((now - attempt.placedAtMs()) / 1000.0, attempt.uncontendedFetchS());
     }
   }
 
-  private void noteImage(TaskAttempt attempt) {
-    if (attempt.range() == null || attempt.range().spec() == null || !attempt.live()) {
+  private void recordImage(TaskAttempt attempt) {
+    if (attempt.range() == null || attempt.range().spec() == null || !attempt.isLive()) {
       return;
     }
     MachineType type = context.machineType(attempt.worker().machineType());
     JobSpec spec = attempt.range().spec();
     if (type != null) {
-      attempt.worker().usesImage(spec.image(), spec.imageGb(), type.cacheGb());
+      attempt.worker().recordImageUse(spec.image(), spec.imageGb(), type.cacheGb());
     }
   }
 }
--- a/src/main/java/org/fieldtrestle/worker/TeamUsage.java
+++ b/src/main/java/org/fieldtrestle/worker/TeamUsage.java
@@ -3,8 +3,8 @@
 import it.unimi.dsi.fastutil.objects.Object2ObjectOpenHashMap;
 
 /**
- * What each team's tasks take of one shard's workers. The sums are kept up as tasks come and go, as
- * they are asked for with every task that is to be placed.
+ * The resources that each team's tasks use on the workers of a shard. The sums are updated as
+ * attempts are added and removed because they are read for every task that is to be placed.
  */
 public final class TeamUsage {
   private static final class Sum {
@@ -13,33 +13,34 @@
     double gpus;
   }
 
-  private final Object2ObjectOpenHashMap<String, Sum> teams = new Object2ObjectOpenHashMap<>();
+  private final Object2ObjectOpenHashMap<String, Sum> usageByTeam =
+      new Object2ObjectOpenHashMap<>();
 
   void add(TaskAttempt attempt) {
-    Sum sum = teams.computeIfAbsent(attempt.team(), t -> new Sum());
+    Sum sum = usageByTeam.computeIfAbsent(attempt.team(), t -> new Sum());
     sum.tasks++;
     sum.cpus += attempt.cpus();
     sum.gpus += attempt.gpus();
   }
 
   void remove(TaskAttempt attempt) {
-    Sum sum = teams.get(attempt.team());
+    Sum sum = usageByTeam.get(attempt.team());
     sum.cpus -= attempt.cpus();
     sum.gpus -= attempt.gpus();
     if (--sum.tasks == 0) {
-      teams.remove(attempt.team()); // drops what rounding has left
+      usageByTeam.remove(attempt.team()); // removes rounding errors
     }
   }
 
-  /** CPUs that the team's tasks take. */
+  /** Returns the CPUs that the team's tasks use. */
   public double cpus(String team) {
-    Sum sum = teams.get(team);
+    Sum sum = usageByTeam.get(team);
     return sum == null ? 0 : sum.cpus;
   }
 
-  /** GPUs that the team's tasks take. */
+  /** Returns the GPUs that the team's tasks use. */
   public double gpus(String team) {
-    Sum sum = teams.get(team);
+    Sum sum = usageByTeam.get(team);
     return sum == null ? 0 : sum.gpus;
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -232,7 +232,7 @@
     cluster.time.runUntil(21_000);
     TimedResponse answered = query(cluster, "trestle-1", "job-77");
     assertEquals(503, answered.response().status());
-    assertTrue(answered.response().close(), "the next query goes to another controller");
+    assertTrue(answered.response().closeConnection(), "the next query goes to another controller");
     assertEquals(200, query(cluster, "trestle-0", "job-77").response().status());
   }
 
--- a/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
+++ b/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
@@ -6,7 +6,7 @@
 import org.fieldtrestle.transport.EventLoopMeter.Activity;
 import org.junit.jupiter.api.Test;
 
-/** Times and counts of nested and failing activities. */
+/** Checks the times and counts of nested and of failing activities. */
 class EventLoopMeterTest {
   private static final long MS = 1_000_000;
 
@@ -19,7 +19,7 @@
 
   @Test
   void nestedActivityCountsForItselfAlone() {
-    pass(5); // nothing is done
+    pass(5); // no activity runs
     meter.run(
         Activity.HTTP_SERVER_READ,
         () -> {
@@ -28,8 +28,8 @@
           pass(1);
         });
     pass(100);
-    assertEquals(11, meter.millis(Activity.HTTP_SERVER_READ));
-    assertEquals(7, meter.millis(Activity.WORKER_REPORT));
+    assertEquals(11, meter.totalMs(Activity.HTTP_SERVER_READ));
+    assertEquals(7, meter.totalMs(Activity.WORKER_REPORT));
     assertEquals(1, meter.count(Activity.WORKER_REPORT));
     assertEquals("http_server_read 1 in 11 ms, worker_report 1 in 7 ms", meter.summary());
   }
@@ -47,7 +47,7 @@
                 }));
     pass(50);
     meter.run(Activity.PEER_FRAME, () -> pass(2));
-    assertEquals(3, meter.millis(Activity.PLACEMENT));
-    assertEquals(2, meter.millis(Activity.PEER_FRAME));
+    assertEquals(3, meter.totalMs(Activity.PLACEMENT));
+    assertEquals(2, meter.totalMs(Activity.PEER_FRAME));
   }
 }
