--- a/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
@@ -40,14 +40,14 @@
     cluster.invariants.checkFinalProgress();
     assertEquals(List.of(), cluster.invariants.violations(), message);
     cluster.jobs.values().stream()
-        .filter(job -> !job.unsatisfiable())
+        .filter(job -> !job.isUnsatisfiable())
         .forEach(job -> assertTrue(hasEnded(cluster, job), job.id() + " ends; " + message));
   }
 
   private static boolean areJobsAndFaultsOver(SimulatedCluster cluster) {
     return cluster.time.now() > cluster.faults.endMs() + cluster.cancelMs
         && cluster.jobs.values().stream()
-            .allMatch(job -> job.unsatisfiable() || hasEnded(cluster, job));
+            .allMatch(job -> job.isUnsatisfiable() || hasEnded(cluster, job));
   }
 
   static boolean hasEnded(SimulatedCluster cluster, SimulatedJob job) {
@@ -60,13 +60,13 @@
 
   /** Submits jobs with consecutive identifiers. */
   static List<SimulatedJob> submit(
-      SimulatedCluster cluster, int jobs, int tasks, long runMs, Consumer<SimulatedJob> customize) {
+      SimulatedCluster cluster, int jobs, int tasks, long runMs, Consumer<SimulatedJob> configure) {
     List<SimulatedJob> submitted = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
       submitted.add(
           cluster.users.submit(
               "job-" + (cluster.jobs.size() + 1),
-              job -> customize.accept(job.tasks(tasks).runMs(runMs))));
+              job -> configure.accept(job.tasks(tasks).runMs(runMs))));
     }
     return submitted;
   }
--- a/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
@@ -66,7 +66,7 @@
 
   /** Returns the time since the submission of a job, without the time of faults since then. */
   private long waitedMs(SimulatedJob job) {
-    return cluster.time.now() - job.submittedAtMs() - (faultsSoFarMs - job.faultsBeforeMs());
+    return cluster.time.now() - job.submittedAtMs() - (faultsSoFarMs - job.faultDurationBeforeMs());
   }
 
   /** Adds the time since the last check to the time of faults if faults still last. */
@@ -81,7 +81,7 @@
     cluster.cloud.machines.values().forEach(machine -> machine.addTasksTo(heldTasks));
     for (String jobId : answers.acceptedJobs()) {
       SimulatedJob job = cluster.jobs.get(jobId);
-      if (job == null || job.unsatisfiable() || !waitsDespiteRoom(job, heldTasks)) {
+      if (job == null || job.isUnsatisfiable() || !waitsDespiteRoom(job, heldTasks)) {
         waitsDespiteRoomSinceMs.remove(jobId);
       } else {
         checkWaiting(jobId);
@@ -103,7 +103,7 @@
 
   /** Whether a task of the job is on no machine although a suitable machine has room for it. */
   private boolean waitsDespiteRoom(SimulatedJob job, Set<String> heldTasks) {
-    if (job.failing()
+    if (job.isFailing()
         || AnswerInvariants.isFinal(answers.lastStage(job.id()))
         || cluster.users.hasCancelled(job.id())
         || !hasWaitingTask(job, heldTasks)
@@ -146,7 +146,7 @@
     Map<String, List<SimulatedJob>> groups = new HashMap<>();
     List<SimulatedJob> all = new ArrayList<>();
     for (SimulatedJob job : cluster.jobs.values()) {
-      if (!job.unsatisfiable() && !job.failing() && !cluster.users.hasCancelled(job.id())) {
+      if (!job.isUnsatisfiable() && !job.isFailing() && !cluster.users.hasCancelled(job.id())) {
         all.add(job);
         groups.computeIfAbsent("team " + job.team(), team -> new ArrayList<>()).add(job);
         groups.computeIfAbsent("class " + job.jobClass(), name -> new ArrayList<>()).add(job);
--- a/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
@@ -178,7 +178,7 @@
     long durationMs = time.between(20_000, 60_000);
     cluster.faults.note(durationMs + 10_000);
     cluster.network.partition("a", "b", durationMs);
-    cluster.network.partition("b", ClusterLayout.REGIONAL, durationMs);
+    cluster.network.partition("b", ClusterLayout.REGIONAL_ZONE, durationMs);
     time.after(
         durationMs - 500,
         () ->
@@ -202,7 +202,7 @@
   }
 
   private void loseMachine() {
-    machine.ifPresent(SimulatedWorker::die);
+    machine.ifPresent(SimulatedWorker::fail);
   }
 
   /** The cloud reclaims many spot machines without notice. */
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -71,7 +71,7 @@
         SimulatedCluster.builder()
             .seed(seed)
             .machines(machines)
-            .deployment(Deployment.timberFleet())
+            .deployment(Deployment.largeWithLongIntervals())
             .start();
     this.observer = new StepObserver(cluster.time, listener);
     cluster.observeMessages(observer);
@@ -165,8 +165,8 @@
   }
 
   /** Queries a job once. */
-  public void ask(String id) {
-    cluster.users.ask(id);
+  public void query(String id) {
+    cluster.users.query(id);
   }
 
   // ---- faults; each is recorded, so that the checks allow for its duration
--- a/src/test/java/org/fieldtrestle/simulation/search/Scenario.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Scenario.java
@@ -14,7 +14,7 @@
       cluster.at(45_000, () -> cluster.cancelAtLeader(FIRST_JOB));
       cluster.at(45_040, () -> cluster.cancelAtLeader("job-2"));
       cluster.at(45_080, () -> cluster.cancel("job-3"));
-      cluster.at(45_300, () -> cluster.ask(FIRST_JOB));
+      cluster.at(45_300, () -> cluster.query(FIRST_JOB));
     }
   },
 
@@ -42,7 +42,7 @@
         long submittedAtMs = 45_000 + (i - 11) * 150L;
         cluster.at(submittedAtMs, () -> cluster.submit(job, 4, 4, 8000));
         cluster.at(submittedAtMs + 60, () -> cluster.submitAgain(job));
-        cluster.at(submittedAtMs + 120, () -> cluster.ask(job));
+        cluster.at(submittedAtMs + 120, () -> cluster.query(job));
       }
       cluster.at(45_200, () -> cluster.cancel("job-11"));
       cluster.at(45_900, () -> cluster.cancel("job-13"));
