--- a/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
@@ -35,7 +35,8 @@
   /** Checks that a task that is running now may still run. */
   void checkStopped(String task) {
     Long jobConfirmedAtMs = confirmedAtMs.get(SimulatedJob.idOf(task));
-    if (jobConfirmedAtMs != null && cluster.time.now() - jobConfirmedAtMs > cluster.cancelMs) {
+    if (jobConfirmedAtMs != null
+        && cluster.time.now() - jobConfirmedAtMs > cluster.cancellationTimeMs) {
       violations.add(
           "ran_cancelled", task + " " + (cluster.time.now() - jobConfirmedAtMs) + " ms after");
     }
--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -82,7 +82,7 @@
             .limit(CANCELLED_JOBS)
             .toList();
     assertEquals(CANCELLED_JOBS, running.size(), "enough jobs are running");
-    long failureMs = cluster.cancelMs + 12_000;
+    long failureMs = cluster.cancellationTimeMs + 12_000;
     cluster.faults.note(failureMs + offsetMs);
     for (int i = 0; i < CANCELLED_JOBS; i++) {
       SimulatedJob job = running.get(i);
@@ -112,7 +112,7 @@
       failedChecks.add(
           context + ": " + violations.size() + " violations, the first: " + violations.get(0));
     }
-    if (lastStartMs > cluster.cancelMs - cluster.leaseMs) {
+    if (lastStartMs > cluster.cancellationTimeMs - cluster.leaseMs) {
       failedChecks.add(context + ": a start ordered " + lastStartMs + " ms after the cancellation");
     }
     for (SimulatedJob job : cancelled) {
--- a/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterLayout.java
@@ -79,7 +79,7 @@
         new Settings.WorkerTiming(
             deployment.heartbeatIntervalMs() / 1000.0,
             deployment.leaseMs() / 1000.0,
-            deployment.cancelMs() / 1000.0),
+            deployment.cancellationTimeMs() / 1000.0),
         deployment.keyValueStoreLimits(),
         deployment.cloudLimits(),
         deployment.processLimits());
--- a/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
@@ -45,10 +45,10 @@
   }
 
   private void refuseOneThenAllDuringCancellations() {
-    cluster.faults.note(cluster.cancelMs + 20_000);
+    cluster.faults.note(cluster.cancellationTimeMs + 20_000);
     cluster.faults.refuseStoreRequests(label, 14_000);
     time.after(500, () -> cancelRunningJobs(4, 0));
-    time.after(2000, () -> cluster.store.outage(cluster.cancelMs + 12_000));
+    time.after(2000, () -> cluster.store.outage(cluster.cancellationTimeMs + 12_000));
   }
 
   private void executeTransactionsLate() {
--- a/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
@@ -45,7 +45,7 @@
   }
 
   private static boolean areJobsAndFaultsOver(SimulatedCluster cluster) {
-    return cluster.time.now() > cluster.faults.endMs() + cluster.cancelMs
+    return cluster.time.now() > cluster.faults.endMs() + cluster.cancellationTimeMs
         && cluster.jobs.values().stream()
             .allMatch(job -> job.isUnsatisfiable() || hasEnded(cluster, job));
   }
@@ -96,7 +96,7 @@
   /** In half of the runs, keeps notices of cancellations by other controllers from the leader. */
   static void maybeDisconnectPeers(SimulatedCluster cluster, String leader) {
     if (cluster.time.chance(0.5)) {
-      cluster.faults.disconnect(leader, cluster.cancelMs + 30_000, Link.PEERS);
+      cluster.faults.disconnect(leader, cluster.cancellationTimeMs + 30_000, Link.PEERS);
     }
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
@@ -139,7 +139,7 @@
     forEachDeployment(
         cluster -> {
           SimulatedJob job = startLongJob(cluster);
-          long outageMs = cluster.cancelMs + 12_000;
+          long outageMs = cluster.cancellationTimeMs + 12_000;
           cluster.faults.note(outageMs);
           cancelWithoutWatchAnswers(cluster, job, () -> cluster.store.outage(outageMs));
           restoreWatchAnswers(cluster);
@@ -154,7 +154,7 @@
         cluster -> {
           SimulatedJob job = startLongJob(cluster);
           String leader = cluster.leaderOf(job);
-          long disconnectedMs = cluster.cancelMs + 12_000;
+          long disconnectedMs = cluster.cancellationTimeMs + 12_000;
           cluster.faults.note(disconnectedMs);
           AtomicInteger pagesRead =
               cancelWithoutWatchAnswers(
@@ -178,12 +178,12 @@
         cluster -> {
           SimulatedJob job = startLongJob(cluster);
           String leader = cluster.leaderOf(job);
-          cluster.faults.note(cluster.cancelMs);
+          cluster.faults.note(cluster.cancellationTimeMs);
           // Shortly after the user has received the confirmation.
           cancelWithoutWatchAnswers(
               cluster, job, () -> cluster.time.after(20, () -> cluster.faults.kill(leader, 300)));
           restoreWatchAnswers(cluster);
-          runFor(cluster, cluster.cancelMs + 30_000);
+          runFor(cluster, cluster.cancellationTimeMs + 30_000);
           assertNoneStarted(cluster, job);
         });
   }
--- a/src/test/java/org/fieldtrestle/simulation/Deployment.java
+++ b/src/test/java/org/fieldtrestle/simulation/Deployment.java
@@ -8,7 +8,8 @@
  *
  * @param heartbeatIntervalMs interval between two heartbeats of a worker, in milliseconds
  * @param leaseMs duration of a worker's lease, in milliseconds
- * @param cancelMs time within which all tasks of a cancelled job must be gone, in milliseconds
+ * @param cancellationTimeMs time within which all tasks of a cancelled job must be gone, in
+ *     milliseconds
  * @param keyValueStoreLimits limits of the key-value store
  * @param cloudLimits limits of the cloud
  * @param processLimits limits of a controller process
@@ -18,7 +19,7 @@
 record Deployment(
     long heartbeatIntervalMs,
     long leaseMs,
-    long cancelMs,
+    long cancellationTimeMs,
     Settings.KeyValueStoreLimits keyValueStoreLimits,
     Settings.CloudLimits cloudLimits,
     Settings.ProcessLimits processLimits,
@@ -29,11 +30,11 @@
    * Returns a deployment for a few machines. Its list pages are small, so that every listing of the
    * key-value store takes several pages.
    */
-  static Deployment small(long heartbeatIntervalMs, long leaseMs, long cancelMs) {
+  static Deployment small(long heartbeatIntervalMs, long leaseMs, long cancellationTimeMs) {
     return new Deployment(
         heartbeatIntervalMs,
         leaseMs,
-        cancelMs,
+        cancellationTimeMs,
         new Settings.KeyValueStoreLimits(200, 40, 8, 32),
         new Settings.CloudLimits(3, 6),
         new Settings.ProcessLimits(0.2, 263, 1800),
@@ -85,13 +86,13 @@
   private static Deployment large(
       long heartbeatIntervalMs,
       long leaseMs,
-      long cancelMs,
+      long cancellationTimeMs,
       Settings.KeyValueStoreLimits keyValueStoreLimits,
       Settings.ProcessLimits processLimits) {
     return new Deployment(
         heartbeatIntervalMs,
         leaseMs,
-        cancelMs,
+        cancellationTimeMs,
         keyValueStoreLimits,
         new Settings.CloudLimits(4, 6),
         processLimits,
@@ -104,7 +105,7 @@
     return new Deployment(
         heartbeatIntervalMs,
         leaseMs,
-        cancelMs,
+        cancellationTimeMs,
         new Settings.KeyValueStoreLimits(
             perSecond,
             keyValueStoreLimits.changesPerS(),
--- a/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
@@ -116,11 +116,11 @@
     cluster.users.noteCancellation(job.id());
     cluster.invariants.taskStarted("job-1/0", addMachine("host-1", "big", "a", false));
     cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
-    cluster.time.runUntil(cluster.cancelMs - 1000);
+    cluster.time.runUntil(cluster.cancellationTimeMs - 1000);
     assertTrue(
         cluster.invariants.violations().stream()
             .noneMatch(violation -> violation.startsWith("ran_cancelled")));
-    cluster.time.runUntil(cluster.cancelMs + 2000);
+    cluster.time.runUntil(cluster.cancellationTimeMs + 2000);
     assertTrue(
         cluster.invariants.violations().stream()
             .anyMatch(violation -> violation.startsWith("ran_cancelled")));
@@ -170,11 +170,11 @@
     SimulatedJob job = define("job-1", j -> {});
     cluster.users.noteCancellation(job.id());
     SimulatedWorker machine = addMachine("host-1", "big", "a", false);
-    machine.faults.hang(cluster.cancelMs + 5000);
+    machine.faults.hang(cluster.cancellationTimeMs + 5000);
     cluster.invariants.taskStarted("job-1/0", machine);
     cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
     cluster.invariants.taskStopped("job-1/0", "host-1");
-    cluster.time.runUntil(cluster.cancelMs + 6000);
+    cluster.time.runUntil(cluster.cancellationTimeMs + 6000);
     assertEquals(List.of(), cluster.invariants.violations(), "the task stopped in time");
     cluster.invariants.taskStarted("job-1/0", machine);
     assertTrue(
--- a/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
@@ -97,7 +97,7 @@
           cluster.faults.refuseStoreRequests(leader, 16_000);
           cluster.runFor(300);
           cancelAtOtherController(cluster, leader, jobs.subList(0, 3), 4000);
-          cluster.store.outage(cluster.cancelMs + 12_000);
+          cluster.store.outage(cluster.cancellationTimeMs + 12_000);
           for (int i = 0; i < 30; i++) {
             cluster.users.query(jobs.get(i % 5).id());
             if (i == 10) {
@@ -128,19 +128,19 @@
           List<SimulatedJob> jobs = submit(cluster, 6, 6, 200_000);
           cluster.runFor(45_000);
           String leader = cluster.leaderOf(jobs.get(0));
-          cluster.faults.note(cluster.cancelMs + 20_000);
+          cluster.faults.note(cluster.cancellationTimeMs + 20_000);
           maybeDisconnectPeers(cluster, leader);
           cluster.faults.refuseStoreRequests(leader, 14_000);
           cluster.runFor(300);
           assertTrue(runningTasks(cluster, jobs) > 0, "the jobs run");
           cancelAtOtherController(cluster, leader, jobs.subList(0, 5), 1200);
-          cluster.store.outage(cluster.cancelMs + 12_000);
+          cluster.store.outage(cluster.cancellationTimeMs + 12_000);
           long confirmedAtMs = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
           cluster.runFor(8000);
           assertTrue(
               cluster.heartbeatAnsweredAtMs(leader) > confirmedAtMs,
               "the cut-off leader still answers workers");
-          cluster.time.runUntil(confirmedAtMs + cluster.cancelMs);
+          cluster.time.runUntil(confirmedAtMs + cluster.cancellationTimeMs);
           assertEquals(
               0,
               runningTasks(cluster, jobs.subList(0, 5)),
@@ -195,7 +195,7 @@
           List<SimulatedJob> zoneBoundJobs = submit(cluster, 2, 6, 200_000, job -> job.zone("b"));
           cluster.runFor(35_000);
           // Long enough that no controller behind the partition may still answer.
-          long ms = cluster.cancelMs + 12_000;
+          long ms = cluster.cancellationTimeMs + 12_000;
           cluster.faults.note(ms + 5000);
           cluster.network.partition("a", "b", ms);
           cluster.network.partition("b", "regional", ms);
--- a/src/test/java/org/fieldtrestle/simulation/RealControllers.java
+++ b/src/test/java/org/fieldtrestle/simulation/RealControllers.java
@@ -134,7 +134,7 @@
         .formatted(
             deployment.heartbeatIntervalMs() / 1000.0,
             deployment.leaseMs() / 1000.0,
-            deployment.cancelMs() / 1000.0);
+            deployment.cancellationTimeMs() / 1000.0);
   }
 
   // ---- measurements
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
@@ -32,7 +32,7 @@
 
   final long heartbeatIntervalMs;
   final long leaseMs;
-  final long cancelMs;
+  final long cancellationTimeMs;
   private final IntFunction<String> workerAddress;
   private final Map<String, SimulatedController> controllers = new HashMap<>();
 
@@ -66,7 +66,7 @@
     this.deployment = deployment;
     this.heartbeatIntervalMs = deployment.heartbeatIntervalMs();
     this.leaseMs = deployment.leaseMs();
-    this.cancelMs = deployment.cancelMs();
+    this.cancellationTimeMs = deployment.cancellationTimeMs();
     time = new SimulatedTime(new SplittableRandom(seed));
     network = new FaultyNetwork(time);
     store = new SimulatedKeyValueStore(time, deployment);
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedClusterBuilder.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedClusterBuilder.java
@@ -27,8 +27,8 @@
   }
 
   /** Sets a deployment for a few machines with this timing. */
-  SimulatedClusterBuilder timing(long heartbeatIntervalMs, long leaseMs, long cancelMs) {
-    return deployment(Deployment.small(heartbeatIntervalMs, leaseMs, cancelMs));
+  SimulatedClusterBuilder timing(long heartbeatIntervalMs, long leaseMs, long cancellationTimeMs) {
+    return deployment(Deployment.small(heartbeatIntervalMs, leaseMs, cancellationTimeMs));
   }
 
   /** Sets the address of the worker on the n-th machine that is rented. */
--- a/src/test/java/org/fieldtrestle/simulation/SlowControllerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/SlowControllerTest.java
@@ -89,7 +89,7 @@
     for (long seed = 1; seed <= 3; seed++) {
       for (long freezeMs : new long[] {4000, 12_000, 32_000}) {
         SimulatedCluster cluster = startSlowCluster(seed, 8, 250_000);
-        long disconnectedMs = cluster.cancelMs * 3;
+        long disconnectedMs = cluster.cancellationTimeMs * 3;
         cluster.faults.note(disconnectedMs);
         cluster.faults.disconnect("trestle-0", disconnectedMs, Link.STORE, Link.PEERS);
         cluster.time.after(
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -114,8 +114,8 @@
   }
 
   /** Returns how long tasks may still run after a cancellation was confirmed. */
-  public long cancelMs() {
-    return cluster.cancelMs;
+  public long cancellationTimeMs() {
+    return cluster.cancellationTimeMs;
   }
 
   /** Returns the label of a controller by its number. */
--- a/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
@@ -73,7 +73,7 @@
 
   private boolean isOver() {
     return cluster.unfinishedJobs().isEmpty()
-        && cluster.nowMs() > cluster.faultsEndMs() + cluster.cancelMs();
+        && cluster.nowMs() > cluster.faultsEndMs() + cluster.cancellationTimeMs();
   }
 
   /**
@@ -86,7 +86,7 @@
     boolean wasFrozen =
         placements.values().stream()
             .anyMatch(placement -> placement.fault() == Fault.CONTROLLER_FROZEN);
-    if (!wasFrozen && latestMs > cluster.cancelMs() - cluster.workerLeaseMs()) {
+    if (!wasFrozen && latestMs > cluster.cancellationTimeMs() - cluster.workerLeaseMs()) {
       violations.add(
           "started_cancelled: a start ordered " + latestMs + " ms after the confirmation");
     }
--- a/src/test/java/org/fieldtrestle/simulation/search/Search.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Search.java
@@ -110,7 +110,7 @@
     return List.of(
         cluster.workerLeaseMs() - MARGIN_MS,
         cluster.workerLeaseMs() + MARGIN_MS,
-        cluster.cancelMs() + MARGIN_MS);
+        cluster.cancellationTimeMs() + MARGIN_MS);
   }
 
   private List<List<FaultPlacement>> pairs(List<FaultPlacement> all) {
