--- a/src/test/java/org/fieldtrestle/simulation/AnswerInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/AnswerInvariants.java
@@ -80,7 +80,7 @@
     if (!acceptedJobs.contains(jobId)) {
       return;
     }
-    long nowMs = cluster.time.now();
+    long nowMs = cluster.time.nowMs();
     long sinceMs =
         Math.max(unansweredSinceMs.computeIfAbsent(jobId, id -> nowMs), cluster.faults.endMs());
     if (nowMs - sinceMs > MAX_UNANSWERED_MS) {
@@ -111,7 +111,7 @@
     }
     lastStages.put(jobId, stage);
     if (isFinal(stage)) {
-      endedAtMs.putIfAbsent(jobId, cluster.time.now());
+      endedAtMs.putIfAbsent(jobId, cluster.time.nowMs());
     }
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
@@ -24,7 +24,7 @@
 
   /** Called when a user was told that a job is cancelled. */
   void onConfirmed(String jobId) {
-    confirmedAtMs.putIfAbsent(jobId, cluster.time.now());
+    confirmedAtMs.putIfAbsent(jobId, cluster.time.nowMs());
   }
 
   /** Returns when the cancellation of a job was first confirmed to a user, or -1 if it was not. */
@@ -36,9 +36,9 @@
   void checkStopped(String task) {
     Long jobConfirmedAtMs = confirmedAtMs.get(SimulatedJob.idOf(task));
     if (jobConfirmedAtMs != null
-        && cluster.time.now() - jobConfirmedAtMs > cluster.cancellationTimeMs) {
+        && cluster.time.nowMs() - jobConfirmedAtMs > cluster.cancellationTimeMs) {
       violations.add(
-          "ran_cancelled", task + " " + (cluster.time.now() - jobConfirmedAtMs) + " ms after");
+          "ran_cancelled", task + " " + (cluster.time.nowMs() - jobConfirmedAtMs) + " ms after");
     }
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
@@ -29,7 +29,7 @@
 
   /** Records that a fault lasts for this time, for which the invariant checks then allow. */
   void note(long durationMs) {
-    endMs = Math.max(endMs, time.now() + durationMs);
+    endMs = Math.max(endMs, time.nowMs() + durationMs);
   }
 
   /** Returns when the last of the recorded faults ends. */
@@ -68,21 +68,21 @@
   /** Cuts off a controller from everything behind the given links for a time. */
   void disconnect(String label, long durationMs, Link... links) {
     for (Link link : links) {
-      disconnectedUntilMs.put(label + " " + link, time.now() + durationMs);
+      disconnectedUntilMs.put(label + " " + link, time.nowMs() + durationMs);
     }
   }
 
   boolean isDisconnected(String label, Link link) {
-    return time.now() < disconnectedUntilMs.getOrDefault(label + " " + link, 0L);
+    return time.nowMs() < disconnectedUntilMs.getOrDefault(label + " " + link, 0L);
   }
 
   /** Makes the key-value store refuse all requests of one controller for a time. */
   void refuseStoreRequests(String label, long durationMs) {
-    storeRefusedUntilMs.put(label, time.now() + durationMs);
+    storeRefusedUntilMs.put(label, time.nowMs() + durationMs);
   }
 
   /** Returns how much longer the key-value store refuses a controller; 0 if it does not. */
   long remainingStoreRefusalMs(String label) {
-    return Math.max(0, storeRefusedUntilMs.getOrDefault(label, 0L) - time.now());
+    return Math.max(0, storeRefusedUntilMs.getOrDefault(label, 0L) - time.nowMs());
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
@@ -40,7 +40,8 @@
   static void inject(SimulatedCluster cluster, List<SimulatedJob> jobs) {
     CoincidingFaults faults = new CoincidingFaults(cluster, jobs);
     int kind = (int) cluster.time.between(0, FAULTS.size() - 1);
-    LOG.debug("{} ms: injecting coinciding fault {} at {}", cluster.time.now(), kind, faults.label);
+    LOG.debug(
+        "{} ms: injecting coinciding fault {} at {}", cluster.time.nowMs(), kind, faults.label);
     FAULTS.get(kind).accept(faults);
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
@@ -33,8 +33,8 @@
   }
 
   private static void assertAllJobsEnd(SimulatedCluster cluster, String message) {
-    for (long endMs = cluster.time.now() + JOBS_END_WITHIN_MS;
-        cluster.time.now() < endMs && !areJobsAndFaultsOver(cluster); ) {
+    for (long endMs = cluster.time.nowMs() + JOBS_END_WITHIN_MS;
+        cluster.time.nowMs() < endMs && !areJobsAndFaultsOver(cluster); ) {
       cluster.runFor(5000);
     }
     cluster.invariants.checkFinalProgress();
@@ -45,7 +45,7 @@
   }
 
   private static boolean areJobsAndFaultsOver(SimulatedCluster cluster) {
-    return cluster.time.now() > cluster.faults.endMs() + cluster.cancellationTimeMs
+    return cluster.time.nowMs() > cluster.faults.endMs() + cluster.cancellationTimeMs
         && cluster.jobs.values().stream()
             .allMatch(job -> job.isUnsatisfiable() || hasEnded(cluster, job));
   }
--- a/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
@@ -90,7 +90,7 @@
   }
 
   private static void runFor(SimulatedCluster cluster, long ms) {
-    cluster.time.runUntil(cluster.time.now() + ms);
+    cluster.time.runUntil(cluster.time.nowMs() + ms);
   }
 
   private static boolean isEndOfJob(String path, byte[] body) {
--- a/src/test/java/org/fieldtrestle/simulation/ControllerStartTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerStartTest.java
@@ -31,7 +31,7 @@
   }
 
   private static boolean listensAfter(SimulatedCluster cluster, long ms) {
-    cluster.time.runUntil(cluster.time.now() + ms);
+    cluster.time.runUntil(cluster.time.nowMs() + ms);
     return cluster.network.serves(ClusterLayout.address(LABEL));
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/FaultyNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/FaultyNetwork.java
@@ -104,23 +104,23 @@
 
   /** Cuts the connection between two zones for some time. */
   void partition(String zone, String other, long forMs) {
-    partitionedUntilMs.put(zone + "|" + other, time.now() + forMs);
-    partitionedUntilMs.put(other + "|" + zone, time.now() + forMs);
+    partitionedUntilMs.put(zone + "|" + other, time.nowMs() + forMs);
+    partitionedUntilMs.put(other + "|" + zone, time.nowMs() + forMs);
   }
 
   /** Adds a delay to requests to an address for some time. */
   void slow(String address, long byMs, long forMs) {
     slowByMs.put(address, byMs);
-    slowUntilMs.put(address, time.now() + forMs);
+    slowUntilMs.put(address, time.nowMs() + forMs);
   }
 
   private long extraDelayMs(String address) {
-    return time.now() < slowUntilMs.getOrDefault(address, 0L) ? slowByMs.get(address) : 0;
+    return time.nowMs() < slowUntilMs.getOrDefault(address, 0L) ? slowByMs.get(address) : 0;
   }
 
   private long partitionedForMs(String fromZone, String address) {
     String to = zones.getOrDefault(address, "");
-    return Math.max(0, partitionedUntilMs.getOrDefault(fromZone + "|" + to, 0L) - time.now());
+    return Math.max(0, partitionedUntilMs.getOrDefault(fromZone + "|" + to, 0L) - time.nowMs());
   }
 
   // ---- calls
@@ -136,7 +136,7 @@
       long timeoutMs,
       Consumer<Http.Outcome> done) {
     Call call =
-        new Call(fromZone, callerAlive, address, method, path, body, time.now(), once(done));
+        new Call(fromZone, callerAlive, address, method, path, body, time.nowMs(), once(done));
     long partitionedForMs = partitionedForMs(fromZone, address);
     if (partitionedForMs > 0) {
       callAcrossPartition(call, partitionedForMs, timeoutMs);
@@ -219,7 +219,7 @@
   /** Delivers a request at once, and passes on its answer at once, both without faults. */
   void deliver(
       String address, String method, String path, byte[] body, Consumer<Http.Response> reply) {
-    deliver(time.now(), address, method, path, body, reply);
+    deliver(time.nowMs(), address, method, path, body, reply);
   }
 
   private void deliverLate(Call call, String address, long afterMs) {
--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -58,7 +58,7 @@
 
   private static void assertAllFinishedJobsAreAnswered(SimulatedCluster cluster) {
     List<Integer> statuses = queryAll(cluster, "trestle-1", 1000, JOBS);
-    cluster.time.runUntil(cluster.time.now() + 2000);
+    cluster.time.runUntil(cluster.time.nowMs() + 2000);
     assertEquals(JOBS, statuses.stream().filter(status -> status == 200).count());
   }
 
@@ -89,9 +89,9 @@
       int low = i % 2 == 0 ? 10 : 100; // sorts before the keys of all finished jobs
       cluster.time.after(i * 10L, () -> queryAll(cluster, "trestle-1", low, 1));
     }
-    cluster.time.runUntil(cluster.time.now() + 1000);
+    cluster.time.runUntil(cluster.time.nowMs() + 1000);
     List<Integer> statuses = queryAll(cluster, "trestle-1", 1000 + JOBS - 1, 1);
-    cluster.time.runUntil(cluster.time.now() + 4000);
+    cluster.time.runUntil(cluster.time.nowMs() + 4000);
     assertEquals(List.of(200), statuses);
   }
 
@@ -166,14 +166,14 @@
    */
   private static TimedResponse send(
       SimulatedCluster cluster, String label, String method, String path, byte[] body) {
-    long sentAtMs = cluster.time.now();
+    long sentAtMs = cluster.time.nowMs();
     TimedResponse[] answered = {null};
     cluster.network.deliver(
         ClusterLayout.address(label),
         method,
         path,
         body,
-        response -> answered[0] = new TimedResponse(response, cluster.time.now() - sentAtMs));
+        response -> answered[0] = new TimedResponse(response, cluster.time.nowMs() - sentAtMs));
     cluster.time.runUntil(sentAtMs + 10_000);
     return answered[0];
   }
@@ -187,9 +187,9 @@
     SimulatedCluster cluster = startClusterWithFinishedJobs();
     cluster.delayStoreAnswers((label, path, body) -> path.contains("ft/final/") ? 2500 : 0);
     cluster.faults.kill("trestle-1", 100); // after the restart it has read no finished jobs
-    cluster.time.runUntil(cluster.time.now() + 200);
+    cluster.time.runUntil(cluster.time.nowMs() + 200);
     while (!cluster.isReady("trestle-1")) {
-      cluster.time.runUntil(cluster.time.now() + 10);
+      cluster.time.runUntil(cluster.time.nowMs() + 10);
     }
     TimedResponse first = query(cluster, "trestle-1", "job-1000");
     assertEquals(503, first.response().status());
@@ -295,7 +295,7 @@
   private static void submitAsSoonAsReady(
       SimulatedCluster cluster, SimulatedJob job, String label) {
     while (!cluster.isReady(label)) {
-      cluster.time.runUntil(cluster.time.now() + 10);
+      cluster.time.runUntil(cluster.time.nowMs() + 10);
     }
     assertEquals(201, send(cluster, label, "POST", "/v2/runs", job.body()).response().status());
   }
--- a/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProgressInvariants.java
@@ -61,18 +61,20 @@
 
   /** Called when a task of the job has started or stopped. */
   void onTaskChange(String jobId) {
-    lastChangeAtMs.put(jobId, cluster.time.now());
+    lastChangeAtMs.put(jobId, cluster.time.nowMs());
   }
 
   /** Returns the time since the submission of a job, without the time of faults since then. */
   private long waitedMs(SimulatedJob job) {
-    return cluster.time.now() - job.submittedAtMs() - (faultsSoFarMs - job.faultDurationBeforeMs());
+    return cluster.time.nowMs()
+        - job.submittedAtMs()
+        - (faultsSoFarMs - job.faultDurationBeforeMs());
   }
 
   /** Adds the time since the last check to the time of faults if faults still last. */
   void countFaults() {
     faultsSoFarMs +=
-        cluster.time.now() < cluster.faults.endMs() ? SimulatedCluster.CHECK_INTERVAL_MS : 0;
+        cluster.time.nowMs() < cluster.faults.endMs() ? SimulatedCluster.CHECK_INTERVAL_MS : 0;
   }
 
   /** Checks that no job has waited for too long while a machine has room for one of its tasks. */
@@ -90,7 +92,7 @@
   }
 
   private void checkWaiting(String jobId) {
-    long nowMs = cluster.time.now();
+    long nowMs = cluster.time.nowMs();
     long sinceMs = waitsDespiteRoomSinceMs.computeIfAbsent(jobId, id -> nowMs);
     sinceMs = Math.max(sinceMs, cluster.faults.endMs());
     sinceMs = Math.max(sinceMs, lastChangeAtMs.getOrDefault(jobId, 0L));
--- a/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
@@ -65,7 +65,7 @@
     int kind = (int) cluster.time.between(0, FAULTS.size() - 1);
     LOG.debug(
         "{} ms: injecting fault {}, controller {}, machine {}",
-        cluster.time.now(),
+        cluster.time.nowMs(),
         kind,
         faults.label,
         faults.machine.map(worker -> worker.id).orElse(""));
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
@@ -76,10 +76,10 @@
           .put("yard", machine.zone)
           .put("loaners", machine.spot)
           .put("stage", stage(machine))
-          .put("heldS", (time.now() - machine.rentedAtMs) / 1000.0);
+          .put("heldS", (time.nowMs() - machine.rentedAtMs) / 1000.0);
     }
-    lists.add(new MachineList(time.now(), list));
-    while (lists.size() > 1 && lists.peekFirst().atMs() < time.now() - MAX_LIST_AGE_MS) {
+    lists.add(new MachineList(time.nowMs(), list));
+    while (lists.size() > 1 && lists.peekFirst().atMs() < time.nowMs() - MAX_LIST_AGE_MS) {
       lists.removeFirst();
     }
     time.after(LIST_INTERVAL_MS, this::listPeriodically);
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
@@ -114,7 +114,7 @@
 
   /** Runs the simulation for some time. */
   void runFor(long ms) {
-    time.runUntil(time.now() + ms);
+    time.runUntil(time.nowMs() + ms);
   }
 
   // ---- machines and tasks
@@ -222,7 +222,7 @@
 
   /** Called when a controller answers a heartbeat with 200. */
   void onHeartbeatAnswered(String label) {
-    heartbeatAnsweredAtMs.put(label, time.now());
+    heartbeatAnsweredAtMs.put(label, time.nowMs());
   }
 
   /** Returns when a controller last answered a heartbeat with 200, or -1 if it never did. */
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
@@ -69,12 +69,12 @@
   }
 
   boolean isFrozen() {
-    return time.now() < frozenUntilMs;
+    return time.nowMs() < frozenUntilMs;
   }
 
   /** Returns how long work that reaches the event loop now waits for its turn. */
   long lagMs() {
-    return Math.max(0, busyUntilMs - time.now());
+    return Math.max(0, busyUntilMs - time.nowMs());
   }
 
   /** Stops the process and returns whether it was alive. */
@@ -85,7 +85,7 @@
   }
 
   void freeze(long ms) {
-    frozenUntilMs = time.now() + ms;
+    frozenUntilMs = time.nowMs() + ms;
   }
 
   void slowDown(long newTurnMs) {
@@ -93,7 +93,7 @@
   }
 
   void holdMessages(long ms) {
-    messagesHeldUntilMs = time.now() + ms;
+    messagesHeldUntilMs = time.nowMs() + ms;
   }
 
   // ---- turns
@@ -106,13 +106,13 @@
             work.run();
             return;
           }
-          busyUntilMs = Math.max(busyUntilMs, time.now()) + turnMs;
-          time.after(busyUntilMs - time.now(), this::isAlive, () -> whenNotFrozen(work));
+          busyUntilMs = Math.max(busyUntilMs, time.nowMs()) + turnMs;
+          time.after(busyUntilMs - time.nowMs(), this::isAlive, () -> whenNotFrozen(work));
         });
   }
 
   private void whenNotFrozen(Runnable work) {
-    long waitMs = frozenUntilMs - time.now();
+    long waitMs = frozenUntilMs - time.nowMs();
     if (waitMs > 0) {
       time.after(waitMs, this::isAlive, () -> whenNotFrozen(work));
     } else {
@@ -132,7 +132,7 @@
   }
 
   private void send(Runnable message) {
-    long waitMs = messagesHeldUntilMs - time.now();
+    long waitMs = messagesHeldUntilMs - time.nowMs();
     if (waitMs > 0) {
       time.after(waitMs, this::isAlive, message);
     } else {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
@@ -41,7 +41,7 @@
       complete(timeoutMs, TIMED_OUT, done);
       return;
     }
-    long timeoutAtMs = time.now() + timeoutMs;
+    long timeoutAtMs = time.nowMs() + timeoutMs;
     controller.sendAfter(
         delayMs,
         () ->
@@ -81,7 +81,7 @@
     boolean lost = delayMs == MessageObserver.LOST;
     Http.Outcome received = lost ? TIMED_OUT : outcome;
     time.after(
-        refusedMs + (lost ? timeoutAtMs - time.now() : delayMs),
+        refusedMs + (lost ? timeoutAtMs - time.nowMs() : delayMs),
         controller::isAlive,
         () -> controller.turn(() -> done.accept(received)));
   }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
@@ -34,7 +34,7 @@
     this.deployment = deployment;
     this.requestLimit = new RateLimit(deployment.keyValueStoreLimits().requestsPerS());
     this.writeLimit = new RateLimit(deployment.keyValueStoreLimits().changesPerS());
-    this.watches = new StoreWatches(time, keys, () -> outageUntilMs - time.now());
+    this.watches = new StoreWatches(time, keys, () -> outageUntilMs - time.nowMs());
     this.leases = new StoreLeases(time, this::isDown, this::removeKeysOf);
   }
 
@@ -45,7 +45,7 @@
    * their whole duration.
    */
   void outage(long ms) {
-    outageUntilMs = time.now() + ms;
+    outageUntilMs = time.nowMs() + ms;
     time.after(
         ms,
         () -> {
@@ -55,7 +55,7 @@
   }
 
   private boolean isDown() {
-    return time.now() < outageUntilMs;
+    return time.nowMs() < outageUntilMs;
   }
 
   /**
@@ -164,7 +164,7 @@
   }
 
   private boolean exceeds(RateLimit limit, double amount) {
-    boolean refused = deployment.enforcesLimits() && !limit.tryAcquire(time.now(), amount);
+    boolean refused = deployment.enforcesLimits() && !limit.tryAcquire(time.nowMs(), amount);
     refusedForLimits += refused ? 1 : 0;
     return refused;
   }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
@@ -73,6 +73,6 @@
 
   /** Lets simulated time pass. */
   public void runFor(long ms) {
-    time.runUntil(time.now() + ms);
+    time.runUntil(time.nowMs() + ms);
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
@@ -22,7 +22,7 @@
     this.random = random;
   }
 
-  long now() {
+  long nowMs() {
     return nowMs;
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
@@ -63,7 +63,7 @@
   SimulatedJob define(String id, Consumer<SimulatedJob> configure) {
     SimulatedJob job = new SimulatedJob(id);
     configure.accept(job);
-    job.describe(time.now(), cluster.invariants.faultsSoFarMs());
+    job.describe(time.nowMs(), cluster.invariants.faultsSoFarMs());
     cluster.jobs.put(id, job);
     return job;
   }
@@ -130,7 +130,7 @@
 
   /** Repeats the submission of an accepted job, which may have ended. */
   void submitAgain(SimulatedJob job) {
-    long askedAtMs = time.now();
+    long askedAtMs = time.nowMs();
     send(
         job,
         answer -> {
@@ -167,7 +167,7 @@
 
   /** Queries the status of a job once. */
   void query(String id) {
-    long askedAtMs = time.now();
+    long askedAtMs = time.nowMs();
     call(
         "GET",
         JOBS_PATH + "/" + id,
@@ -189,7 +189,7 @@
             JOBS_PATH + "/" + id,
             Http.Response.EMPTY,
             response -> status[0] = response.status());
-    time.runUntil(time.now() + QUERY_TIMEOUT_MS);
+    time.runUntil(time.nowMs() + QUERY_TIMEOUT_MS);
     return status[0];
   }
 
@@ -221,7 +221,7 @@
   }
 
   private Consumer<Http.Answer> onCancellation(SimulatedJob job, Runnable retry) {
-    long askedAtMs = time.now();
+    long askedAtMs = time.nowMs();
     cancelledJobs.add(job.id());
     return answer -> {
       if (answer.status() == 200) {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
@@ -50,7 +50,7 @@
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.rentedAtMs = time.now();
+    this.rentedAtMs = time.nowMs();
     this.faults = new WorkerFaults(time);
     this.tasks = new WorkerTasks(cluster, this);
     this.heartbeats = new WorkerHeartbeats(cluster, this);
@@ -76,7 +76,7 @@
       return;
     }
     up = true;
-    leaseStartMs = time.now();
+    leaseStartMs = time.nowMs();
     heartbeats.chooseController();
     cluster.network.serve(address, zone, this);
     heartbeats.start();
@@ -167,7 +167,7 @@
 
   /** Schedules the check of the lease for the first interval after which it can have expired. */
   private void scheduleLeaseCheck() {
-    long leftMs = leaseStartMs + cluster.leaseMs + 1 - time.now();
+    long leftMs = leaseStartMs + cluster.leaseMs + 1 - time.nowMs();
     long steps = Math.max(1, (leftMs + LEASE_CHECK_INTERVAL_MS - 1) / LEASE_CHECK_INTERVAL_MS);
     time.after(
         steps * LEASE_CHECK_INTERVAL_MS,
@@ -180,12 +180,12 @@
 
   /** Stops all tasks and begins a new incarnation if the lease has expired. */
   void checkLease() {
-    if (time.now() - leaseStartMs > cluster.leaseMs) {
+    if (time.nowMs() - leaseStartMs > cluster.leaseMs) {
       // A hanging worker begins a new incarnation when it resumes. Its tasks do not run meanwhile.
       tasks.stopAll();
       if (!faults.isHanging()) {
         incarnation++;
-        leaseStartMs = time.now();
+        leaseStartMs = time.nowMs();
         heartbeats.onChange();
       }
     }
@@ -259,7 +259,7 @@
       reply.accept(new Http.Response(400, Http.Response.EMPTY));
       return;
     }
-    boolean late = time.now() - sentAtMs > LATE_COMMAND_MS;
+    boolean late = time.nowMs() - sentAtMs > LATE_COMMAND_MS;
     lateCommands += late ? 1 : 0;
     if (body.path("warrant").asLong() < fencingToken
         || body.path("shift").asLong() != incarnation) {
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -169,7 +169,7 @@
         };
     time.runUntil(60_000);
     assertEquals(5001, stateCache.appliedRevision());
-    assertTrue(time.now() - stateCache.freshAsOfMs() < 10_000, "the state is still followed");
+    assertTrue(time.nowMs() - stateCache.freshAsOfMs() < 10_000, "the state is still followed");
   }
 
   @Test
@@ -224,7 +224,7 @@
     long before = stateCache.freshAsOfMs();
     String member = "{\"write\":\"ft/live/member/a\",\"v\":{\"f\":1,\"boot\":\"b\"},\"entry\":11}";
     responder = path -> path.contains("from=10&") ? answer(200, watchAnswer(11, member)) : null;
-    time.runUntil(time.now() + 20_000);
+    time.runUntil(time.nowMs() + 20_000);
     assertEquals(11, stateCache.appliedRevision());
     assertTrue(stateCache.freshAsOfMs() > before, "the state is fresh afterwards");
     assertEquals(1, freshAsOfMsWhenNotified.size());
@@ -249,7 +249,7 @@
             + member
             + "\",\"entry\":12}";
     responder = path -> path.contains("from=10&") ? answer(200, watchAnswer(12, log)) : null;
-    time.runUntil(time.now() + 20_000);
+    time.runUntil(time.nowMs() + 20_000);
     assertEquals(12, stateCache.appliedRevision());
     stateCache.applyCommit(List.of(StateChanges.put(member, new MemberRecord("b"), 0)), 11);
     assertEquals(0, stateCache.version(member));
--- a/src/test/java/org/fieldtrestle/simulation/StepObserver.java
+++ b/src/test/java/org/fieldtrestle/simulation/StepObserver.java
@@ -64,7 +64,7 @@
     if (count >= MAX_STEPS) {
       throw new SteppedCluster.StepLimitExceeded(MAX_STEPS);
     }
-    Step step = new Step(count++, time.now(), label, kind, detail);
+    Step step = new Step(count++, time.nowMs(), label, kind, detail);
     return switch (listener.before(step)) {
       case NONE -> NO_DELAY;
       case LOST -> LOST;
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -90,7 +90,7 @@
 
   /** Returns the simulated time. */
   public long nowMs() {
-    return cluster.time.now();
+    return cluster.time.nowMs();
   }
 
   /** Runs the simulation until a simulated time. */
@@ -100,7 +100,7 @@
 
   /** Schedules an action at a simulated time. */
   public void at(long timeMs, Runnable action) {
-    cluster.time.after(timeMs - cluster.time.now(), action);
+    cluster.time.after(timeMs - cluster.time.nowMs(), action);
   }
 
   /** Returns the number of steps so far. */
--- a/src/test/java/org/fieldtrestle/simulation/StoreLeases.java
+++ b/src/test/java/org/fieldtrestle/simulation/StoreLeases.java
@@ -51,7 +51,7 @@
 
   private void expire() {
     for (Map.Entry<Long, Lease> lease : List.copyOf(leases.entrySet())) {
-      if (lease.getValue().expiresAtMs < time.now()) {
+      if (lease.getValue().expiresAtMs < time.nowMs()) {
         leases.remove(lease.getKey());
         onExpired.accept(lease.getKey());
       }
@@ -84,6 +84,6 @@
   }
 
   private void renew(Lease lease) {
-    lease.expiresAtMs = time.now() + lease.ttlMs;
+    lease.expiresAtMs = time.nowMs() + lease.ttlMs;
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -110,7 +110,7 @@
         Http.Response.EMPTY,
         response -> {
           if (response.status() == 200) {
-            onAnswer(job, response, time.now());
+            onAnswer(job, response, time.nowMs());
           } else {
             time.after(1000, () -> cancel(job));
           }
@@ -118,7 +118,7 @@
   }
 
   private void repeatSubmission(SimulatedJob job, String label) {
-    long sentAtMs = time.now();
+    long sentAtMs = time.nowMs();
     sendPost(
         label,
         "/v2/runs",
@@ -137,7 +137,7 @@
 
   /** Queries a job until it ends, at the same controller as long as its connection is kept. */
   private void poll(SimulatedJob job, String label) {
-    long sentAtMs = time.now();
+    long sentAtMs = time.nowMs();
     sendQuery(
         label,
         job,
@@ -157,7 +157,7 @@
    * they were told of its end.
    */
   private void pollAt(SimulatedJob job, String label) {
-    long sentAtMs = time.now();
+    long sentAtMs = time.nowMs();
     boolean afterEnd = endedJobs.contains(job.id());
     sendQuery(
         label,
@@ -179,9 +179,9 @@
   private void onAnswer(SimulatedJob job, Http.Response response, long sentAtMs) {
     answersByStatus.merge(response.status(), 1, Integer::sum);
     long sinceMs = unansweredSinceMs.computeIfAbsent(job.id(), id -> sentAtMs);
-    long faultFreeMs = time.now() - Math.max(sinceMs, cluster.faults.endMs());
+    long faultFreeMs = time.nowMs() - Math.max(sinceMs, cluster.faults.endMs());
     if (faultFreeMs > longestUnanswered.ms()) {
-      longestUnanswered = new Spell(job.id(), faultFreeMs, time.now());
+      longestUnanswered = new Spell(job.id(), faultFreeMs, time.nowMs());
     }
     String stage = stageOf(response);
     if (response.status() == 200) {
--- a/src/test/java/org/fieldtrestle/simulation/Violations.java
+++ b/src/test/java/org/fieldtrestle/simulation/Violations.java
@@ -19,13 +19,13 @@
 
   /** Logs an event of the simulation, so that it appears among the log lines of the controllers. */
   void trace(String event) {
-    LOG.debug("{} ms: {}", time.now(), event);
+    LOG.debug("{} ms: {}", time.nowMs(), event);
   }
 
   /** Adds a violation of a named invariant, with the current time. */
   void add(String invariant, String description) {
     trace("VIOLATION " + invariant + " " + description);
-    found.add(invariant + " at " + time.now() + " ms: " + description);
+    found.add(invariant + " at " + time.nowMs() + " ms: " + description);
   }
 
   /** Adds a violation that a simulated user found. */
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaults.java
@@ -17,46 +17,46 @@
 
   /** Makes the machine hang for a time; it handles what arrives in the meantime afterwards. */
   void hang(long durationMs) {
-    hangUntilMs = time.now() + durationMs;
+    hangUntilMs = time.nowMs() + durationMs;
   }
 
   boolean isHanging() {
-    return time.now() < hangUntilMs;
+    return time.nowMs() < hangUntilMs;
   }
 
   /** Returns how much longer the machine hangs. */
   long remainingHangMs() {
-    return hangUntilMs - time.now();
+    return hangUntilMs - time.nowMs();
   }
 
   /** Blocks everything that is sent to the machine for a time; its heartbeats still leave. */
   void blockIncoming(long durationMs) {
-    incomingBlockedUntilMs = time.now() + durationMs;
+    incomingBlockedUntilMs = time.nowMs() + durationMs;
   }
 
   boolean isIncomingBlocked() {
-    return time.now() < incomingBlockedUntilMs;
+    return time.nowMs() < incomingBlockedUntilMs;
   }
 
   /** Blocks the heartbeats of the machine for a time; direct commands still reach it. */
   void blockHeartbeats(long durationMs) {
-    heartbeatsBlockedUntilMs = time.now() + durationMs;
+    heartbeatsBlockedUntilMs = time.nowMs() + durationMs;
   }
 
   boolean areHeartbeatsBlocked() {
-    return time.now() < heartbeatsBlockedUntilMs;
+    return time.nowMs() < heartbeatsBlockedUntilMs;
   }
 
   /** Blocks the heartbeats to one controller for a time; its commands still reach the machine. */
   void disconnect(String label, long durationMs) {
     unreachableController = label;
-    unreachableUntilMs = time.now() + durationMs;
+    unreachableUntilMs = time.nowMs() + durationMs;
   }
 
   /** Whether the heartbeats of the machine reach a controller. */
   boolean canReach(String label) {
     return !areHeartbeatsBlocked()
-        && !(label.equals(unreachableController) && time.now() < unreachableUntilMs);
+        && !(label.equals(unreachableController) && time.nowMs() < unreachableUntilMs);
   }
 
   /** Makes all tasks on the machine fail from now on. */
--- a/src/test/java/org/fieldtrestle/simulation/WorkerHeartbeats.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerHeartbeats.java
@@ -73,7 +73,7 @@
       worker.afterHanging(this::sendIfDue);
       return;
     }
-    long waitMs = lastSentAtMs + MIN_INTERVAL_MS - time.now();
+    long waitMs = lastSentAtMs + MIN_INTERVAL_MS - time.nowMs();
     if (waitMs > 0) {
       time.after(waitMs, worker::isAlive, this::sendIfDue);
       return;
@@ -86,8 +86,8 @@
     awaitingAnswer = true;
     due = false;
     changed = false;
-    lastSentAtMs = time.now();
-    Sent sent = new Sent(time.now(), worker.incarnation());
+    lastSentAtMs = time.nowMs();
+    Sent sent = new Sent(time.nowMs(), worker.incarnation());
     String label = target();
     lastBody = worker.status();
     if (!worker.faults.canReach(label)) {
@@ -103,9 +103,9 @@
         lastBody,
         TIMEOUT_MS,
         outcome -> {
-          long receivedAtMs = time.now();
+          long receivedAtMs = time.nowMs();
           if (worker.faults.isIncomingBlocked()) {
-            long leftMs = sent.atMs() + TIMEOUT_MS - time.now();
+            long leftMs = sent.atMs() + TIMEOUT_MS - time.nowMs();
             receiveAfter(leftMs, new Http.Unknown("timeout"), sent, receivedAtMs);
           } else {
             worker.whenResumed(() -> receive(outcome, sent, receivedAtMs));
@@ -124,7 +124,8 @@
     byte[] body = outcome instanceof Http.Answer answer ? answer.body() : Http.Response.EMPTY;
     switch (status) {
       case 200 -> {
-        if (time.now() - sent.atMs() <= TIMEOUT_MS && sent.incarnation() == worker.incarnation()) {
+        if (time.nowMs() - sent.atMs() <= TIMEOUT_MS
+            && sent.incarnation() == worker.incarnation()) {
           worker.onHeartbeatAnswered(Json.parseOrEmpty(body), sent.atMs(), receivedAtMs);
         }
       }
