--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -83,7 +83,7 @@
             .toList();
     assertEquals(CANCELLED_JOBS, running.size(), "enough jobs are running");
     long failureMs = cluster.cancellationTimeMs + 12_000;
-    cluster.faults.note(failureMs + offsetMs);
+    cluster.faults.recordFault(failureMs + offsetMs);
     for (int i = 0; i < CANCELLED_JOBS; i++) {
       SimulatedJob job = running.get(i);
       cluster.time.after(
--- a/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
@@ -28,7 +28,7 @@
   }
 
   /** Records that a fault lasts for this time, for which the invariant checks then allow. */
-  void note(long durationMs) {
+  void recordFault(long durationMs) {
     endMs = Math.max(endMs, time.nowMs() + durationMs);
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
@@ -46,21 +46,21 @@
   }
 
   private void refuseOneThenAllDuringCancellations() {
-    cluster.faults.note(cluster.cancellationTimeMs + 20_000);
+    cluster.faults.recordFault(cluster.cancellationTimeMs + 20_000);
     cluster.faults.refuseStoreRequests(label, 14_000);
     time.after(500, () -> cancelRunningJobs(4, 0));
     time.after(2000, () -> cluster.store.outage(cluster.cancellationTimeMs + 12_000));
   }
 
   private void executeTransactionsLate() {
-    cluster.faults.note(45_000);
+    cluster.faults.recordFault(45_000);
     cluster.store.delayCommits(0.3);
     time.after(30_000, () -> cluster.store.delayCommits(0));
   }
 
   private void blockHeartbeatsOfMachines() {
     long durationMs = time.between(5000, 50_000);
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     for (SimulatedWorker machine : cluster.machines()) {
       if (time.chance(0.4)) {
         machine.faults.blockHeartbeats(durationMs);
@@ -70,12 +70,12 @@
 
   private void freezeBeforeSending() {
     long durationMs = time.between(2000, 60_000);
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.faults.freezeBeforeSending(label, durationMs);
   }
 
   private void cancelWhileMachinesHang() {
-    cluster.faults.note(40_000);
+    cluster.faults.recordFault(40_000);
     cancelRunningJobs(6, time.between(3000, 40_000));
   }
 
@@ -85,7 +85,7 @@
   }
 
   private void restartAllAfterALease() {
-    cluster.faults.note(cluster.leaseMs + 20_000);
+    cluster.faults.recordFault(cluster.leaseMs + 20_000);
     cluster
         .labels()
         .forEach(
--- a/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
@@ -140,7 +140,7 @@
         cluster -> {
           SimulatedJob job = startLongJob(cluster);
           long outageMs = cluster.cancellationTimeMs + 12_000;
-          cluster.faults.note(outageMs);
+          cluster.faults.recordFault(outageMs);
           cancelWithoutWatchAnswers(cluster, job, () -> cluster.store.outage(outageMs));
           restoreWatchAnswers(cluster);
           runFor(cluster, outageMs + 30_000);
@@ -155,7 +155,7 @@
           SimulatedJob job = startLongJob(cluster);
           String leader = cluster.leaderOf(job);
           long disconnectedMs = cluster.cancellationTimeMs + 12_000;
-          cluster.faults.note(disconnectedMs);
+          cluster.faults.recordFault(disconnectedMs);
           AtomicInteger pagesRead =
               cancelWithoutWatchAnswers(
                   cluster,
@@ -178,7 +178,7 @@
         cluster -> {
           SimulatedJob job = startLongJob(cluster);
           String leader = cluster.leaderOf(job);
-          cluster.faults.note(cluster.cancellationTimeMs);
+          cluster.faults.recordFault(cluster.cancellationTimeMs);
           // Shortly after the user has received the confirmation.
           cancelWithoutWatchAnswers(
               cluster, job, () -> cluster.time.after(20, () -> cluster.faults.kill(leader, 300)));
--- a/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
@@ -28,7 +28,7 @@
     }
     cluster.time.runUntil(25_000);
     cluster.faults.disconnect("trestle-0", 80_000, Link.STORE, Link.PEERS);
-    cluster.faults.note(80_000);
+    cluster.faults.recordFault(80_000);
     cluster.time.after(3000, () -> cluster.users.cancel(cluster.jobs.get("job-1")));
     cluster.time.runUntil(60_000);
     submit(cluster, "job-9", 10, 10_000);
@@ -68,7 +68,7 @@
     cluster.time.after(40_000, () -> cluster.faults.disconnect("trestle-2", 25_000, Link.STORE));
     cluster.time.after(50_000, () -> submit(cluster, "job-3", 2, 2000));
     cluster.time.after(64_000, cluster.store::compact);
-    cluster.faults.note(65_000);
+    cluster.faults.recordFault(65_000);
     // The last controller is not restarted and has to find out that its watch is too old.
     for (String label : cluster.labels().subList(0, 2)) {
       cluster.time.after(10_000, () -> cluster.faults.kill(label, 300));
@@ -87,7 +87,7 @@
     SimulatedCluster cluster = startCluster(12);
     submitJobs(cluster, 5, 10, 20_000);
     cluster.time.runUntil(25_000);
-    cluster.faults.note(60_000);
+    cluster.faults.recordFault(60_000);
     cluster.faults.kill("trestle-0", 55_000);
     for (long at = 24_000; at < 34_000; at += 700) {
       cluster.time.after(at, () -> cluster.faults.kill("trestle-1", 80));
@@ -104,7 +104,7 @@
       SimulatedCluster cluster = startCluster(12);
       submitJobs(cluster, 6, 12, 20_000);
       cluster.time.runUntil(30_000);
-      cluster.faults.note(ms + 10_000);
+      cluster.faults.recordFault(ms + 10_000);
       cluster.faults.freeze("trestle-0", ms);
       cluster.time.after(2000, () -> cluster.users.cancel(cluster.jobs.get("job-3")));
       cluster.time.runUntil(330_000);
@@ -120,7 +120,7 @@
       SimulatedCluster cluster = SimulatedCluster.builder().seed(seed).machines(12).start();
       submitJobs(cluster, 5, 10, 20_000);
       cluster.time.runUntil(25_000);
-      cluster.faults.note(60_000);
+      cluster.faults.recordFault(60_000);
       cluster.faults.kill("trestle-0", 400_000);
       cluster.time.after(
           20_000, () -> cluster.network.loseAnswers(0.7)); // also answers to the new leader
@@ -138,7 +138,7 @@
     submit(cluster, "job-1", 48, 300_000);
     cluster.time.runUntil(60_000);
     // Workers are being redirected to their leader at the time, as after a failover.
-    cluster.faults.note(60_000);
+    cluster.faults.recordFault(60_000);
     cluster.faults.kill("trestle-1", 35_000);
     cluster.time.runUntil(98_000);
     cluster.labels().forEach(label -> cluster.faults.disconnect(label, 40_000, Link.PEERS));
@@ -234,7 +234,7 @@
       submit(cluster, "job-1", 48, 300_000);
       cluster.time.runUntil(60_000);
       int startsBefore = cluster.invariants.starts();
-      cluster.faults.note(faultMs);
+      cluster.faults.recordFault(faultMs);
       fault.accept(cluster, label);
       cluster.time.runUntil(150_000);
       assertNoViolations(cluster);
--- a/src/test/java/org/fieldtrestle/simulation/DemandTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/DemandTest.java
@@ -36,7 +36,7 @@
               cluster.faults.kill("trestle-1", 30_000);
             }
             cluster.runFor(8000);
-            cluster.faults.note(0);
+            cluster.faults.recordFault(0);
             assertTrue(starts > 0);
           }
         });
@@ -57,7 +57,7 @@
           assertTrue(
               cluster.jobs.values().stream().anyMatch(job -> !hasEnded(cluster, job)),
               "some jobs are still waiting");
-          cluster.faults.note(0);
+          cluster.faults.recordFault(0);
         });
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
@@ -24,7 +24,7 @@
           cluster.runFor(45_000);
           for (String label : cluster.labels()) {
             List<Long> before = cluster.store.shardEpochs();
-            cluster.faults.note(80_000);
+            cluster.faults.recordFault(80_000);
             cluster.faults.kill(label, cluster.leaseMs + 24_000);
             cluster.runFor(12_000);
             cluster.faults.kill(otherController(cluster, label), 300);
@@ -45,7 +45,7 @@
           submit(cluster, 6, 6, 40_000);
           cluster.runFor(40_000);
           List<Long> before = cluster.store.shardEpochs();
-          cluster.faults.note(150_000);
+          cluster.faults.recordFault(150_000);
           cluster.faults.disconnect("trestle-0", 30_000, Link.WORKERS);
           cluster.runFor(31_000);
           assertLeadersChanged(cluster, before);
@@ -71,7 +71,7 @@
         cluster -> {
           List<SimulatedJob> jobs = submit(cluster, 6, 6, 25_000);
           cluster.runFor(30_000);
-          cluster.faults.note(135_000);
+          cluster.faults.recordFault(135_000);
           cluster.time.after(40_000, () -> cluster.store.outage(20_000));
           int changes = 0;
           for (int i = 0; i < 12; i++) {
@@ -100,7 +100,7 @@
           cluster.runFor(35_000);
           int starts = cluster.invariants.starts();
           long ms = cluster.leaseMs + 8000;
-          cluster.faults.note(ms + 5000);
+          cluster.faults.recordFault(ms + 5000);
           cluster.users.cancel(jobs.get(0));
           cluster
               .labels()
@@ -122,7 +122,7 @@
           String leader = cluster.leaderOf(jobs.get(0));
           Map<String, byte[]> oldHeartbeats = lastHeartbeats(cluster);
           List<Long> before = cluster.store.shardEpochs();
-          cluster.faults.note(90_000);
+          cluster.faults.recordFault(90_000);
           cluster.faults.kill(leader, 80_000);
           // Tasks on these machines end without any controller hearing of it, or hang with them.
           cluster.machines().stream().limit(4).forEach(machine -> machine.faults.hang(45_000));
@@ -149,7 +149,7 @@
           String leader = cluster.leaderOf(jobs.get(0));
           List<Long> before = cluster.store.shardEpochs();
           List<SimulatedWorker> machines = cluster.machines();
-          cluster.faults.note(90_000);
+          cluster.faults.recordFault(90_000);
           int half = machines.size() / 2;
           assertTrue(half > 1);
           machines.subList(0, half).forEach(machine -> machine.faults.hang(cluster.leaseMs - 4000));
@@ -174,7 +174,7 @@
           assertEquals(10, runningTasks(cluster, jobs), "the team is at its quota of 40 CPUs");
           String leader = cluster.leaderOf(jobs.get(0));
           List<Long> before = cluster.store.shardEpochs();
-          cluster.faults.note(80_000);
+          cluster.faults.recordFault(80_000);
           cluster.machines().stream().limit(4).forEach(machine -> machine.faults.hang(30_000));
           cluster.faults.kill(leader, 60_000);
           cluster.runFor(10_000);
--- a/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
@@ -113,7 +113,7 @@
   @Test
   void taskThatRunsTooLongAfterItsCancellationIsAViolation() {
     SimulatedJob job = submit("job-1", j -> {});
-    cluster.users.noteCancellation(job.id());
+    cluster.users.recordCancellation(job.id());
     cluster.invariants.taskStarted("job-1/0", addMachine("host-1", "big", "a", false));
     cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
     cluster.time.runUntil(cluster.cancellationTimeMs - 1000);
@@ -168,7 +168,7 @@
   @Test
   void cancelledTaskThatStartsAgainAfterAHangIsAViolation() {
     SimulatedJob job = define("job-1", j -> {});
-    cluster.users.noteCancellation(job.id());
+    cluster.users.recordCancellation(job.id());
     SimulatedWorker machine = addMachine("host-1", "big", "a", false);
     machine.faults.hang(cluster.cancellationTimeMs + 5000);
     cluster.invariants.taskStarted("job-1/0", machine);
@@ -185,7 +185,7 @@
   @Test
   void startOrderedTooLongAfterACancellationIsAViolation() {
     SimulatedJob job = define("job-1", j -> {});
-    cluster.users.noteCancellation(job.id());
+    cluster.users.recordCancellation(job.id());
     cluster.time.runUntil(1000);
     cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
     cluster.invariants.startCommandExecuted("job-1/0", 1001);
@@ -198,7 +198,7 @@
     cluster.invariants.startCommandExecuted("job-1/1", 4000);
     assertOnlyViolation("started_cancelled");
     cluster.invariants.clearViolations();
-    cluster.faults.note(60_000);
+    cluster.faults.recordFault(60_000);
     cluster.invariants.startCommandExecuted("job-1/2", 4000);
     assertEquals(
         0,
@@ -217,7 +217,7 @@
   void jobUnansweredForTooLongIsAViolation() {
     define("job-1", j -> {});
     cluster.invariants.jobAccepted("job-1");
-    cluster.faults.note(20_000);
+    cluster.faults.recordFault(20_000);
     cluster.invariants.answerReceived("job-1", 503, "", 0);
     cluster.time.runUntil(94_000);
     cluster.invariants.answerReceived("job-1", 503, "", 0);
--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -121,7 +121,7 @@
 
   private static void acceptAndCancel(
       SimulatedCluster cluster, SimulatedJob job, Runnable onCancelled) {
-    cluster.users.noteCancellation(job.id());
+    cluster.users.recordCancellation(job.id());
     cluster.network.deliver(
         ClusterLayout.address("trestle-1"),
         "POST",
--- a/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
@@ -69,7 +69,7 @@
         14,
         cluster -> {
           cluster.store.delayCommits(0.2);
-          cluster.faults.note(130_000);
+          cluster.faults.recordFault(130_000);
           List<SimulatedJob> jobs = submit(cluster, 8, 4, 12_000);
           cluster.runFor(40_000);
           jobs.addAll(submit(cluster, 4, 6, 12_000, job -> job.team("limited")));
@@ -96,7 +96,7 @@
           submit(cluster, 6, 6, 15_000);
           List<Map<String, byte[]>> oldHeartbeats = new ArrayList<>();
           cluster.observeListening(label -> deliverNewest(cluster, label, oldHeartbeats));
-          cluster.faults.note(140_000);
+          cluster.faults.recordFault(140_000);
           for (int i = 0; i < 270; i++) {
             cluster.runFor(500);
             if (i % 6 == 0) {
@@ -132,7 +132,7 @@
           List<SimulatedJob> jobs = submit(cluster, 5, 6, 40_000);
           cluster.runFor(40_000);
           long ms = cluster.leaseMs + 10_000;
-          cluster.faults.note(ms);
+          cluster.faults.recordFault(ms);
           // Most machines are silent, so that this looks like a partition; the others have room for
           // the lost tasks.
           List<SimulatedWorker> all = cluster.machines();
--- a/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
@@ -29,7 +29,7 @@
           cluster.runFor(45_000);
           String leader = cluster.leaderOf(jobs.get(0));
           List<Long> before = cluster.store.shardEpochs();
-          cluster.faults.note(95_000);
+          cluster.faults.recordFault(95_000);
           cluster.faults.disconnect(leader, 90_000, Link.STORE, Link.PEERS);
           cluster.runFor(3000);
           assertTrue(runningTasks(cluster, jobs) > 0, "the jobs run");
@@ -64,7 +64,7 @@
           cluster.runFor(45_000);
           String leader = cluster.leaderOf(cluster.jobs.get("job-1"));
           List<Long> before = cluster.store.shardEpochs();
-          cluster.faults.note(75_000);
+          cluster.faults.recordFault(75_000);
           // Without the cloud the leader cannot return silent machines, which would end their
           // tasks.
           cluster.faults.disconnect(leader, 70_000, Link.STORE, Link.PEERS, Link.CLOUD);
@@ -90,7 +90,7 @@
           List<SimulatedJob> jobs = submit(cluster, 5, 6, 200_000);
           cluster.runFor(45_000);
           String leader = cluster.leaderOf(jobs.get(0));
-          cluster.faults.note(120_000);
+          cluster.faults.recordFault(120_000);
           maybeDisconnectPeers(cluster, leader);
           cluster.network.slow(ClusterLayout.STORE_ADDRESS, 300, 10_000);
           cluster.runFor(8000);
@@ -128,7 +128,7 @@
           List<SimulatedJob> jobs = submit(cluster, 6, 6, 200_000);
           cluster.runFor(45_000);
           String leader = cluster.leaderOf(jobs.get(0));
-          cluster.faults.note(cluster.cancellationTimeMs + 20_000);
+          cluster.faults.recordFault(cluster.cancellationTimeMs + 20_000);
           maybeDisconnectPeers(cluster, leader);
           cluster.faults.refuseStoreRequests(leader, 14_000);
           cluster.runFor(300);
@@ -196,7 +196,7 @@
           cluster.runFor(35_000);
           // Long enough that no controller behind the partition may still answer.
           long ms = cluster.cancellationTimeMs + 12_000;
-          cluster.faults.note(ms + 5000);
+          cluster.faults.recordFault(ms + 5000);
           cluster.network.partition("a", "b", ms);
           cluster.network.partition("b", "regional", ms);
           cluster.faults.disconnect("trestle-1", ms, Link.PEERS);
--- a/src/test/java/org/fieldtrestle/simulation/ProductionFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionFaults.java
@@ -41,41 +41,41 @@
   }
 
   private void restartAllControllers() {
-    cluster.faults.note(20_000);
+    cluster.faults.recordFault(20_000);
     cluster
         .labels()
         .forEach(controller -> cluster.faults.kill(controller, time.between(3000, 8000)));
   }
 
   private void killAllControllersButOne() {
-    cluster.faults.note(60_000);
+    cluster.faults.recordFault(60_000);
     cluster.labels().stream()
         .filter(controller -> !controller.equals(label))
         .forEach(controller -> cluster.faults.kill(controller, 50_000));
   }
 
   private void storeOutage() {
-    cluster.faults.note(60_000);
+    cluster.faults.recordFault(60_000);
     cluster.store.outage(60_000);
   }
 
   private void refuseStoreRequests() {
-    cluster.faults.note(70_000);
+    cluster.faults.recordFault(70_000);
     cluster.faults.refuseStoreRequests(label, 70_000);
   }
 
   private void disconnectControllerFromStoreAndPeers() {
-    cluster.faults.note(70_000);
+    cluster.faults.recordFault(70_000);
     cluster.faults.disconnect(label, 70_000, Link.STORE, Link.PEERS);
   }
 
   private void slowStore() {
-    cluster.faults.note(30_000);
+    cluster.faults.recordFault(30_000);
     cluster.network.slow(ClusterLayout.STORE_ADDRESS, 400, 30_000);
   }
 
   private void loseHalfOfTheMachines() {
-    cluster.faults.note(5000);
+    cluster.faults.recordFault(5000);
     for (SimulatedWorker machine : cluster.machines()) {
       if (time.chance(0.5)) {
         cluster.cloud.remove(machine.id);
@@ -84,12 +84,12 @@
   }
 
   private void freezeController() {
-    cluster.faults.note(70_000);
+    cluster.faults.recordFault(70_000);
     cluster.faults.freeze(label, 70_000);
   }
 
   private void executeTransactionsLate() {
-    cluster.faults.note(45_000);
+    cluster.faults.recordFault(45_000);
     cluster.store.delayCommits(0.3);
     time.after(30_000, () -> cluster.store.delayCommits(0));
   }
--- a/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
@@ -75,12 +75,12 @@
   // ---- controllers
 
   private void restartController() {
-    cluster.faults.note(10_000);
+    cluster.faults.recordFault(10_000);
     cluster.faults.kill(label, time.between(MIN_RESTART_MS, MAX_RESTART_MS));
   }
 
   private void restartAllControllers() {
-    cluster.faults.note(10_000);
+    cluster.faults.recordFault(10_000);
     cluster
         .labels()
         .forEach(
@@ -89,18 +89,18 @@
   }
 
   private void killControllerForLongTime() {
-    cluster.faults.note(60_000);
+    cluster.faults.recordFault(60_000);
     cluster.faults.kill(label, time.between(40_000, 60_000));
   }
 
   private void restartControllerQuickly() {
-    cluster.faults.note(10_000);
+    cluster.faults.recordFault(10_000);
     cluster.faults.kill(label, time.between(50, 300));
   }
 
   private void refuseStoreRequests() {
     long durationMs = time.between(5000, 70_000);
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.faults.refuseStoreRequests(label, durationMs);
   }
 
@@ -118,7 +118,7 @@
 
   private void disconnectController(Link... links) {
     long durationMs = time.between(5000, 70_000);
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.faults.disconnect(label, durationMs, links);
   }
 
@@ -129,7 +129,7 @@
   }
 
   private void restartNewLeadersRepeatedly() {
-    cluster.faults.note(70_000);
+    cluster.faults.recordFault(70_000);
     cluster.faults.kill(label, 60_000);
     for (String other : cluster.labels()) {
       for (int i = 0; i < 3; i++) {
@@ -146,7 +146,7 @@
 
   private void freezeController() {
     long durationMs = time.between(1000, 70_000);
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.faults.freeze(label, durationMs);
   }
 
@@ -154,7 +154,7 @@
 
   private void storeOutage() {
     long durationMs = time.between(5000, 40_000);
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.store.outage(durationMs);
   }
 
@@ -163,20 +163,20 @@
   }
 
   private void slowStore() {
-    cluster.faults.note(30_000);
+    cluster.faults.recordFault(30_000);
     cluster.network.slow(ClusterLayout.STORE_ADDRESS, time.between(100, 1000), 30_000);
   }
 
   private void partitionZones() {
     long durationMs = time.between(5000, 40_000);
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.network.partition("a", "b", durationMs);
   }
 
   /** All messages that a partition has held back arrive at once while the controllers restart. */
   private void endPartitionsDuringRestarts() {
     long durationMs = time.between(20_000, 60_000);
-    cluster.faults.note(durationMs + 10_000);
+    cluster.faults.recordFault(durationMs + 10_000);
     cluster.network.partition("a", "b", durationMs);
     cluster.network.partition("b", ClusterLayout.REGIONAL_ZONE, durationMs);
     time.after(
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
@@ -37,7 +37,7 @@
   }
 
   /** Records that a test itself cancels a job. */
-  void noteCancellation(String jobId) {
+  void recordCancellation(String jobId) {
     cancelledJobs.add(jobId);
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/SlowControllerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/SlowControllerTest.java
@@ -59,7 +59,7 @@
   void jobsEndWhenTurnsAreSlowAndALeaderFails() {
     for (long seed = 1; seed <= 3; seed++) {
       SimulatedCluster cluster = startSlowCluster(seed);
-      cluster.faults.note(60_000);
+      cluster.faults.recordFault(60_000);
       cluster.faults.kill("trestle-1", 30_000);
       cluster.time.after(5000, () -> cluster.users.cancel(cluster.jobs.get("job-2")));
       cluster.time.runUntil(SETTLED_MS + 350_000);
@@ -71,7 +71,7 @@
   void jobsEndWhenTurnsAreSlowAndAnOutageOutlastsLeases() {
     for (long seed = 1; seed <= 3; seed++) {
       SimulatedCluster cluster = startSlowCluster(seed);
-      cluster.faults.note(80_000);
+      cluster.faults.recordFault(80_000);
       cluster.users.cancel(cluster.jobs.get("job-1"));
       cluster.time.after(500, () -> cluster.store.outage(50_000));
       cluster.time.runUntil(SETTLED_MS + 400_000);
@@ -90,7 +90,7 @@
       for (long freezeMs : new long[] {4000, 12_000, 32_000}) {
         SimulatedCluster cluster = startSlowCluster(seed, 8, 250_000);
         long disconnectedMs = cluster.cancellationTimeMs * 3;
-        cluster.faults.note(disconnectedMs);
+        cluster.faults.recordFault(disconnectedMs);
         cluster.faults.disconnect("trestle-0", disconnectedMs, Link.STORE, Link.PEERS);
         cluster.time.after(
             1000, () -> cluster.users.cancelAt("trestle-1", cluster.jobs.get("job-3")));
@@ -111,7 +111,7 @@
   @Test
   void noJobIsForgottenDuringAStormOfQueriesToSlowControllers() {
     SimulatedCluster cluster = startSlowCluster(43);
-    cluster.faults.note(40_000);
+    cluster.faults.recordFault(40_000);
     for (int i = 0; i < 4000; i++) {
       String id = i % 2 == 0 ? "job-" + i % JOBS : "job-" + (1000 + i);
       cluster.time.after(i * 8L, () -> cluster.users.query(id));
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -173,61 +173,61 @@
 
   /** Makes the key-value store unavailable for a time. */
   public void storeOutage(long durationMs) {
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.store.outage(durationMs);
   }
 
   /** Makes the key-value store refuse all requests of one controller for a time. */
   public void refuseStoreRequests(String controller, long durationMs) {
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.faults.refuseStoreRequests(controller, durationMs);
   }
 
   /** Cuts off a controller from the key-value store and from the other controllers for a time. */
   public void disconnectFromStoreAndPeers(String controller, long durationMs) {
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.faults.disconnect(controller, durationMs, Link.STORE, Link.PEERS);
   }
 
   /** Cuts off a controller from all workers for a time. */
   public void disconnectFromWorkers(String controller, long durationMs) {
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.faults.disconnect(controller, durationMs, Link.WORKERS);
   }
 
   /** Makes the key-value store slow for a time. */
   public void slowStore(long durationMs) {
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.network.slow(ClusterLayout.STORE_ADDRESS, StepObserver.LATE_MS / 2, durationMs);
   }
 
   /** Makes transactions get no answer and be executed late for a time. */
   public void executeTransactionsLate(long durationMs) {
-    cluster.faults.note(durationMs + 12_000);
+    cluster.faults.recordFault(durationMs + 12_000);
     cluster.store.delayCommits(1);
     cluster.time.after(durationMs, () -> cluster.store.delayCommits(0));
   }
 
   /** Freezes a controller for a time. */
   public void freeze(String controller, long durationMs) {
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     cluster.faults.freeze(controller, durationMs);
   }
 
   /** Ends a controller process, and starts a new one after the given time. */
   public void kill(String controller, long restartAfterMs) {
-    cluster.faults.note(restartAfterMs + 10_000);
+    cluster.faults.recordFault(restartAfterMs + 10_000);
     cluster.faults.kill(controller, restartAfterMs);
   }
 
   /** Records that messages are lost or late for a time. */
-  public void noteFault(long durationMs) {
-    cluster.faults.note(durationMs);
+  public void recordFault(long durationMs) {
+    cluster.faults.recordFault(durationMs);
   }
 
   /** Makes the machines that hold tasks of a job hang for a time. */
   public void hangMachinesOf(String job, long durationMs) {
-    cluster.faults.note(durationMs);
+    cluster.faults.recordFault(durationMs);
     machinesOf(job).forEach(machine -> machine.faults.hang(durationMs));
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -103,7 +103,7 @@
 
   /** Cancels a job, and repeats the request until the cancellation is confirmed. */
   void cancel(SimulatedJob job) {
-    cluster.users.noteCancellation(job.id());
+    cluster.users.recordCancellation(job.id());
     sendPost(
         anyReadyController(),
         "/v2/runs/" + job.id() + "/abort",
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -134,7 +134,7 @@
   void noMachineIsReplacedAfterALongStoreOutage() {
     SimulatedCluster cluster = startBusyCluster();
     int rented = cluster.cloud.rentedEver();
-    cluster.faults.note(60_000);
+    cluster.faults.recordFault(60_000);
     cluster.store.outage(45_000); // longer than controllers and workers may act without the store
     cluster.time.runUntil(180_000);
     assertNoViolations(cluster);
--- a/src/test/java/org/fieldtrestle/simulation/search/Fault.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Fault.java
@@ -74,13 +74,13 @@
   Effect inject(SteppedCluster cluster, Step step, long lengthMs) {
     String controller = step.controller();
     switch (this) {
-      case MESSAGE_LOST, MESSAGE_LATE -> cluster.noteFault(LOST_MESSAGE_EFFECT_MS);
+      case MESSAGE_LOST, MESSAGE_LATE -> cluster.recordFault(LOST_MESSAGE_EFFECT_MS);
       case TRANSACTIONS_LATE -> cluster.executeTransactionsLate(MOMENT_MS);
       case STATE_OUTAGE, STATE_OUTAGE_LOSING_ANSWERS -> cluster.storeOutage(lengthMs);
       case CONTROLLER_REFUSED -> cluster.refuseStoreRequests(controller, lengthMs);
       case CONTROLLER_CUT_OFF -> cluster.disconnectFromStoreAndPeers(controller, lengthMs);
       case CONTROLLER_WITHOUT_WORKERS -> cluster.disconnectFromWorkers(controller, lengthMs);
-      case WATCHES_LOST -> cluster.noteFault(lengthMs);
+      case WATCHES_LOST -> cluster.recordFault(lengthMs);
       case STATE_SLOW -> cluster.slowStore(lengthMs);
       case CONTROLLER_FROZEN -> cluster.freeze(controller, lengthMs);
       case CONTROLLER_ENDS -> cluster.kill(controller, lengthMs);
