--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -40,7 +40,7 @@
 
   @Test
   void cancelledTasksStayStoppedWhenTheStoreRefusesAllControllers() {
-    sweep((cluster, durationMs) -> cluster.store.outage(durationMs));
+    sweep((cluster, durationMs) -> cluster.store.startOutage(durationMs));
   }
 
   @Test
@@ -55,7 +55,7 @@
   void cancelledTasksStayStoppedWhenTheStoreIsSlow() {
     sweep(
         (cluster, durationMs) ->
-            cluster.network.slow(ClusterLayout.STORE_ADDRESS, 700, durationMs));
+            cluster.network.delayRequestsTo(ClusterLayout.STORE_ADDRESS, 700, durationMs));
   }
 
   private static void sweep(Failure failure) {
--- a/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
@@ -49,7 +49,7 @@
     cluster.faults.recordFault(cluster.cancellationTimeMs + 20_000);
     cluster.faults.refuseStoreRequests(label, 14_000);
     time.after(500, () -> cancelRunningJobs(4, 0));
-    time.after(2000, () -> cluster.store.outage(cluster.cancellationTimeMs + 12_000));
+    time.after(2000, () -> cluster.store.startOutage(cluster.cancellationTimeMs + 12_000));
   }
 
   private void executeTransactionsLate() {
--- a/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
@@ -141,7 +141,7 @@
           SimulatedJob job = startLongJob(cluster);
           long outageMs = cluster.cancellationTimeMs + 12_000;
           cluster.faults.recordFault(outageMs);
-          cancelWithoutWatchAnswers(cluster, job, () -> cluster.store.outage(outageMs));
+          cancelWithoutWatchAnswers(cluster, job, () -> cluster.store.startOutage(outageMs));
           restoreWatchAnswers(cluster);
           runFor(cluster, outageMs + 30_000);
           assertNoneStarted(cluster, job);
--- a/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
@@ -48,7 +48,7 @@
     assertTrue(cluster.isReady("trestle-0") && cluster.isReady("trestle-2"));
     cluster.time.runUntil(76_000);
     assertTrue(cluster.isReady("trestle-1"), "ready again without intervention");
-    cluster.store.outage(20_000);
+    cluster.store.startOutage(20_000);
     cluster.time.runUntil(90_000);
     for (String label : cluster.labels()) {
       assertTrue(
@@ -62,7 +62,7 @@
     submit(cluster, "job-1", 8, 120_000);
     submit(cluster, "job-2", 4, 2000);
     cluster.time.runUntil(30_000);
-    cluster.store.outage(40_000);
+    cluster.store.startOutage(40_000);
     // The last controller stays cut off from the store for longer, and the store meanwhile drops
     // the changes that this controller has missed.
     cluster.time.after(40_000, () -> cluster.faults.disconnect("trestle-2", 25_000, Link.STORE));
--- a/src/test/java/org/fieldtrestle/simulation/ControllerStartTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerStartTest.java
@@ -38,7 +38,7 @@
   @Test
   void requestsAreRefusedUntilTheControllerMayAct() {
     SimulatedCluster cluster = startWithStoppedController();
-    cluster.store.outage(1000);
+    cluster.store.startOutage(1000);
     cluster.start(LABEL);
     assertFalse(
         listensAfter(cluster, 999),
@@ -50,7 +50,7 @@
   @Test
   void requestsAreAcceptedAfterAQuarterOfALeaseWithoutTheStore() {
     SimulatedCluster cluster = startWithStoppedController();
-    cluster.store.outage(10 * LISTENS_AFTER_MS);
+    cluster.store.startOutage(10 * LISTENS_AFTER_MS);
     cluster.start(LABEL);
     assertFalse(listensAfter(cluster, LISTENS_AFTER_MS - DRIFT_MS));
     assertTrue(listensAfter(cluster, 2 * DRIFT_MS));
--- a/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
@@ -72,7 +72,7 @@
           List<SimulatedJob> jobs = submit(cluster, 6, 6, 25_000);
           cluster.runFor(30_000);
           cluster.faults.recordFault(135_000);
-          cluster.time.after(40_000, () -> cluster.store.outage(20_000));
+          cluster.time.after(40_000, () -> cluster.store.startOutage(20_000));
           int changes = 0;
           for (int i = 0; i < 12; i++) {
             List<Long> before = cluster.store.shardEpochs();
--- a/src/test/java/org/fieldtrestle/simulation/FaultyNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/FaultyNetwork.java
@@ -14,8 +14,8 @@
   private final Map<String, Http.Handler> servers = new HashMap<>();
   private final Map<String, String> zones = new HashMap<>();
   private final Map<String, Long> partitionedUntilMs = new HashMap<>();
-  private final Map<String, Long> slowByMs = new HashMap<>();
-  private final Map<String, Long> slowUntilMs = new HashMap<>();
+  private final Map<String, Long> extraDelaysMs = new HashMap<>();
+  private final Map<String, Long> delayedUntilMs = new HashMap<>();
   private double lateRequestShare;
   private double lateCommandShare;
   private double lostAnswerShare;
@@ -103,19 +103,19 @@
   }
 
   /** Cuts the connection between two zones for some time. */
-  void partition(String zone, String other, long forMs) {
-    partitionedUntilMs.put(zone + "|" + other, time.nowMs() + forMs);
-    partitionedUntilMs.put(other + "|" + zone, time.nowMs() + forMs);
+  void partition(String zone, String other, long durationMs) {
+    partitionedUntilMs.put(zone + "|" + other, time.nowMs() + durationMs);
+    partitionedUntilMs.put(other + "|" + zone, time.nowMs() + durationMs);
   }
 
   /** Adds a delay to requests to an address for some time. */
-  void slow(String address, long byMs, long forMs) {
-    slowByMs.put(address, byMs);
-    slowUntilMs.put(address, time.nowMs() + forMs);
+  void delayRequestsTo(String address, long delayMs, long durationMs) {
+    extraDelaysMs.put(address, delayMs);
+    delayedUntilMs.put(address, time.nowMs() + durationMs);
   }
 
   private long extraDelayMs(String address) {
-    return time.nowMs() < slowUntilMs.getOrDefault(address, 0L) ? slowByMs.get(address) : 0;
+    return time.nowMs() < delayedUntilMs.getOrDefault(address, 0L) ? extraDelaysMs.get(address) : 0;
   }
 
   private long partitionedForMs(String fromZone, String address) {
--- a/src/test/java/org/fieldtrestle/simulation/LoadGenerator.java
+++ b/src/test/java/org/fieldtrestle/simulation/LoadGenerator.java
@@ -239,7 +239,7 @@
     restartController("trestle-0");
     measure("trestle-0 restarted", 5);
     measure("after the restart", 10);
-    onLoop(() -> cluster.store.outage(10_000));
+    onLoop(() -> cluster.store.startOutage(10_000));
     measure("outage", 10);
     measure("after the outage", 5);
     onLoop(
--- a/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
@@ -92,12 +92,12 @@
           String leader = cluster.leaderOf(jobs.get(0));
           cluster.faults.recordFault(120_000);
           maybeDisconnectPeers(cluster, leader);
-          cluster.network.slow(ClusterLayout.STORE_ADDRESS, 300, 10_000);
+          cluster.network.delayRequestsTo(ClusterLayout.STORE_ADDRESS, 300, 10_000);
           cluster.runFor(8000);
           cluster.faults.refuseStoreRequests(leader, 16_000);
           cluster.runFor(300);
           cancelAtOtherController(cluster, leader, jobs.subList(0, 3), 4000);
-          cluster.store.outage(cluster.cancellationTimeMs + 12_000);
+          cluster.store.startOutage(cluster.cancellationTimeMs + 12_000);
           for (int i = 0; i < 30; i++) {
             cluster.users.query(jobs.get(i % 5).id());
             if (i == 10) {
@@ -134,7 +134,7 @@
           cluster.runFor(300);
           assertTrue(runningTasks(cluster, jobs) > 0, "the jobs run");
           cancelAtOtherController(cluster, leader, jobs.subList(0, 5), 1200);
-          cluster.store.outage(cluster.cancellationTimeMs + 12_000);
+          cluster.store.startOutage(cluster.cancellationTimeMs + 12_000);
           long confirmedAtMs = cluster.invariants.cancellationConfirmedAtMs(jobs.get(0).id());
           cluster.runFor(8000);
           assertTrue(
@@ -158,7 +158,7 @@
           cluster.users.cancelAtEnd(0.8);
           // Some answers of the store take a few hundred ms. Here all of them do, so that the end
           // and the cancellation of a job are often under way at the same time.
-          cluster.network.slow(ClusterLayout.STORE_ADDRESS, 300, 150_000);
+          cluster.network.delayRequestsTo(ClusterLayout.STORE_ADDRESS, 300, 150_000);
           List<SimulatedJob> jobs = submit(cluster, 30, 2, 6000);
           cluster.runFor(150_000);
           long done = countLastStage(cluster, jobs, "done");
--- a/src/test/java/org/fieldtrestle/simulation/ProductionFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionFaults.java
@@ -10,7 +10,7 @@
       List.of(
           ProductionFaults::restartAllControllers,
           ProductionFaults::killAllControllersButOne,
-          ProductionFaults::storeOutage,
+          ProductionFaults::startStoreOutage,
           ProductionFaults::refuseStoreRequests,
           ProductionFaults::disconnectControllerFromStoreAndPeers,
           ProductionFaults::slowStore,
@@ -54,9 +54,9 @@
         .forEach(controller -> cluster.faults.kill(controller, 50_000));
   }
 
-  private void storeOutage() {
+  private void startStoreOutage() {
     cluster.faults.recordFault(60_000);
-    cluster.store.outage(60_000);
+    cluster.store.startOutage(60_000);
   }
 
   private void refuseStoreRequests() {
@@ -71,7 +71,7 @@
 
   private void slowStore() {
     cluster.faults.recordFault(30_000);
-    cluster.network.slow(ClusterLayout.STORE_ADDRESS, 400, 30_000);
+    cluster.network.delayRequestsTo(ClusterLayout.STORE_ADDRESS, 400, 30_000);
   }
 
   private void loseHalfOfTheMachines() {
--- a/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/RandomFaults.java
@@ -20,7 +20,7 @@
           RandomFaults::restartAllControllers,
           RandomFaults::killControllerForLongTime,
           RandomFaults::restartControllerQuickly,
-          RandomFaults::storeOutage,
+          RandomFaults::startStoreOutage,
           RandomFaults::partitionZones,
           RandomFaults::hangMachine,
           RandomFaults::loseMachine,
@@ -152,10 +152,10 @@
 
   // ---- key-value store and network
 
-  private void storeOutage() {
+  private void startStoreOutage() {
     long durationMs = time.between(5000, 40_000);
     cluster.faults.recordFault(durationMs);
-    cluster.store.outage(durationMs);
+    cluster.store.startOutage(durationMs);
   }
 
   private void compactStore() {
@@ -164,7 +164,7 @@
 
   private void slowStore() {
     cluster.faults.recordFault(30_000);
-    cluster.network.slow(ClusterLayout.STORE_ADDRESS, time.between(100, 1000), 30_000);
+    cluster.network.delayRequestsTo(ClusterLayout.STORE_ADDRESS, time.between(100, 1000), 30_000);
   }
 
   private void partitionZones() {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCloud.java
@@ -33,7 +33,7 @@
   private final Map<String, JsonNode> answersByRequest = new HashMap<>();
   private final ArrayDeque<MachineList> lists = new ArrayDeque<>();
   private int capacity;
-  private int rentedEver;
+  private int totalRentedMachines;
   private double failedBootShare;
 
   SimulatedCloud(SimulatedTime time, SimulatedCluster cluster, int capacity) {
@@ -54,8 +54,8 @@
   }
 
   /** Returns how many machines have been rented so far, including returned ones. */
-  int rentedEver() {
-    return rentedEver;
+  int totalRentedMachines() {
+    return totalRentedMachines;
   }
 
   /** Removes a machine, because the cloud takes it away or because it was returned. */
@@ -154,12 +154,12 @@
   }
 
   private String rentOne(JsonNode body) {
-    rentedEver++;
+    totalRentedMachines++;
     SimulatedWorker worker =
         new SimulatedWorker(
             cluster,
-            String.format("host-%06d", rentedEver),
-            cluster.workerAddress(rentedEver),
+            String.format("host-%06d", totalRentedMachines),
+            cluster.workerAddress(totalRentedMachines),
             body.path("rig").asText(),
             body.path("yard").asText(),
             body.path("loaners").asBoolean());
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
@@ -44,10 +44,10 @@
    * Makes the store unavailable for some time. When the outage ends, all leases are renewed for
    * their whole duration.
    */
-  void outage(long ms) {
-    outageUntilMs = time.nowMs() + ms;
+  void startOutage(long durationMs) {
+    outageUntilMs = time.nowMs() + durationMs;
     time.after(
-        ms,
+        durationMs,
         () -> {
           leases.renewAll();
           watches.answerChanged();
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedNetwork.java
@@ -47,8 +47,8 @@
   }
 
   /** Makes the key-value store unavailable for some time. */
-  public void startKeyValueStoreOutage(long ms) {
-    keyValueStore.outage(ms);
+  public void startKeyValueStoreOutage(long durationMs) {
+    keyValueStore.startOutage(durationMs);
   }
 
   /** Returns the settings of a controller of a large fleet in this network. */
--- a/src/test/java/org/fieldtrestle/simulation/SlowControllerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/SlowControllerTest.java
@@ -73,7 +73,7 @@
       SimulatedCluster cluster = startSlowCluster(seed);
       cluster.faults.recordFault(80_000);
       cluster.users.cancel(cluster.jobs.get("job-1"));
-      cluster.time.after(500, () -> cluster.store.outage(50_000));
+      cluster.time.after(500, () -> cluster.store.startOutage(50_000));
       cluster.time.runUntil(SETTLED_MS + 400_000);
       assertAllDone(cluster);
     }
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -172,9 +172,9 @@
   // ---- faults; each is recorded, so that the checks allow for its duration
 
   /** Makes the key-value store unavailable for a time. */
-  public void storeOutage(long durationMs) {
+  public void startStoreOutage(long durationMs) {
     cluster.faults.recordFault(durationMs);
-    cluster.store.outage(durationMs);
+    cluster.store.startOutage(durationMs);
   }
 
   /** Makes the key-value store refuse all requests of one controller for a time. */
@@ -198,7 +198,8 @@
   /** Makes the key-value store slow for a time. */
   public void slowStore(long durationMs) {
     cluster.faults.recordFault(durationMs);
-    cluster.network.slow(ClusterLayout.STORE_ADDRESS, StepObserver.LATE_MS / 2, durationMs);
+    cluster.network.delayRequestsTo(
+        ClusterLayout.STORE_ADDRESS, StepObserver.LATE_MS / 2, durationMs);
   }
 
   /** Makes transactions get no answer and be executed late for a time. */
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -102,12 +102,12 @@
     SimulatedCluster cluster = startCluster(12);
     submitJobs(cluster, 3, 60, 40_000);
     cluster.time.runUntil(45_000);
-    int before = cluster.cloud.rentedEver();
+    int before = cluster.cloud.totalRentedMachines();
     cluster.labels().forEach(label -> cluster.faults.kill(label, 500));
     // Tasks found after the restart end soon; tasks placed later run for their full time.
     cluster.time.runUntil(100_000);
     assertNoViolations(cluster);
-    assertEquals(before, cluster.cloud.rentedEver(), "no machine had to be replaced");
+    assertEquals(before, cluster.cloud.totalRentedMachines(), "no machine had to be replaced");
   }
 
   @Test
@@ -116,7 +116,7 @@
     // of the periodic work of controllers.
     for (long offsetMs = 0; offsetMs < 2500; offsetMs += 250) {
       SimulatedCluster cluster = startBusyCluster();
-      int rented = cluster.cloud.rentedEver();
+      int rented = cluster.cloud.totalRentedMachines();
       int starts = cluster.invariants.starts();
       cluster.time.runUntil(60_000 + offsetMs);
       cluster.labels().forEach(label -> cluster.faults.freeze(label, 11_500));
@@ -124,7 +124,7 @@
       assertNoViolations(cluster);
       assertEquals(
           rented,
-          cluster.cloud.rentedEver(),
+          cluster.cloud.totalRentedMachines(),
           "the controllers paused, not the machines; pause at " + offsetMs);
       assertEquals(starts, cluster.invariants.starts(), "no task was lost; pause at " + offsetMs);
     }
@@ -133,12 +133,13 @@
   @Test
   void noMachineIsReplacedAfterALongStoreOutage() {
     SimulatedCluster cluster = startBusyCluster();
-    int rented = cluster.cloud.rentedEver();
+    int rented = cluster.cloud.totalRentedMachines();
     cluster.faults.recordFault(60_000);
-    cluster.store.outage(45_000); // longer than controllers and workers may act without the store
+    cluster.store.startOutage(
+        45_000); // longer than controllers and workers may act without the store
     cluster.time.runUntil(180_000);
     assertNoViolations(cluster);
-    assertEquals(rented, cluster.cloud.rentedEver(), "no machine was replaced");
+    assertEquals(rented, cluster.cloud.totalRentedMachines(), "no machine was replaced");
   }
 
   @Test
@@ -146,7 +147,7 @@
     SimulatedCluster cluster = startCluster(100);
     submit(cluster, "job-1", 192, 100_000);
     cluster.time.runUntil(70_000);
-    int rented = cluster.cloud.rentedEver();
+    int rented = cluster.cloud.totalRentedMachines();
     cluster.labels().forEach(label -> cluster.faults.kill(label, 500));
     for (int i = 2; i < 8; i++) {
       int number = i;
@@ -154,7 +155,7 @@
     }
     cluster.time.runUntil(110_000);
     assertNoViolations(cluster);
-    int more = cluster.cloud.rentedEver() - rented;
+    int more = cluster.cloud.totalRentedMachines() - rented;
     assertTrue(
         more <= rented / 2, "no second fleet was rented: " + more + " in addition to " + rented);
   }
--- a/src/test/java/org/fieldtrestle/simulation/search/Fault.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Fault.java
@@ -76,7 +76,7 @@
     switch (this) {
       case MESSAGE_LOST, MESSAGE_LATE -> cluster.recordFault(LOST_MESSAGE_EFFECT_MS);
       case TRANSACTIONS_LATE -> cluster.executeTransactionsLate(MOMENT_MS);
-      case STATE_OUTAGE, STATE_OUTAGE_LOSING_ANSWERS -> cluster.storeOutage(lengthMs);
+      case STATE_OUTAGE, STATE_OUTAGE_LOSING_ANSWERS -> cluster.startStoreOutage(lengthMs);
       case CONTROLLER_REFUSED -> cluster.refuseStoreRequests(controller, lengthMs);
       case CONTROLLER_CUT_OFF -> cluster.disconnectFromStoreAndPeers(controller, lengthMs);
       case CONTROLLER_WITHOUT_WORKERS -> cluster.disconnectFromWorkers(controller, lengthMs);
