--- a/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantChecker.java
@@ -40,8 +40,8 @@
   }
 
   /** Adds a violation that a simulated user found. */
-  void report(String what) {
-    violations.report(what);
+  void report(String description) {
+    violations.report(description);
   }
 
   // ---- events of workers
--- a/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
@@ -81,7 +81,7 @@
           cluster.runFor(60_000);
           cluster.store.delayCommits(0);
           cluster.runFor(15_000);
-          lateCommits[0] += cluster.store.lateCommitted();
+          lateCommits[0] += cluster.store.lateCommits();
           assertTrue(
               cluster.store.lateConflicts() > 0, "some transactions arrived after newer ones");
         });
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
@@ -84,16 +84,16 @@
     return wasAlive;
   }
 
-  void freeze(long ms) {
-    frozenUntilMs = time.nowMs() + ms;
+  void freeze(long durationMs) {
+    frozenUntilMs = time.nowMs() + durationMs;
   }
 
   void slowDown(long newTurnMs) {
     turnMs = newTurnMs;
   }
 
-  void holdMessages(long ms) {
-    messagesHeldUntilMs = time.nowMs() + ms;
+  void holdMessages(long durationMs) {
+    messagesHeldUntilMs = time.nowMs() + durationMs;
   }
 
   // ---- turns
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedKeyValueStore.java
@@ -25,7 +25,7 @@
   private final StoreLeases leases;
   private long outageUntilMs;
   private double lateCommitShare;
-  private int lateCommitted;
+  private int lateCommits;
   private int lateConflicts;
   private int refusedForLimits;
 
@@ -79,8 +79,8 @@
   }
 
   /** Returns how many delayed transactions succeeded because their conditions still held. */
-  int lateCommitted() {
-    return lateCommitted;
+  int lateCommits() {
+    return lateCommits;
   }
 
   /** Returns how many delayed transactions failed because of their conditions. */
@@ -229,7 +229,7 @@
           if (isDown()) {
             commitLate(body);
           } else if (commit(body).status() == 200) {
-            lateCommitted++;
+            lateCommits++;
           } else {
             lateConflicts++;
           }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
@@ -26,12 +26,12 @@
     return nowMs;
   }
 
-  void after(long ms, Runnable work) {
-    after(ms, () -> true, work);
+  void after(long delayMs, Runnable work) {
+    after(delayMs, () -> true, work);
   }
 
-  void after(long ms, BooleanSupplier alive, Runnable work) {
-    events.add(new Event(nowMs + Math.max(0, ms), ++order, alive, work));
+  void after(long delayMs, BooleanSupplier alive, Runnable work) {
+    events.add(new Event(nowMs + Math.max(0, delayMs), ++order, alive, work));
   }
 
   void runUntil(long endMs) {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedUsers.java
@@ -13,9 +13,9 @@
  */
 final class SimulatedUsers {
   private static final String JOBS_PATH = "/v2/runs";
-  private static final long SUBMIT_TIMEOUT_MS = 5000;
+  private static final long SUBMISSION_TIMEOUT_MS = 5000;
   private static final long QUERY_TIMEOUT_MS = 2000;
-  private static final long RETRY_MS = 1000;
+  private static final long RETRY_DELAY_MS = 1000;
   private static final int MAX_SUBMISSION_RETRIES = 600;
 
   /** Share of jobs that are submitted again although the first submission was accepted. */
@@ -75,7 +75,7 @@
         "POST",
         JOBS_PATH,
         body,
-        SUBMIT_TIMEOUT_MS,
+        SUBMISSION_TIMEOUT_MS,
         answer -> {
           int status = answer.status();
           if (isAccepted(answer)) {
@@ -93,7 +93,7 @@
         "POST",
         JOBS_PATH,
         job.body(),
-        SUBMIT_TIMEOUT_MS,
+        SUBMISSION_TIMEOUT_MS,
         answer -> {
           if (isAccepted(answer)) {
             cluster.invariants.jobAccepted(job.id());
@@ -123,14 +123,14 @@
           } else if (isRejected(answer)) {
             cluster.invariants.report("refused " + job.id() + " with " + answer.status());
           } else if (retries < MAX_SUBMISSION_RETRIES) {
-            time.after(RETRY_MS, () -> submitWithRetries(job, retries + 1));
+            time.after(RETRY_DELAY_MS, () -> submitWithRetries(job, retries + 1));
           }
         });
   }
 
   /** Repeats the submission of an accepted job, which may have ended. */
   void submitAgain(SimulatedJob job) {
-    long askedAtMs = time.nowMs();
+    long sentAtMs = time.nowMs();
     send(
         job,
         answer -> {
@@ -138,13 +138,13 @@
             cluster.invariants.report(
                 "forgotten: repeated " + job.id() + " gets " + answer.status());
           } else if (answer.status() == 200) {
-            cluster.invariants.answerReceived(job.id(), 200, stage(answer), askedAtMs);
+            cluster.invariants.answerReceived(job.id(), 200, stage(answer), sentAtMs);
           }
         });
   }
 
   private void send(SimulatedJob job, Consumer<Http.Answer> done) {
-    call("POST", JOBS_PATH, job.body(), SUBMIT_TIMEOUT_MS, done);
+    call("POST", JOBS_PATH, job.body(), SUBMISSION_TIMEOUT_MS, done);
   }
 
   /** Called when the last task of a job is done. */
@@ -167,13 +167,13 @@
 
   /** Queries the status of a job once. */
   void query(String id) {
-    long askedAtMs = time.nowMs();
+    long sentAtMs = time.nowMs();
     call(
         "GET",
         JOBS_PATH + "/" + id,
         Http.Response.EMPTY,
         QUERY_TIMEOUT_MS,
-        answer -> cluster.invariants.answerReceived(id, answer.status(), stage(answer), askedAtMs));
+        answer -> cluster.invariants.answerReceived(id, answer.status(), stage(answer), sentAtMs));
   }
 
   /**
@@ -201,7 +201,7 @@
         "POST",
         cancellationPath(job),
         Http.Response.EMPTY,
-        SUBMIT_TIMEOUT_MS,
+        SUBMISSION_TIMEOUT_MS,
         onCancellation(job, () -> cancel(job)));
   }
 
@@ -212,7 +212,7 @@
         "POST",
         cancellationPath(job),
         Http.Response.EMPTY,
-        SUBMIT_TIMEOUT_MS,
+        SUBMISSION_TIMEOUT_MS,
         onCancellation(job, () -> cancelAt(label, job)));
   }
 
@@ -221,13 +221,13 @@
   }
 
   private Consumer<Http.Answer> onCancellation(SimulatedJob job, Runnable retry) {
-    long askedAtMs = time.nowMs();
+    long sentAtMs = time.nowMs();
     cancelledJobs.add(job.id());
     return answer -> {
       if (answer.status() == 200) {
-        cluster.invariants.answerReceived(job.id(), 200, stage(answer), askedAtMs);
+        cluster.invariants.answerReceived(job.id(), 200, stage(answer), sentAtMs);
       } else {
-        time.after(RETRY_MS, retry);
+        time.after(RETRY_DELAY_MS, retry);
       }
     };
   }
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -95,8 +95,8 @@
     cluster.invariants.jobAccepted(job.id());
     time.after(QUERY_INTERVAL_MS, () -> poll(job, anyReadyController()));
     for (String label : cluster.labels()) {
-      time.after(time.between(0, 300), () -> repeatSubmission(job, label));
-      time.after(time.between(5000, 120_000), () -> repeatSubmission(job, label));
+      time.after(time.between(0, 300), () -> submitAgain(job, label));
+      time.after(time.between(5000, 120_000), () -> submitAgain(job, label));
       time.after(time.between(0, QUERY_INTERVAL_PER_CONTROLLER_MS), () -> pollAt(job, label));
     }
   }
@@ -117,7 +117,7 @@
         });
   }
 
-  private void repeatSubmission(SimulatedJob job, String label) {
+  private void submitAgain(SimulatedJob job, String label) {
     long sentAtMs = time.nowMs();
     sendPost(
         label,
@@ -127,7 +127,7 @@
           if (response.status() == 200) {
             onAnswer(job, response, sentAtMs);
           } else if (response.status() == 0 || response.status() >= 429) {
-            time.after(QUERY_INTERVAL_MS, () -> repeatSubmission(job, label));
+            time.after(QUERY_INTERVAL_MS, () -> submitAgain(job, label));
           } else {
             cluster.invariants.report(
                 "forgotten: repeated " + job.id() + " gets " + response.status());
--- a/src/test/java/org/fieldtrestle/simulation/WorkerHeartbeats.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerHeartbeats.java
@@ -113,9 +113,11 @@
         });
   }
 
-  private void receiveAfter(long ms, Http.Outcome outcome, Sent sent, long receivedAtMs) {
+  private void receiveAfter(long delayMs, Http.Outcome outcome, Sent sent, long receivedAtMs) {
     time.after(
-        ms, worker::isAlive, () -> worker.whenResumed(() -> receive(outcome, sent, receivedAtMs)));
+        delayMs,
+        worker::isAlive,
+        () -> worker.whenResumed(() -> receive(outcome, sent, receivedAtMs)));
   }
 
   private void receive(Http.Outcome outcome, Sent sent, long receivedAtMs) {
