--- a/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationInvariants.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Checks that the tasks of a cancelled job stop within the limit, and that no controller commands a
- * start of one long after the cancellation was confirmed.
+ * Checks that the tasks of a cancelled job stop within the limit, and that no controller sends a
+ * command to start one of them long after the cancellation was confirmed.
  */
 final class CancellationInvariants {
   /** Every controller that no fault hinders learns of a confirmed cancellation within this time. */
@@ -46,7 +46,7 @@
    * Checks a command to start a task that a worker executes. Once {@link #KNOWN_WITHIN_MS} have
    * passed since the confirmation of a cancellation, no controller may send such a command unless a
    * fault keeps it from learning of the cancellation. Losing an answer of the key-value store is
-   * such a fault, since a watch waits for the lost answer until its time-out.
+   * such a fault, since a watch waits for the lost answer until its timeout.
    */
   void onStartCommand(String task, long sentAtMs) {
     Long jobConfirmedAtMs = confirmedAtMs.get(SimulatedJob.idOf(task));
--- a/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/ClusterFaults.java
@@ -27,7 +27,7 @@
     this.time = cluster.time;
   }
 
-  /** Records that a fault lasts for this time, for which the invariant checks then allow. */
+  /** Records that a fault lasts for this time from now on. The invariant checks allow for it. */
   void recordFault(long durationMs) {
     endMs = Math.max(endMs, time.nowMs() + durationMs);
   }
--- a/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/CoincidingFaults.java
@@ -93,7 +93,10 @@
                 cluster.faults.kill(controller, cluster.leaseMs + time.between(-900, 9000)));
   }
 
-  /** Delivers copies of the current heartbeats to all controllers later, leaders or not. */
+  /**
+   * Delivers copies of the current heartbeats to all controllers at random later times, whichever
+   * controllers lead shards by then.
+   */
   private void repeatHeartbeatsAtAllControllers() {
     List<byte[]> copies = new ArrayList<>();
     cluster.machines().forEach(machine -> copies.add(machine.lastHeartbeat()));
--- a/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
@@ -93,7 +93,10 @@
     return jobs.stream().mapToInt(job -> cluster.invariants.runningTasksOf(job.id())).sum();
   }
 
-  /** In half of the runs, keeps notices of cancellations by other controllers from the leader. */
+  /**
+   * In half of the runs, cuts off the leader from the other controllers, whose notices of
+   * cancellations then do not reach the leader.
+   */
   static void maybeDisconnectPeers(SimulatedCluster cluster, String leader) {
     if (cluster.time.chance(0.5)) {
       cluster.faults.disconnect(leader, cluster.cancellationTimeMs + 30_000, Link.PEERS);
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedCluster.java
@@ -130,7 +130,7 @@
     return List.copyOf(cloud.machines.values());
   }
 
-  /** Returns the controller to which most machines with tasks of a job send heartbeats. */
+  /** Returns the label of the controller to which most machines with a job's tasks report. */
   String leaderOf(SimulatedJob job) {
     Map<String, Integer> counts = new HashMap<>();
     for (SimulatedWorker machine : cloud.machines.values()) {
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedController.java
@@ -26,7 +26,7 @@
   private final Controller controller;
   private boolean alive = true;
 
-  /** Until when it is frozen. Its clocks continue, and everything that reaches it waits. */
+  /** Until when the process is frozen. Its clocks go on, and what reaches the process waits. */
   private long frozenUntilMs;
 
   /** The duration of each turn of the event loop. */
@@ -35,7 +35,7 @@
   /** Until when the event loop is busy with the turns that are already queued. */
   private long busyUntilMs;
 
-  /** Until when its messages are held back. */
+  /** Until when the messages that the controller sends are held back. */
   private long messagesHeldUntilMs;
 
   SimulatedController(SimulatedCluster cluster, String label) {
@@ -122,7 +122,7 @@
 
   // ---- messages
 
-  /** Sends a message after a delay, and not before messages are no longer held back. */
+  /** Sends a message after a delay, or later if messages are held back at that time. */
   void sendAfter(long delayMs, Runnable message) {
     if (delayMs == MessageObserver.NO_DELAY) {
       send(message);
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedTime.java
@@ -45,6 +45,7 @@
     nowMs = endMs;
   }
 
+  /** Returns a random number from {@code low} to {@code high}, both inclusive. */
   long between(long low, long high) {
     return low + random.nextLong(high - low + 1);
   }
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedWorker.java
@@ -15,7 +15,7 @@
   /** Interval at which a worker checks whether its lease has expired, in milliseconds. */
   private static final long LEASE_CHECK_INTERVAL_MS = 50;
 
-  /** A command that arrives more than this time after it was sent counts as late. */
+  /** A command that is executed or refused more than this time after it was sent counts as late. */
   private static final long LATE_COMMAND_MS = 1000;
 
   private static final double CPU_TOLERANCE = 1e-6;
@@ -150,7 +150,10 @@
         && tasks.usedCpus() + cpus <= SimulatedCloud.CPUS + CPU_TOLERANCE;
   }
 
-  /** Returns how many messages with direct commands arrived long after they were sent. */
+  /**
+   * Returns how many messages with direct commands the worker executed or refused long after they
+   * were sent.
+   */
   int lateCommands() {
     return lateCommands;
   }
--- a/src/test/java/org/fieldtrestle/simulation/StepObserver.java
+++ b/src/test/java/org/fieldtrestle/simulation/StepObserver.java
@@ -12,7 +12,7 @@
   /** How long a late message is held back; shorter than the timeout of a request to the store. */
   static final long LATE_MS = 1200;
 
-  /** Ends a run that grows without bound. Far more steps than any scenario has. */
+  /** A run with more steps is ended, so that none grows without bound. Scenarios have far fewer. */
   private static final int MAX_STEPS = 400_000;
 
   /**
@@ -72,7 +72,11 @@
     };
   }
 
-  /** Returns the path of a request to the store, and for a transaction the kind of its records. */
+  /**
+   * Returns the path of a request to the store, and for a transaction the kind of its records. A
+   * transaction that writes the end of a job has the kind {@code end}; one that has a condition on
+   * such a record or removes it, and does not write any, has the kind {@code final}.
+   */
   private static String detail(String path, byte[] body) {
     if (!path.equals("/commit")) {
       int end = path.indexOf('?');
--- a/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
+++ b/src/test/java/org/fieldtrestle/simulation/SteppedCluster.java
@@ -169,7 +169,7 @@
     cluster.users.query(id);
   }
 
-  // ---- faults; each is recorded, so that the checks allow for its duration
+  // ---- faults; those that last for a time are recorded, so that the checks allow for them
 
   /** Makes the key-value store unavailable for a time. */
   public void startStoreOutage(long durationMs) {
--- a/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
+++ b/src/test/java/org/fieldtrestle/simulation/UserAnswerLog.java
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Queries a job at one controller, whatever users were told elsewhere; for the last time after
-   * they were told of its end.
+   * Queries a job periodically at one controller, whatever other controllers answered. The last
+   * query is one that is answered and that was sent after users were told that the job has ended.
    */
   private void pollAt(SimulatedJob job, String label) {
     long sentAtMs = time.nowMs();
--- a/src/test/java/org/fieldtrestle/simulation/search/Fault.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Fault.java
@@ -42,8 +42,8 @@
   private static final long MOMENT_MS = 100;
 
   /**
-   * How long a lost message can affect a controller: about the time after which it gives up a lost
-   * watch. It receives no changes through the watch until then.
+   * How long a lost message can affect a controller. The controller gives up a watch whose answer
+   * was lost after about this time, and receives no changes through the watch until then.
    */
   private static final long LOST_MESSAGE_EFFECT_MS = 12_000;
 
--- a/src/test/java/org/fieldtrestle/simulation/search/Scenario.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Scenario.java
@@ -32,7 +32,10 @@
     }
   },
 
-  /** While other jobs run, jobs are submitted, submitted again, queried and soon cancelled. */
+  /**
+   * While other jobs run, further jobs are submitted, submitted again and queried, and some of them
+   * are cancelled soon.
+   */
   ACCEPT(44_900, 46_500) {
     @Override
     void plan(SteppedCluster cluster) {
--- a/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/ScenarioRun.java
@@ -78,8 +78,8 @@
 
   /**
    * Adds a violation if a start command was sent too long after a confirmed cancellation. Whatever
-   * failed, a controller that may still act this long after the confirmation has to know of it,
-   * unless it was frozen.
+   * failed, a controller that may still act this long after the confirmation has to know of the
+   * cancellation, unless a controller was frozen.
    */
   private void addLateStarts(List<String> violations) {
     long latestMs = cluster.latestStartCommandAfterCancellationMs();
