--- a/src/main/java/org/fieldtrestle/metrics/ControllerMetrics.java
+++ b/src/main/java/org/fieldtrestle/metrics/ControllerMetrics.java
@@ -92,7 +92,7 @@
     refusedSubmissions++;
   }
 
-  /** Called when a placement decision found a task that may not be started. */
+  /** Called when starting a task was refused. */
   public void countStartRefused(StartRefusal reason) {
     startsRefused.merge(reason, 1L, Long::sum);
   }
@@ -132,9 +132,7 @@
     return refusedSubmissions;
   }
 
-  /**
-   * Returns how often a placement decision found a task that may not be started for this reason.
-   */
+  /** Returns how often starting a task was refused for this reason. */
   public long startsRefused(StartRefusal reason) {
     return startsRefused.getOrDefault(reason, 0L);
   }
--- a/src/main/java/org/fieldtrestle/shard/HeartbeatReplies.java
+++ b/src/main/java/org/fieldtrestle/shard/HeartbeatReplies.java
@@ -29,7 +29,7 @@
     this.heartbeats = heartbeats;
   }
 
-  /** Refuses a heartbeat; the worker then sends it to another controller. */
+  /** Refuses a heartbeat; the worker then tries another controller. */
   static void refuse(Consumer<Http.Response> reply) {
     reply.accept(new Http.Response(SERVICE_UNAVAILABLE, Http.Response.EMPTY));
   }
--- a/src/main/java/org/fieldtrestle/shard/ShardLog.java
+++ b/src/main/java/org/fieldtrestle/shard/ShardLog.java
@@ -74,7 +74,7 @@
     return totals;
   }
 
-  /** Returns the CPUs of a worker's live attempts that have not been running yet. */
+  /** Returns the CPUs of a worker's live attempts that have not run yet. */
   private static double notRunningCpus(Worker worker) {
     double cpus = 0;
     for (TaskAttempt attempt : worker.attempts()) {
--- a/src/main/java/org/fieldtrestle/worker/FailureTracker.java
+++ b/src/main/java/org/fieldtrestle/worker/FailureTracker.java
@@ -20,7 +20,8 @@
   private static final int SUSPECT_AFTER_WORKERS = 3;
 
   /**
-   * Failures of jobs that are not suspect, without a success in between, that make a worker faulty.
+   * Number of failures of jobs that are not suspect, without a success in between, that make a
+   * worker faulty.
    */
   private static final int FAULTY_AFTER_FAILURES = 2;
 
@@ -36,7 +37,10 @@
   /** Heartbeat intervals for which a worker gets no new tasks after a failure. */
   private static final double QUARANTINE_INTERVALS = 4;
 
-  /** Heartbeat intervals before the first retry of a suspect job's task; doubles each time. */
+  /**
+   * Base of the delay before a task of a suspect job is tried again, in heartbeat intervals. The
+   * delay doubles with each failure of the task, at most {@link #MAX_BACKOFF_DOUBLINGS} times.
+   */
   private static final double RETRY_BACKOFF_INTERVALS = 0.5;
 
   private static final int MAX_BACKOFF_DOUBLINGS = 5;
@@ -132,8 +136,8 @@
       clearFailuresOf(jobId);
     }
     if (job.suspect) {
-      long firstBackoffMs = context.heartbeatIntervalsMs(RETRY_BACKOFF_INTERVALS);
-      retry.delayUntil(nowMs + (firstBackoffMs << Math.min(failures, MAX_BACKOFF_DOUBLINGS)));
+      long baseBackoffMs = context.heartbeatIntervalsMs(RETRY_BACKOFF_INTERVALS);
+      retry.delayUntil(nowMs + (baseBackoffMs << Math.min(failures, MAX_BACKOFF_DOUBLINGS)));
       return;
     }
     retry.delayUntil(nowMs);
--- a/src/main/java/org/fieldtrestle/worker/FencingState.java
+++ b/src/main/java/org/fieldtrestle/worker/FencingState.java
@@ -30,13 +30,13 @@
     return seenToken;
   }
 
-  void markSeen(long shownToken) {
-    seenToken = Math.max(seenToken, shownToken);
+  void markSeen(long reportedToken) {
+    seenToken = Math.max(seenToken, reportedToken);
   }
 
   /** Sets the token to a higher one that the worker has seen; commands carry it from now on. */
-  void adopt(long shownToken) {
-    token = shownToken;
+  void adopt(long reportedToken) {
+    token = reportedToken;
   }
 
   /**
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatOrder.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatOrder.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Whether a heartbeat is a copy of an earlier one or so late that the worker no longer waits for
-   * an answer.
+   * Whether a heartbeat is of an earlier incarnation, a copy of an earlier heartbeat, or so late
+   * that the worker no longer waits for an answer.
    *
    * @param sinceLastMs time since the worker's last message, in milliseconds
    */
--- a/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
+++ b/src/main/java/org/fieldtrestle/worker/HeartbeatProcessor.java
@@ -64,7 +64,7 @@
 
   /** Processes a heartbeat that was received from the worker. */
   public Result process(Worker worker, Heartbeat heartbeat) {
-    long now = context.nowMs();
+    long nowMs = context.nowMs();
     if (heartbeat.fencingToken() > worker.fencingToken()) {
       LOG.atWarn()
           .addKeyValue("worker", worker.id())
@@ -77,16 +77,16 @@
       worker.fencing().adopt(heartbeat.fencingToken());
     }
     WorkerConnection connection = worker.connection();
-    if (connection.order().isOutdated(heartbeat, now - connection.lastHeartbeatAtMs())) {
+    if (connection.order().isOutdated(heartbeat, nowMs - connection.lastHeartbeatAtMs())) {
       // After an answer of 200, this controller would count the lease as renewed and the worker
       // would not.
       return Result.REFUSED;
     }
     boolean changed = apply(worker, heartbeat);
-    checkResponsiveness(worker, heartbeat.sequence(), now);
+    checkResponsiveness(worker, heartbeat.sequence(), nowMs);
     connection.order().acceptHeartbeat(heartbeat.sequence());
     if (worker.markUpReported()) {
-      LOG.debug("machine {} is up after {} s", worker.id(), worker.ageMs(now) / 1000);
+      LOG.debug("machine {} is up after {} s", worker.id(), worker.ageMs(nowMs) / 1000);
       events.workerUp(worker.id());
     }
     return changed ? Result.CHANGED : Result.UNCHANGED;
@@ -114,7 +114,7 @@
    * @return whether anything that matters to placement has changed
    */
   boolean apply(Worker worker, Heartbeat heartbeat) {
-    long now = context.nowMs();
+    long nowMs = context.nowMs();
     HeartbeatOrder order = worker.connection().order();
     if (!order.isNewer(heartbeat)) {
       return false;
@@ -123,13 +123,13 @@
       return false; // was sent before the lease expired and arrived late
     }
     boolean changed = worker.isLeaseExpired();
-    worker.connection().acceptMessage(heartbeat, now);
+    worker.connection().acceptMessage(heartbeat, nowMs);
     if (heartbeat.spotNoticeS() >= 0) {
       applySpotNotice(worker, heartbeat.spotNoticeS());
     }
     if (!order.isOfIncarnation(heartbeat)) {
       changed = true;
-      beginIncarnation(worker, heartbeat.incarnation(), now);
+      beginIncarnation(worker, heartbeat.incarnation(), nowMs);
     }
     if (heartbeat.fencingToken() < term.firstToken()) {
       return false; // the worker may still accept commands of an earlier term
@@ -141,7 +141,7 @@
     }
     changed |= reconciler.reconcile(worker, heartbeat);
     if (!worker.isEmpty()) {
-      worker.markBusy(now);
+      worker.markBusy(nowMs);
     }
     if (changed) {
       events.requestPlacementPass();
@@ -197,8 +197,8 @@
   }
 
   private void applySpotNotice(Worker worker, double noticeS) {
-    long now = context.nowMs();
-    worker.recordSpotNotice(now + Math.round(noticeS * 1000));
+    long nowMs = context.nowMs();
+    worker.recordSpotNotice(nowMs + Math.round(noticeS * 1000));
     if (!worker.isDraining()) {
       worker.drain("spot notice");
       LOG.atInfo()
@@ -212,7 +212,7 @@
           && attempt.range() != null
           && attempt.range().spec() != null) {
         JobSpec spec = attempt.range().spec();
-        double remainingS = attempt.remainingS(now, spec.estimateS());
+        double remainingS = attempt.remainingS(nowMs, spec.estimateS());
         if (!attempt.hasRun() || remainingS > MAX_REMAINING_TIME_PER_NOTICE * noticeS) {
           boolean canSave = spec.hasCheckpoints() && spec.saveTimeS() < noticeS;
           commands.stop(
--- a/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
+++ b/src/main/java/org/fieldtrestle/worker/ImageDownloads.java
@@ -24,7 +24,10 @@
   /** Upper limit of a single observation, because a worker may hang. */
   private static final double MAX_OBSERVED_MULTIPLE = 4;
 
-  /** Average delay of the start command and of the heartbeat that reports the task, in seconds. */
+  /**
+   * Average delay of the start command and of the heartbeat that reports the task, both together,
+   * in seconds.
+   */
   private final double reportingDelayS;
 
   private double averageMultiple = 1;
--- a/src/main/java/org/fieldtrestle/worker/JobCompletion.java
+++ b/src/main/java/org/fieldtrestle/worker/JobCompletion.java
@@ -16,9 +16,9 @@
 import org.fieldtrestle.state.Versioned;
 
 /**
- * Replaces a job whose tasks are all durably done by its final record, in one transaction. The
- * transaction has a condition on every range that it depends on, so that it fails if one of them
- * has changed.
+ * Creates the transactions that replace a job whose tasks are all durably done with its final
+ * record. A transaction has a condition on every range that it depends on, so that it fails if one
+ * of them has changed.
  */
 public final class JobCompletion {
   /**
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Ends a job whose ranges have all become complete although no controller saw the last one
-   * complete.
+   * Returns the transaction that ends a job whose ranges have all become complete although no
+   * controller saw the last one become complete.
    *
    * @return empty if the job is not complete or has too many ranges for one transaction
    */
--- a/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
+++ b/src/main/java/org/fieldtrestle/worker/LeadershipTerm.java
@@ -98,7 +98,7 @@
     return epoch << EPOCH_SHIFT;
   }
 
-  /** Returns the lowest fencing token of the next term. */
+  /** Returns the lowest fencing token of the next epoch. */
   public long firstTokenOfNextEpoch() {
     return (epoch + 1) << EPOCH_SHIFT;
   }
--- a/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
+++ b/src/main/java/org/fieldtrestle/worker/RangeProgressWriter.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Returns the conditions that a range is unchanged. A range without a record of its own is
-   * defined by the record of its job.
+   * Returns conditions that are met only if a range is unchanged. A range without a record of its
+   * own is defined by the record of its job.
    */
   private List<KeyValueProtocol.Condition> unchangedConditions(TaskRange range) {
     List<KeyValueProtocol.Condition> conditions = new ArrayList<>();
@@ -105,17 +105,15 @@
     }
   }
 
-  /** Called when a task of the range has finished and its completion is to be written. */
+  /** Requests a write of the tasks of the range that have finished since its last write. */
   void requestWrite(TaskRange range) {
     if (range.isWriting()) {
       return;
     }
     if (!range.hasOnlyFinishedTasks()) {
-      // Until all tasks are done, the completed ones are safe on their workers. Progress is written
-
-      // from time to time only to keep heartbeats short and to limit the work that is repeated if a
-
-      // worker is lost.
+      // Until all tasks are done, the completed ones are safe on their workers. Their completion is
+      // written from time to time only to keep heartbeats short and to limit the work that is
+      // repeated if a worker is lost.
       range.writes().scheduleAt(context.nowMs() + context.settings().workerLeaseMs());
       return;
     }
@@ -153,7 +151,11 @@
         });
   }
 
-  /** Writes the progress of all ranges whose write is due, many of them in one transaction. */
+  /**
+   * Writes the progress of ranges whose write is due, in one transaction of limited size. The
+   * ranges that do not fit are written by the next calls. Nothing is written while the key-value
+   * store is congested.
+   */
   public void writeDue(Iterable<TaskRange> ranges, long nowMs) {
     if (context.store().isCongested()) {
       return;
--- a/src/main/java/org/fieldtrestle/worker/Reconciler.java
+++ b/src/main/java/org/fieldtrestle/worker/Reconciler.java
@@ -154,10 +154,10 @@
 
   private TaskAttempt discoverRunning(
       Worker worker, TaskStatus reported, TaskRange range, int offset) {
-    long now = context.nowMs();
-    double waitedS = (now - range.waitingSinceMs()) / 1000.0;
+    long nowMs = context.nowMs();
+    double waitedS = (nowMs - range.waitingSinceMs()) / 1000.0;
     TaskAttempt attempt =
-        new TaskAttempt(reported.task(), reported.attempt(), worker, range, now, waitedS);
+        new TaskAttempt(reported.task(), reported.attempt(), worker, range, nowMs, waitedS);
     attempt.markDiscovered();
     worker.put(attempt);
     range.place(offset, attempt);
@@ -202,10 +202,10 @@
     if (attempt.hasRun()) {
       return;
     }
-    long now = context.nowMs();
-    attempt.markRunning(now);
+    long nowMs = context.nowMs();
+    attempt.markRunning(nowMs);
     if (attempt.uncontendedFetchS() > 0) {
-      downloads.record((now - attempt.placedAtMs()) / 1000.0, attempt.uncontendedFetchS());
+      downloads.record((nowMs - attempt.placedAtMs()) / 1000.0, attempt.uncontendedFetchS());
     }
   }
 
--- a/src/main/java/org/fieldtrestle/worker/ShardEvents.java
+++ b/src/main/java/org/fieldtrestle/worker/ShardEvents.java
@@ -11,8 +11,8 @@
   void rangeAdded(TaskRange range);
 
   /**
-   * Called when a worker has reported for the first time. It may be given tasks once that is
-   * durable.
+   * Called when a worker has reported for the first time. The worker may be given tasks once its
+   * machine is durably recorded as up.
    */
   void workerUp(String worker);
 
--- a/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskAttempt.java
@@ -232,7 +232,7 @@
 
   /**
    * Returns since when the task had waited before it was placed, in milliseconds. If the task is
-   * lost, its waiting time counts from then.
+   * lost, its waiting time continues to count from that time.
    */
   long waitingSinceMs() {
     return placedAtMs - Math.round(waitedS * 1000);
--- a/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskOutcomes.java
@@ -65,19 +65,19 @@
 
   private void retry(TaskAttempt attempt) {
     TaskRange range = attempt.range();
-    long now = context.nowMs();
+    long nowMs = context.nowMs();
     Retry retry = range.requeue(attempt.offset(), attempt.waitingSinceMs());
     switch (attempt.exitCause()) {
       case ERROR -> {
         // The waiting time starts again. Otherwise a task that fails on every worker would, after a
         // long wait, be allowed to preempt others.
-        retry.restartWaiting(now);
-        failures.failed(attempt, retry, range.countFailure(attempt.offset()), now);
+        retry.restartWaiting(nowMs);
+        failures.failed(attempt, retry, range.countFailure(attempt.offset()), nowMs);
       }
       case NO_ROOM, OTHER_ATTEMPT_PRESENT, UNKNOWN -> {
-        long pauseUntil = now + context.heartbeatIntervalsMs(REFUSAL_PAUSE_INTERVALS);
-        retry.delayUntil(pauseUntil);
-        attempt.worker().quarantineUntil(pauseUntil);
+        long pauseUntilMs = nowMs + context.heartbeatIntervalsMs(REFUSAL_PAUSE_INTERVALS);
+        retry.delayUntil(pauseUntilMs);
+        attempt.worker().quarantineUntil(pauseUntilMs);
       }
       default -> {}
     }
--- a/src/main/java/org/fieldtrestle/worker/TaskRange.java
+++ b/src/main/java/org/fieldtrestle/worker/TaskRange.java
@@ -25,8 +25,8 @@
   private long version;
 
   /**
-   * {@code null} if the job's record was never read: the job had ended, or the record is
-   * unreadable.
+   * {@code null} if the job's record was never read, because the job had ended, the record is
+   * unreadable, or the state cache has not received the record yet.
    */
   private JobSpec spec;
 
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Records that there are resources for the range's tasks, but that they are reserved for others,
-   * and that no task was placed since this time.
+   * Records that since this time, resources for the range's tasks have been free but reserved for
+   * others, while none of the range's tasks has started or ended.
    */
   public void markWithheldSince(long nowMs) {
     withheldSinceMs = nowMs;
--- a/src/main/java/org/fieldtrestle/worker/Worker.java
+++ b/src/main/java/org/fieldtrestle/worker/Worker.java
@@ -250,7 +250,10 @@
     return claim == range && nowMs < claimUntilMs;
   }
 
-  /** Whether resources on the worker are reserved for another range that takes precedence. */
+  /**
+   * Whether resources on the worker are reserved for another range that has waiting tasks and at
+   * least the same priority.
+   */
   public boolean isClaimedAheadOf(TaskRange range, long nowMs) {
     return claim != null
         && claim != range
--- a/src/main/java/org/fieldtrestle/worker/WorkerConnection.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerConnection.java
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Records that the tasks on the worker are known, because it has reported this term's fencing
-   * token.
+   * Records that the tasks on the worker are known: the worker has reported this term's fencing
+   * token, or it cannot have received commands before this term.
    */
   void markReconciled() {
     reconciled = true;
--- a/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
+++ b/src/main/java/org/fieldtrestle/worker/WorkerRegistry.java
@@ -36,7 +36,10 @@
    */
   private long listeningSinceMs;
 
-  /** Until when there may be unknown workers because their record is damaged, in milliseconds. */
+  /**
+   * Until when there may be unknown workers because the record that lists them is unreadable, in
+   * milliseconds.
+   */
   private long unknownWorkersUntilMs;
 
   /** Creates a registry without workers; {@link InventoryFollower} adds them. */
@@ -139,7 +142,7 @@
     return range.isInherited() && anyUnreconciled();
   }
 
-  // ---- which workers may get what
+  // ---- eligibility for commands and tasks
 
   /**
    * Whether commands may be sent to the worker because it has reported this term's fencing token.
@@ -225,8 +228,8 @@
   }
 
   /**
-   * Returns the time without an answer of this controller after which no task is on a worker any
-   * more, in milliseconds.
+   * Returns how long after the last answer of this controller a worker is certain to have no tasks
+   * left, in milliseconds.
    */
   long leaseExpiryMs() {
     return Math.round(context.settings().workerLeaseMs() * (1 + Settings.CLOCK_DRIFT))
--- a/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
+++ b/src/test/java/org/fieldtrestle/shard/ShardLeaderFixture.java
@@ -45,8 +45,9 @@
 /**
  * A shard leader with one worker and one job, run on simulated time.
  *
- * <p>The shard leader gets no messages about changes of the state cache. As between a change and
- * the handling of the message about it, the leader can only look at the state cache itself.
+ * <p>The shard leader gets no messages about changes of the state cache. The leader is thus always
+ * between a change and the handling of the message about the change, and can only look at the state
+ * cache itself.
  */
 public final class ShardLeaderFixture {
   /** The id of the job, which has {@link #TASKS} tasks. */
@@ -76,7 +77,7 @@
   public ShardLeader shard;
   private long epoch;
   private long heartbeats;
-  private long shownToken;
+  private long reportedToken;
 
   /** Creates the shard leader, which is active, knows its worker, and has placed no task yet. */
   public ShardLeaderFixture() {
@@ -207,8 +208,8 @@
   }
 
   /**
-   * Sends the first heartbeat, whose answer carries the fencing token of the term. The worker shows
-   * this token from the next heartbeat on; no task is placed on it yet.
+   * Sends the first heartbeat, whose answer carries the fencing token of the term. The worker
+   * reports this token from the next heartbeat on; no task is placed on it yet.
    */
   public void reconcile() {
     heartbeat();
@@ -237,10 +238,10 @@
     List<Http.Response> answers = new ArrayList<>();
     Heartbeat heartbeat =
         new Heartbeat(
-            MACHINE, WORKER_ADDRESS, "big", "a", true, 1, ++heartbeats, shownToken, -1, tasks);
+            MACHINE, WORKER_ADDRESS, "big", "a", true, 1, ++heartbeats, reportedToken, -1, tasks);
     shard.tell(new ShardLeader.HeartbeatReceived(heartbeat, answers::add));
     network.runFor(STEP_MS);
-    shownToken = shard.term().firstToken();
+    reportedToken = shard.term().firstToken();
     return answers.get(0);
   }
 
--- a/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
+++ b/src/test/java/org/fieldtrestle/worker/CommandPolicyTest.java
@@ -15,7 +15,7 @@
 import org.fieldtrestle.state.StateKeys;
 import org.junit.jupiter.api.Test;
 
-/** Tests each reason why a task may not be started or must be stopped in isolation. */
+/** Tests, one by one, the reasons why a task may not be started or must be stopped. */
 class CommandPolicyTest {
   private final ShardLeaderFixture fixture = new ShardLeaderFixture();
   private final CommandPolicy policy = fixture.policy();
--- a/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
+++ b/src/test/java/org/fieldtrestle/worker/ImageDownloadsTest.java
@@ -11,8 +11,8 @@
 /** Verifies that the sharing of bandwidth is learned from the durations of image downloads. */
 class ImageDownloadsTest {
   /**
-   * Records images whose download takes {@code multiple} their time alone, varied by up to a third,
-   * plus the delay of up to a heartbeat interval with which workers report them.
+   * Records images whose download takes {@code multiple} times as long as alone, give or take a
+   * third, plus the delay of up to a heartbeat interval with which workers report them.
    */
   private static void recordImages(
       ImageDownloads downloads, SplittableRandom random, double uncontendedS, double multiple) {
