--- a/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/GangPlacer.java
@@ -42,7 +42,7 @@
       selected.put(offset, free);
     }
     // The tasks of a gang share one attempt number, by which they find each other.
-    long attempt = executor.nextAttempt();
-    selected.forEach((offset, free) -> executor.place(range, offset, free.worker(), attempt));
+    long attemptNumber = executor.nextAttemptNumber();
+    selected.forEach((offset, free) -> executor.place(range, offset, free.worker(), attemptNumber));
   }
 }
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -27,12 +27,12 @@
      * Places a task on a worker.
      *
      * @param offset the task's offset in the range
-     * @param attempt the attempt number, which is the same for all tasks of a gang
+     * @param attemptNumber the attempt number, which is the same for all tasks of a gang
      */
-    void place(TaskRange range, int offset, Worker worker, long attempt);
+    void place(TaskRange range, int offset, Worker worker, long attemptNumber);
 
     /** Returns an attempt number that no other attempt of the shard has. */
-    long nextAttempt();
+    long nextAttemptNumber();
 
     /** Stops a task, with a grace period in seconds in which it can save its work. */
     void stop(TaskAttempt task, double graceS);
@@ -203,7 +203,7 @@
   private void place(PlacementPass pass, WaitingTasks tasks, FreeResources free) {
     TaskRange range = tasks.range();
     int offset = tasks.firstOffset();
-    executor.place(range, offset, free.worker(), executor.nextAttempt());
+    executor.place(range, offset, free.worker(), executor.nextAttemptNumber());
     range.placed().get(offset).setExemptFromPreemption(tasks.overdue());
     pass.recordPlacement(free, range.spec());
   }
--- a/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
+++ b/src/main/java/org/fieldtrestle/shard/AttemptPlacer.java
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public long nextAttempt() {
+  public long nextAttemptNumber() {
     return term.nextAttemptNumber();
   }
 
