--- a/src/main/java/org/fieldtrestle/worker/ShardEvents.java
+++ b/src/main/java/org/fieldtrestle/worker/ShardEvents.java
@@ -1,7 +1,8 @@
 package org.fieldtrestle.worker;
 
 /**
- * Events and requests from the components of a shard to the actor that runs them, on its thread.
+ * Events and requests from the components of a shard to the actor that runs them. All methods are
+ * called on the actor's thread.
  */
 public interface ShardEvents {
   /** Requests a placement pass after a change that may allow waiting tasks to start. */
