--- a/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/CancellationSweepTest.java
@@ -47,7 +47,8 @@
   void cancelledTasksStayStoppedWhenTheStoreRefusesOneController() {
     sweep(
         (cluster, durationMs) ->
-            cluster.faults.refuse("trestle-" + cluster.time.between(0, 2), durationMs));
+            cluster.faults.refuseStoreRequests(
+                "trestle-" + cluster.time.between(0, 2), durationMs));
   }
 
   @Test
@@ -99,10 +100,10 @@
       int offsetMs,
       List<String> failedChecks) {
     List<String> violations = cluster.invariants.violations();
-    long lastStartMs = cluster.invariants.lastStartOrderedAfterCancellationMs();
+    long lastStartMs = cluster.invariants.latestStartCommandAfterCancellationMs();
     LOG.atInfo()
         .addKeyValue("offsetMs", offsetMs)
-        .addKeyValue("startsOrdered", cluster.invariants.startsOrderedAfterCancellation())
+        .addKeyValue("startsOrdered", cluster.invariants.startCommandsAfterCancellation())
         .addKeyValue("lastAfterMs", lastStartMs)
         .addKeyValue("violations", violations.stream().limit(5).toList())
         .log("sweep step is over");
--- a/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConcurrentFailures.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * What tests of concurrent failures have in common. Such a test shows that its failures coincided;
- * afterwards the invariants have held and all jobs end.
+ * Helper methods for tests of concurrent failures. Such a test shows that its failures coincide,
+ * and that the invariants hold and all jobs end nevertheless.
  */
 final class ConcurrentFailures {
   private static final int SEEDS = 3;
@@ -20,7 +20,7 @@
 
   private ConcurrentFailures() {}
 
-  /** Plays failures on clusters of each kind, and checks that all jobs end afterwards. */
+  /** Simulates failures on clusters of each kind, and checks that all jobs end afterwards. */
   static void forEachDeployment(int machines, Consumer<SimulatedCluster> failures) {
     for (Deployment deployment : Deployment.smallOfEachKind()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
@@ -32,19 +32,19 @@
     }
   }
 
-  private static void assertAllJobsEnd(SimulatedCluster cluster, String where) {
+  private static void assertAllJobsEnd(SimulatedCluster cluster, String message) {
     for (long endMs = cluster.time.now() + JOBS_END_WITHIN_MS;
-        cluster.time.now() < endMs && !isOver(cluster); ) {
+        cluster.time.now() < endMs && !areJobsAndFaultsOver(cluster); ) {
       cluster.runFor(5000);
     }
-    cluster.invariants.checkEndOfDay();
-    assertEquals(List.of(), cluster.invariants.violations(), where);
+    cluster.invariants.checkFinalProgress();
+    assertEquals(List.of(), cluster.invariants.violations(), message);
     cluster.jobs.values().stream()
         .filter(job -> !job.isUnsatisfiable())
-        .forEach(job -> assertTrue(hasEnded(cluster, job), job.id() + " ends; " + where));
+        .forEach(job -> assertTrue(hasEnded(cluster, job), job.id() + " ends; " + message));
   }
 
-  private static boolean isOver(SimulatedCluster cluster) {
+  private static boolean areJobsAndFaultsOver(SimulatedCluster cluster) {
     return cluster.time.now() > cluster.faults.endMs() + cluster.cancelMs
         && cluster.jobs.values().stream()
             .allMatch(job -> job.isUnsatisfiable() || hasEnded(cluster, job));
@@ -60,51 +60,53 @@
 
   /** Submits jobs with consecutive identifiers. */
   static List<SimulatedJob> submit(
-      SimulatedCluster cluster, int jobs, int tasks, long runMs, Consumer<SimulatedJob> shape) {
-    List<SimulatedJob> all = new ArrayList<>();
+      SimulatedCluster cluster, int jobs, int tasks, long runMs, Consumer<SimulatedJob> configure) {
+    List<SimulatedJob> submitted = new ArrayList<>();
     for (int i = 0; i < jobs; i++) {
-      all.add(
+      submitted.add(
           cluster.users.submit(
               "job-" + (cluster.jobs.size() + 1),
-              job -> shape.accept(job.tasks(tasks).runMs(runMs))));
+              job -> configure.accept(job.tasks(tasks).runMs(runMs))));
     }
-    return all;
+    return submitted;
   }
 
-  /** Another controller than the given one. */
-  static String other(SimulatedCluster cluster, String label) {
+  /** Returns the label of another controller than the given one. */
+  static String otherController(SimulatedCluster cluster, String label) {
     List<String> labels = cluster.labels();
     return labels.get((labels.indexOf(label) + 1) % labels.size());
   }
 
-  /** The last heartbeat of each machine, by its name. */
-  static Map<String, byte[]> heartbeats(SimulatedCluster cluster) {
+  /** Returns the last heartbeat of each machine by its id. */
+  static Map<String, byte[]> lastHeartbeats(SimulatedCluster cluster) {
     Map<String, byte[]> heartbeats = new HashMap<>();
     cluster.machines().forEach(machine -> heartbeats.put(machine.id, machine.lastHeartbeat()));
     return heartbeats;
   }
 
   static void assertLeadersChanged(SimulatedCluster cluster, List<Long> epochsBefore) {
-    assertNotEquals(epochsBefore, cluster.store.shardEpochs(), "a shard has changed hands");
+    assertNotEquals(epochsBefore, cluster.store.shardEpochs(), "a shard has a new leader");
   }
 
-  /** How many tasks of these jobs are on machines. */
+  /** Returns how many tasks of these jobs are running. */
   static int runningTasks(SimulatedCluster cluster, List<SimulatedJob> jobs) {
     return jobs.stream().mapToInt(job -> cluster.invariants.runningTasksOf(job.id())).sum();
   }
 
-  /** Half of the time other controllers' notices of a cancellation do not reach the leader. */
-  static void maybeLosePeers(SimulatedCluster cluster, String leader) {
+  /** In half of the runs, keeps notices of cancellations by other controllers from the leader. */
+  static void maybeDisconnectPeers(SimulatedCluster cluster, String leader) {
     if (cluster.time.chance(0.5)) {
       cluster.faults.disconnect(leader, cluster.cancelMs + 30_000, Link.PEERS);
     }
   }
 
-  /** Cancels jobs at another controller than their leader and waits for its confirmation. */
-  static void cancelElsewhere(
-      SimulatedCluster cluster, String leader, List<SimulatedJob> jobs, long ms) {
-    jobs.forEach(job -> cluster.users.cancelAt(other(cluster, leader), job));
-    cluster.runFor(ms);
+  /**
+   * Cancels jobs at another controller than their leader, and expects confirmation within a time.
+   */
+  static void cancelAtOtherController(
+      SimulatedCluster cluster, String leader, List<SimulatedJob> jobs, long timeoutMs) {
+    jobs.forEach(job -> cluster.users.cancelAt(otherController(cluster, leader), job));
+    cluster.runFor(timeoutMs);
     for (SimulatedJob job : jobs) {
       assertEquals(
           "cancelled", cluster.invariants.lastStageOf(job.id()), "confirmed by another controller");
