--- a/src/main/java/org/fieldtrestle/Main.java
+++ b/src/main/java/org/fieldtrestle/Main.java
@@ -29,12 +29,13 @@
   @CommandLine.Option(
       names = "--operator",
       paramLabel = "FILE",
-      description = "the operators' own settings (HCL); without it the defaults hold")
+      description = "the operators' settings (HCL); without this file the defaults apply")
   private Path operator;
 
   @CommandLine.Option(
       names = "--check",
-      description = "only check the settings, and say what is wrong with them")
+      description =
+          "check the settings and report what is wrong with them, without running a controller")
   private boolean check;
 
   /** Provides the version from the manifest of the jar. */
--- a/src/main/java/org/fieldtrestle/config/OperatorSettings.java
+++ b/src/main/java/org/fieldtrestle/config/OperatorSettings.java
@@ -5,8 +5,8 @@
  * seconds, shares are from 0 to 1.
  *
  * @param remainingWeight weight of the reciprocal of a task's remaining time in its score (omega 1
- *     of the paper)
- * @param waitingWeight weight of a task's waiting time in its score (omega 2 of the paper)
+ *     of the Falcon paper)
+ * @param waitingWeight weight of a task's waiting time in its score (omega 2 of the Falcon paper)
  * @param remainingTimeFloorS lower bound of the remaining time in a score
  * @param delta share of the waiting tasks that a task must outscore before it may preempt
  * @param preemptionMargin by how much the score of a preempting task must exceed the score of its
--- a/src/main/java/org/fieldtrestle/config/OperatorSettingsParser.java
+++ b/src/main/java/org/fieldtrestle/config/OperatorSettingsParser.java
@@ -64,7 +64,8 @@
             eviction.number("wait_s", defaults.preemptionWaitS(), 0, MAX_WAIT_S),
             eviction.number("victim_share", defaults.maxVictimRunShare(), 0, 1),
             number(root.get("reserve"), "reserve", defaults.reservedJobs(), 0, MAX_RESERVED_JOBS));
-    // The paper's weights sum to 1. The only effect of another sum would be to scale the margin.
+    // The weights of the Falcon paper sum to 1. Any other sum would only
+    // scale the margin.
     if (Math.abs(read.remainingWeight() + read.waitingWeight() - 1) > WEIGHT_ROUNDING) {
       throw new InvalidSettingException(
           "falcon.waiting_weight", "remaining_weight and waiting_weight must sum to 1");
--- a/src/main/java/org/fieldtrestle/config/SettingsParser.java
+++ b/src/main/java/org/fieldtrestle/config/SettingsParser.java
@@ -62,10 +62,10 @@
             cluster.nonNegative("skew_ms"),
             teams,
             objectives,
-            workers(workers),
-            state(state),
+            workerTiming(workers),
+            storeLimits(state),
             new Settings.CloudLimits(cloud.positive("rps"), cloud.positive("list_lag_s")),
-            limits(limits));
+            processLimits(limits));
     SettingsChecks.requireUsable(settings);
     return settings;
   }
@@ -126,12 +126,13 @@
     return List.copyOf(objectives);
   }
 
-  private static Settings.WorkerTiming workers(SettingsTable table) throws InvalidSettingException {
+  private static Settings.WorkerTiming workerTiming(SettingsTable table)
+      throws InvalidSettingException {
     return new Settings.WorkerTiming(
         table.positive("report_s"), table.positive("lease_s"), table.positive("cancel_s"));
   }
 
-  private static Settings.KeyValueStoreLimits state(SettingsTable table)
+  private static Settings.KeyValueStoreLimits storeLimits(SettingsTable table)
       throws InvalidSettingException {
     return new Settings.KeyValueStoreLimits(
         table.positive("rps"),
@@ -140,7 +141,8 @@
         (int) table.positive("txn_ops"));
   }
 
-  private static Settings.ProcessLimits limits(SettingsTable table) throws InvalidSettingException {
+  private static Settings.ProcessLimits processLimits(SettingsTable table)
+      throws InvalidSettingException {
     return new Settings.ProcessLimits(
         table.positive("cpu"), table.positive("mem_mb"), (int) table.positive("fd_limit"));
   }
--- a/src/main/java/org/fieldtrestle/controller/Controller.java
+++ b/src/main/java/org/fieldtrestle/controller/Controller.java
@@ -62,7 +62,7 @@
    * Creates a controller; {@link #start} starts it.
    *
    * @param caller makes the HTTP calls to the key-value store, the cloud and workers
-   * @param peers sends frames to other controllers
+   * @param peerSender sends frames to other controllers
    */
   public Controller(
       Settings settings,
@@ -70,7 +70,7 @@
       Reactor reactor,
       RandomGenerator random,
       Http.Caller caller,
-      PeerSender peers,
+      PeerSender peerSender,
       EventLoopMeter meter) {
     this.reactor = reactor;
     this.meter = meter;
@@ -80,7 +80,7 @@
     LeadershipTransfer leadershipTransfer = new LeadershipTransfer(reactor, settings);
     long peerExpiryMs = context.heartbeatIntervalsMs(PEER_STATUS_EXPIRY_INTERVALS);
     PeerLiveness liveness = new PeerLiveness(reactor, peerExpiryMs);
-    this.broadcaster = new PeerBroadcaster(context, peers, leadershipTransfer, shards);
+    this.broadcaster = new PeerBroadcaster(context, peerSender, leadershipTransfer, shards);
     this.peerReceiver =
         new PeerMessageReceiver(context, liveness, leadershipTransfer, shards, peerExpiryMs);
     this.leadershipMonitor = new LeadershipMonitor(context, leadershipTransfer, liveness, shards);
@@ -105,7 +105,7 @@
     Http.Caller caller = new MeteredCaller(unmeteredCaller, settings, meter);
     KeyValueClient store = new KeyValueClient(reactor, caller, settings);
     StateCache stateCache = new StateCache(reactor, store, settings);
-    String boot = Long.toHexString(random.nextLong());
+    String bootId = Long.toHexString(random.nextLong());
     CloudClient cloud = new CloudClient(reactor, caller, settings);
     return new ControllerContext(
         settings,
@@ -116,7 +116,7 @@
         store,
         stateCache,
         cloud,
-        new Membership(reactor, store, stateCache, settings, boot),
+        new Membership(reactor, store, stateCache, settings, bootId),
         new ShardLoads(
             reactor, settings.label(), settings.heartbeatIntervalsMs(PEER_STATUS_EXPIRY_INTERVALS)),
         new CancellationNotices(),
@@ -198,7 +198,7 @@
   /**
    * Called on the reactor's thread with each frame that another controller sent.
    *
-   * @param frame the frame without its length prefix
+   * @param frame the frame without its length field
    */
   public void peerFrameReceived(ByteBuffer frame) {
     meter.run(Activity.PEER_FRAME, () -> peerReceiver.receive(frame));
--- a/src/main/java/org/fieldtrestle/controller/JobFinisher.java
+++ b/src/main/java/org/fieldtrestle/controller/JobFinisher.java
@@ -32,7 +32,8 @@
   }
 
   /**
-   * Finishes at most one of these jobs whose first range belongs to a shard led by this controller.
+   * Finishes at most one such job, whose first range has to belong to a shard that this controller
+   * leads.
    */
   void check() {
     if (!context.mayAct() || context.store().isCongested()) {
--- a/src/main/java/org/fieldtrestle/controller/MeteredCaller.java
+++ b/src/main/java/org/fieldtrestle/controller/MeteredCaller.java
@@ -26,7 +26,7 @@
       String path,
       byte[] body,
       long timeoutMs,
-      Consumer<Http.Outcome> done) {
+      Consumer<Http.Outcome> callback) {
     Activity activity = activityOf(address, path);
     caller.call(
         address,
@@ -34,7 +34,7 @@
         path,
         body,
         timeoutMs,
-        outcome -> meter.run(activity, () -> done.accept(outcome)));
+        outcome -> meter.run(activity, () -> callback.accept(outcome)));
   }
 
   private Activity activityOf(String address, String path) {
--- a/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
+++ b/src/main/java/org/fieldtrestle/controller/PeerMessageReceiver.java
@@ -37,7 +37,7 @@
     this.maxAgeMs = statusExpiryMs + 2 * context.settings().maxClockErrorMs();
   }
 
-  /** Decodes and handles a frame, given without its length prefix. */
+  /** Decodes and handles a frame, given without its length field. */
   void receive(ByteBuffer frame) {
     try {
       receive(PeerProtocol.decode(frame));
--- a/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
+++ b/src/main/java/org/fieldtrestle/leadership/ControllerLease.java
@@ -127,10 +127,10 @@
     List<KeyValueProtocol.Change> changes = new ArrayList<>();
     conditions.add(new KeyValueProtocol.Condition(member, stateCache.version(member)));
     changes.add(StateChanges.put(member, new MemberRecord(bootId), newLeaseId));
-    // Another controller may have acquired one of these shards since the lease expired. It waits
-    // until the workers' leases have run out, counted from its acquisition, and this controller
-    // would renew these leases if it acted again under the old epoch. Therefore the registration
-    // succeeds only if all epochs are still current.
+    // Another controller may have acquired one of this controller's shards since the lease
+    // expired. The new leader waits until the workers' leases have run out, counted from its
+    // acquisition. This controller would renew the workers' leases if it acted again under the old
+    // epoch. Therefore the registration succeeds only if all epochs are still current.
     ledShards.addEpochConditions(conditions);
     boolean acquireHomeShard = !ledShards.contains(ownLabel);
     boolean formerLeaderMayAct = acquireHomeShard && leadershipChanges.formerLeaderMayAct(ownLabel);
@@ -168,7 +168,10 @@
     reactor.schedule(leaseMs / RETRY_DIVISOR, this::register);
   }
 
-  /** Retries as soon as the state cache has applied the revision at which a condition failed. */
+  /**
+   * Retries as soon as the state cache has applied the revision at which a condition failed, or
+   * later if that takes too long or the revision is unknown.
+   */
   private void retryOnceApplied(long revision) {
     if (revision < 0) {
       retryLater();
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipChanges.java
@@ -25,7 +25,10 @@
 final class LeadershipChanges {
   private static final Logger LOG = LoggerFactory.getLogger(LeadershipChanges.class);
 
-  /** How many lease durations this controller leaves its home shard to the new leader. */
+  /**
+   * For how many lease durations this controller leaves its home shard to another leader before it
+   * takes the shard back.
+   */
   private static final int TRANSFER_HOLD_LEASES = 2;
 
   private final Reactor reactor;
--- a/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
+++ b/src/main/java/org/fieldtrestle/leadership/LeadershipTransfer.java
@@ -105,9 +105,9 @@
   }
 
   private Collection<Redirects> recentRedirects(String to) {
-    Collection<Redirects> machines = redirects.getOrDefault(to, new HashMap<>()).values();
-    machines.removeIf(machineRedirects -> !isRecent(machineRedirects));
-    return machines;
+    Collection<Redirects> recent = redirects.getOrDefault(to, new HashMap<>()).values();
+    recent.removeIf(machineRedirects -> !isRecent(machineRedirects));
+    return recent;
   }
 
   /** Returns the report to a controller about how many machines were recently redirected to it. */
@@ -147,8 +147,8 @@
 
   /**
    * Returns the controller that should lead this controller's shards instead, namely the one that
-   * most of its workers reach according to the reports; empty if this controller should keep its
-   * shards.
+   * reports the largest number of machines that it has redirected to this controller; empty if this
+   * controller should keep its shards.
    */
   public Optional<String> preferredLeader(WorkerReachability workers) {
     if (workers.up() < MIN_WORKERS_FOR_TRANSFER || workers.silent() < workers.up() * SILENT_SHARE) {
--- a/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
+++ b/src/main/java/org/fieldtrestle/leadership/ShardFailover.java
@@ -79,8 +79,8 @@
     }
     String leader = current.record().leader();
     if (leader.equals(ownLabel)) {
-      // An unanswered request of this controller or a transfer has named it the leader. No other
-      // controller would acquire the shard.
+      // This controller became the recorded leader by its own request, whose answer it did not
+      // receive, or by a transfer. No other controller would acquire the shard.
       leadershipChanges.acquire(shard, leader, current.version());
       return;
     }
--- a/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/KeyValueProtocol.java
@@ -50,7 +50,7 @@
   /** A page of keys at a revision; {@code hasMore} tells whether further pages follow. */
   public record Listing(List<Entry> entries, boolean hasMore, long revision) {}
 
-  /** The changes up to a revision, in the order in which they happened. */
+  /** All changes up to a revision, in the order in which they happened. */
   public record Events(List<Entry> events, long revision) {}
 
   /** Writes a transaction. A transaction without changes only checks its conditions. */
--- a/src/main/java/org/fieldtrestle/protocol/MachineType.java
+++ b/src/main/java/org/fieldtrestle/protocol/MachineType.java
@@ -37,17 +37,17 @@
 
   /** Returns how many tasks of a job fit on an empty machine, at least 1. */
   public int tasksPerMachine(JobSpec spec) {
-    double most = MAX_TASKS_PER_MACHINE;
+    double maxTasks = MAX_TASKS_PER_MACHINE;
     if (spec.cpus() > 0) {
-      most = Math.min(most, cpus / spec.cpus());
+      maxTasks = Math.min(maxTasks, cpus / spec.cpus());
     }
     if (spec.gpus() > 0) {
-      most = Math.min(most, gpus / spec.gpus());
+      maxTasks = Math.min(maxTasks, gpus / spec.gpus());
     }
     if (spec.memoryGb() > 0) {
-      most = Math.min(most, memoryGb / spec.memoryGb());
+      maxTasks = Math.min(maxTasks, memoryGb / spec.memoryGb());
     }
-    return Math.max(1, (int) Math.floor(most + ROUNDING));
+    return Math.max(1, (int) Math.floor(maxTasks + ROUNDING));
   }
 
   /**
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -88,9 +88,9 @@
    * Sends a transaction that changes keys, once the rate limits allow it. If too many writes are
    * waiting already, the transaction is refused with status 429.
    */
-  public void commit(Transaction transaction, Consumer<CommitResult> done) {
-    if (!queue.enqueueWrite(transaction.changes().size(), () -> send(transaction, done))) {
-      reactor.execute(() -> done.accept(new CommitResult.Refused(STATUS_TOO_MANY_REQUESTS)));
+  public void commit(Transaction transaction, Consumer<CommitResult> callback) {
+    if (!queue.enqueueWrite(transaction.changes().size(), () -> send(transaction, callback))) {
+      reactor.execute(() -> callback.accept(new CommitResult.Refused(STATUS_TOO_MANY_REQUESTS)));
     }
   }
 
@@ -98,26 +98,27 @@
    * Like {@link #commit}, but ahead of all waiting writes and never refused for their number. Only
    * for changes of membership and leadership.
    */
-  public void commitWithPriority(Transaction transaction, Consumer<CommitResult> done) {
-    queue.enqueueWriteFirst(transaction.changes().size(), () -> send(transaction, done));
+  public void commitWithPriority(Transaction transaction, Consumer<CommitResult> callback) {
+    queue.enqueueWriteFirst(transaction.changes().size(), () -> send(transaction, callback));
   }
 
   /**
    * Compares versions of keys without changing any key. The request is sent at once, because
    * answers to users depend on it; the caller must limit how often this happens.
    */
-  public void compare(List<KeyValueProtocol.Condition> conditions, Consumer<CommitResult> done) {
+  public void compare(
+      List<KeyValueProtocol.Condition> conditions, Consumer<CommitResult> callback) {
     queue.requestSentDirectly();
-    send(new Transaction(conditions, List.of()), done);
+    send(new Transaction(conditions, List.of()), callback);
   }
 
-  private void send(Transaction transaction, Consumer<CommitResult> done) {
+  private void send(Transaction transaction, Consumer<CommitResult> callback) {
     call(
         "POST",
         KeyValueProtocol.COMMIT_PATH,
         KeyValueProtocol.writeTransaction(transaction.conditions(), transaction.changes()),
         timeoutMs,
-        outcome -> done.accept(commitResult(outcome)));
+        outcome -> callback.accept(commitResult(outcome)));
   }
 
   private static CommitResult commitResult(Http.Outcome outcome) {
@@ -159,9 +160,9 @@
    * @param prefix the common prefix of the listed keys
    * @param after the listing begins after this key; empty to begin with the first key
    */
-  public void listUnthrottled(String prefix, String after, Consumer<ListResult> done) {
+  public void listUnthrottled(String prefix, String after, Consumer<ListResult> callback) {
     queue.requestSentDirectly();
-    list(prefix, after, MAX_PAGE_ENTRIES, done);
+    list(prefix, after, MAX_PAGE_ENTRIES, callback);
   }
 
   /**
@@ -171,13 +172,13 @@
    * @param after the listing begins after this key; empty to begin with the first key
    * @param limit the maximum number of listed entries
    */
-  public void list(String prefix, String after, int limit, Consumer<ListResult> done) {
+  public void list(String prefix, String after, int limit, Consumer<ListResult> callback) {
     call(
         "GET",
         KeyValueProtocol.listPath(prefix, after, limit),
         Http.Response.EMPTY,
         timeoutMs * LIST_TIMEOUT_FACTOR,
-        outcome -> done.accept(listResult(outcome)));
+        outcome -> callback.accept(listResult(outcome)));
   }
 
   private static ListResult listResult(Http.Outcome outcome) {
@@ -201,14 +202,14 @@
    * @param after only changes after this revision are returned
    * @param waitMs how long the store waits for the first change, in milliseconds
    */
-  public void watch(String prefix, long after, long waitMs, Consumer<WatchResult> done) {
+  public void watch(String prefix, long after, long waitMs, Consumer<WatchResult> callback) {
     queue.requestSentDirectly();
     call(
         "GET",
         KeyValueProtocol.watchPath(prefix, after, waitMs),
         Http.Response.EMPTY,
         waitMs * 2 + timeoutMs,
-        outcome -> done.accept(watchResult(outcome)));
+        outcome -> callback.accept(watchResult(outcome)));
   }
 
   private static WatchResult watchResult(Http.Outcome outcome) {
@@ -227,14 +228,14 @@
   }
 
   /** Requests a new lease with the given time to live in milliseconds. */
-  public void requestLease(long ttlMs, Consumer<LeaseGrant> done) {
+  public void requestLease(long ttlMs, Consumer<LeaseGrant> callback) {
     queue.requestSentDirectly();
     call(
         "POST",
         KeyValueProtocol.LEASES_PATH,
         KeyValueProtocol.writeLeaseRequest(ttlMs),
         timeoutMs,
-        outcome -> done.accept(leaseGrant(outcome)));
+        outcome -> callback.accept(leaseGrant(outcome)));
   }
 
   private static LeaseGrant leaseGrant(Http.Outcome outcome) {
@@ -245,22 +246,22 @@
       return new LeaseGrant.Refused(answer.status());
     }
     try {
-      long lease = KeyValueProtocol.readLeaseId(answer.body());
-      return lease == NO_LEASE ? new LeaseGrant.Failed() : new LeaseGrant.Granted(lease);
+      long leaseId = KeyValueProtocol.readLeaseId(answer.body());
+      return leaseId == NO_LEASE ? new LeaseGrant.Failed() : new LeaseGrant.Granted(leaseId);
     } catch (MalformedJsonException e) {
       return new LeaseGrant.Failed();
     }
   }
 
   /** Renews a lease, so that its full time to live starts again. */
-  public void renewLease(long lease, Consumer<LeaseRenewal> done) {
+  public void renewLease(long leaseId, Consumer<LeaseRenewal> callback) {
     queue.requestSentDirectly();
     call(
         "POST",
-        KeyValueProtocol.renewPath(lease),
+        KeyValueProtocol.renewPath(leaseId),
         Http.Response.EMPTY,
         timeoutMs,
-        outcome -> done.accept(leaseRenewal(outcome)));
+        outcome -> callback.accept(leaseRenewal(outcome)));
   }
 
   private static LeaseRenewal leaseRenewal(Http.Outcome outcome) {
@@ -273,7 +274,11 @@
   }
 
   private void call(
-      String method, String path, byte[] body, long requestTimeoutMs, Consumer<Http.Outcome> done) {
+      String method,
+      String path,
+      byte[] body,
+      long requestTimeoutMs,
+      Consumer<Http.Outcome> callback) {
     long sentAtMs = reactor.nowMs();
     caller.call(
         address,
@@ -287,7 +292,7 @@
             latency.recordValue(
                 Math.min(MAX_RECORDED_LATENCY_MS, Math.max(0, reactor.nowMs() - sentAtMs)));
           }
-          done.accept(outcome);
+          callback.accept(outcome);
         });
   }
 
--- a/src/main/java/org/fieldtrestle/state/RequestQueue.java
+++ b/src/main/java/org/fieldtrestle/state/RequestQueue.java
@@ -128,18 +128,18 @@
     if (waitingReads.isEmpty()) {
       return QUEUE_EMPTY;
     }
-    long now = reactor.nowMs();
-    return Math.max(requestTokens.waitMs(now, 1), readTokens.waitMs(now, 1));
+    long nowMs = reactor.nowMs();
+    return Math.max(requestTokens.waitMs(nowMs, 1), readTokens.waitMs(nowMs, 1));
   }
 
   private long writeWaitMs() {
     if (waitingWrites.isEmpty()) {
       return QUEUE_EMPTY;
     }
-    long now = reactor.nowMs();
+    long nowMs = reactor.nowMs();
     return Math.max(
-        requestTokens.waitMs(now, 1),
-        changeTokens.waitMs(now, waitingWrites.peekFirst().changes()));
+        requestTokens.waitMs(nowMs, 1),
+        changeTokens.waitMs(nowMs, waitingWrites.peekFirst().changes()));
   }
 
   private void sendRead() {
--- a/src/main/java/org/fieldtrestle/state/StateCache.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -31,14 +31,17 @@
   private static final long ABSENT = 0;
 
   /** A pending call of {@link #awaitRevision}. */
-  private record Waiter(long revision, long deadlineMs, Consumer<Boolean> done) {}
+  private record Waiter(long revision, long deadlineMs, Consumer<Boolean> callback) {}
 
   private final Reactor reactor;
   private final StoreFollower follower;
   private final CachedRecords records = new CachedRecords(this::notifyListeners);
   private final Map<String, Long> versions = new HashMap<>();
 
-  /** Deletions newer than the applied revision; they keep older values from being put back. */
+  /**
+   * The revisions of deletions that are newer than the applied revision, by key; they keep older
+   * values from being put back.
+   */
   private final Map<String, Long> deletionRevisions = new HashMap<>();
 
   private final Set<String> unreadableKeys = new HashSet<>();
@@ -59,7 +62,9 @@
     keyListeners.add(listener);
   }
 
-  /** Adds a listener that is called when the applied revision or its time has advanced. */
+  /**
+   * Adds a listener that is called when the applied revision or {@link #freshAsOfMs} has advanced.
+   */
   public void addProgressListener(Runnable listener) {
     progressListeners.add(listener);
   }
@@ -79,7 +84,10 @@
     return appliedRevision;
   }
 
-  /** Returns the time on the reactor's clock, in ms, before which every commit is in the cache. */
+  /**
+   * Returns the time before which every commit is in the cache, in milliseconds of the reactor's
+   * clock; {@link Long#MIN_VALUE} before the first load.
+   */
   public long freshAsOfMs() {
     return freshAsOfMs;
   }
@@ -175,18 +183,18 @@
   }
 
   /**
-   * Calls {@code done} once a revision has been applied. If it has been applied already, the call
-   * happens before this method returns.
+   * Calls {@code callback} once a revision has been applied. If it has been applied already, the
+   * call happens before this method returns.
    *
    * @param timeoutMs the maximum time to wait, in milliseconds
-   * @param done called with whether the revision was applied before the timeout
+   * @param callback called with whether the revision was applied before the timeout
    */
-  public void awaitRevision(long revision, long timeoutMs, Consumer<Boolean> done) {
+  public void awaitRevision(long revision, long timeoutMs, Consumer<Boolean> callback) {
     if (appliedRevision >= revision) {
-      done.accept(true);
+      callback.accept(true);
       return;
     }
-    waiters.add(new Waiter(revision, reactor.nowMs() + timeoutMs, done));
+    waiters.add(new Waiter(revision, reactor.nowMs() + timeoutMs, callback));
     reactor.schedule(timeoutMs, this::expireWaiters);
   }
 
@@ -203,7 +211,7 @@
         completed.add(waiter);
       }
     }
-    completed.forEach(waiter -> waiter.done().accept(applied));
+    completed.forEach(waiter -> waiter.callback().accept(applied));
   }
 
   /**
--- a/src/main/java/org/fieldtrestle/state/StateChanges.java
+++ b/src/main/java/org/fieldtrestle/state/StateChanges.java
@@ -35,8 +35,8 @@
   }
 
   /** Returns the change that writes a running controller; the key is deleted with the lease. */
-  public static Put put(String key, MemberRecord record, long lease) {
-    return new Put(key, RecordCodec.encode(record), lease);
+  public static Put put(String key, MemberRecord record, long leaseId) {
+    return new Put(key, RecordCodec.encode(record), leaseId);
   }
 
   /** Returns the change that writes one part of a machine inventory: its machines by name. */
--- a/src/main/java/org/fieldtrestle/state/StateKey.java
+++ b/src/main/java/org/fieldtrestle/state/StateKey.java
@@ -34,7 +34,7 @@
   /** One part of a shard's machine inventory. */
   record InventoryKey(String shard, int part) implements StateKey {}
 
-  /** A machine of some inventory. No key of the store, but listeners of changes are given it. */
+  /** A machine of some inventory. Not a key of the store; it is passed to listeners of changes. */
   record MachineKey(String machine) implements StateKey {}
 
   /** The record of an adopted machine, see {@link StateKeys#orphan}. */
--- a/src/main/java/org/fieldtrestle/transport/EventLoopMeter.java
+++ b/src/main/java/org/fieldtrestle/transport/EventLoopMeter.java
@@ -50,7 +50,8 @@
   private final Map<Activity, Total> totals = new EnumMap<>(Activity.class);
 
   /**
-   * The activity that the time since {@code currentSinceNanos} counts for, or null if none runs.
+   * The activity that the time since {@code currentSinceNanos} counts for, or {@code null} if none
+   * runs.
    */
   private Activity currentActivity;
 
@@ -59,7 +60,7 @@
   /**
    * Creates a meter with all counts and times at zero.
    *
-   * @param nanoTime a steady clock in nanoseconds
+   * @param nanoTime a monotonic clock in nanoseconds
    */
   public EventLoopMeter(LongSupplier nanoTime) {
     this.nanoTime = nanoTime;
@@ -81,7 +82,8 @@
   /**
    * Begins an activity, which interrupts the current one.
    *
-   * @return the interrupted activity, to be passed to {@link #end}; null if none was running
+   * @return the interrupted activity, to be passed to {@link #end}; {@code null} if none was
+   *     running
    */
   public Activity begin(Activity activity) {
     Activity outer = currentActivity;
@@ -100,12 +102,12 @@
   }
 
   private void switchTo(Activity next) {
-    long now = nanoTime.getAsLong();
+    long nowNanos = nanoTime.getAsLong();
     if (currentActivity != null) {
-      totals.get(currentActivity).nanos += now - currentSinceNanos;
+      totals.get(currentActivity).nanos += nowNanos - currentSinceNanos;
     }
     currentActivity = next;
-    currentSinceNanos = now;
+    currentSinceNanos = nowNanos;
   }
 
   /** Returns the time in milliseconds that an activity has taken so far. */
--- a/src/main/java/org/fieldtrestle/transport/HttpClient.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpClient.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.fieldtrestle.transport.SocketBudget.Priority;
+import org.fieldtrestle.transport.SocketBudget.ConnectionPriority;
 
 /**
  * Makes HTTP/1.1 calls over pooled connections, with at most one call in progress on each. Not
@@ -92,7 +92,10 @@
     }
   }
 
-  /** Takes the most recently used idle connection from the pool; returns null if there is none. */
+  /**
+   * Takes the most recently used idle connection from the pool; returns {@code null} if there is
+   * none.
+   */
   private HttpConnection takeFromPool(String address) {
     ArrayDeque<HttpConnection> connections = idleConnections.get(address);
     while (connections != null && !connections.isEmpty()) {
@@ -107,8 +110,8 @@
 
   private boolean makeRoomFor(String address) {
     return isEssential(address)
-        ? sockets.makeRoom(Priority.ESSENTIAL)
-        : makeRoomForOrdinary() && sockets.makeRoom(Priority.ORDINARY);
+        ? sockets.makeRoom(ConnectionPriority.ESSENTIAL)
+        : makeRoomForOrdinary() && sockets.makeRoom(ConnectionPriority.ORDINARY);
   }
 
   private boolean makeRoomForOrdinary() {
@@ -156,7 +159,7 @@
   /**
    * Puts a connection into the pool.
    *
-   * @return false if the pool has enough idle connections to the address already
+   * @return {@code false} if the pool has enough idle connections to the address already
    */
   boolean returnToPool(HttpConnection connection) {
     ArrayDeque<HttpConnection> connections =
--- a/src/main/java/org/fieldtrestle/transport/HttpServer.java
+++ b/src/main/java/org/fieldtrestle/transport/HttpServer.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import org.fieldtrestle.transport.SocketBudget.Priority;
+import org.fieldtrestle.transport.SocketBudget.ConnectionPriority;
 
 /**
  * Serves HTTP/1.1, one request at a time on each connection. The state is not thread-safe, so the
@@ -124,7 +124,7 @@
     @Override
     @SuppressWarnings("FutureReturnValueIgnored") // a refused connection needs no further handling
     protected void initChannel(SocketChannel channel) {
-      if (!sockets.makeRoom(Priority.ORDINARY)) {
+      if (!sockets.makeRoom(ConnectionPriority.ORDINARY)) {
         channel.close();
         return;
       }
--- a/src/main/java/org/fieldtrestle/transport/NettyReactor.java
+++ b/src/main/java/org/fieldtrestle/transport/NettyReactor.java
@@ -14,7 +14,7 @@
   private final EventLoop loop;
   private final long originNanos = System.nanoTime();
 
-  /** Creates a reactor whose steady clock starts at zero. */
+  /** Creates a reactor whose monotonic clock starts at zero. */
   public NettyReactor(EventLoop loop) {
     this.loop = loop;
   }
@@ -46,7 +46,10 @@
     return () -> pending.cancel(false);
   }
 
-  /** Wraps a task so that its failure is logged, because all tasks share the event loop. */
+  /**
+   * Wraps a task so that its failure is only logged. A failure in one task must not end the event
+   * loop that all tasks share.
+   */
   private static Runnable logFailures(Runnable task) {
     return () -> {
       try {
--- a/src/main/java/org/fieldtrestle/transport/PeerTransport.java
+++ b/src/main/java/org/fieldtrestle/transport/PeerTransport.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.fieldtrestle.transport.SocketBudget.Priority;
+import org.fieldtrestle.transport.SocketBudget.ConnectionPriority;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -55,8 +55,8 @@
    * @param sockets the socket budget that all connections of this transport count towards
    * @param maxFrameBytes the largest frame length in bytes; a longer frame closes its connection
    * @param maxInboundConnections the largest number of connections opened by other controllers
-   * @param idleTimeoutMs the time in milliseconds after which an inbound connection without any
-   *     received frame is closed
+   * @param idleTimeoutMs the time in milliseconds after which an inbound connection is closed if
+   *     nothing arrives on it
    * @param connectTimeoutMs the time in milliseconds after which an attempt to connect fails; a
    *     later frame to the same address starts the next attempt
    */
@@ -101,7 +101,7 @@
   }
 
   private void connect(String address) {
-    if (!sockets.makeRoom(Priority.ESSENTIAL)) {
+    if (!sockets.makeRoom(ConnectionPriority.ESSENTIAL)) {
       return;
     }
     ChannelFuture connecting =
@@ -128,7 +128,7 @@
     @Override
     protected void initChannel(SocketChannel channel) {
       if (inboundConnectionCount >= maxInboundConnections
-          || !sockets.makeRoom(Priority.ESSENTIAL)) {
+          || !sockets.makeRoom(ConnectionPriority.ESSENTIAL)) {
         channel.close();
         return;
       }
--- a/src/main/java/org/fieldtrestle/transport/Reactor.java
+++ b/src/main/java/org/fieldtrestle/transport/Reactor.java
@@ -5,7 +5,7 @@
  * one task at a time. Tests use a simulated reactor.
  */
 public interface Reactor {
-  /** Returns the time of a steady clock in milliseconds. Its origin is arbitrary. */
+  /** Returns the time of a monotonic clock in milliseconds. Its origin is arbitrary. */
   long nowMs();
 
   /**
@@ -14,7 +14,7 @@
    */
   long wallClockMs();
 
-  /** Returns the time of a steady clock in nanoseconds, for measuring durations only. */
+  /** Returns the time of a monotonic clock in nanoseconds, for measuring durations only. */
   default long nanoTime() {
     return nowMs() * 1_000_000;
   }
--- a/src/main/java/org/fieldtrestle/transport/SocketBudget.java
+++ b/src/main/java/org/fieldtrestle/transport/SocketBudget.java
@@ -26,7 +26,7 @@
   private static final double CLOSE_ALL_SHARE = 0.9;
 
   /** The priority of a connection when sockets are scarce. */
-  enum Priority {
+  enum ConnectionPriority {
     /** A connection with the key-value store, the cloud or another controller. */
     ESSENTIAL,
     /** A connection with a user or a worker. */
@@ -63,8 +63,9 @@
    *
    * @return whether a socket is free
    */
-  boolean makeRoom(Priority priority) {
-    int bound = priority == Priority.ESSENTIAL ? maxOpen : Math.max(1, maxOpen - reserved);
+  boolean makeRoom(ConnectionPriority priority) {
+    int bound =
+        priority == ConnectionPriority.ESSENTIAL ? maxOpen : Math.max(1, maxOpen - reserved);
     while (openCount >= bound) {
       if (!closeLongestIdle(idleOutbound) && !closeLongestIdle(idleInbound)) {
         return false;
@@ -76,7 +77,7 @@
   /**
    * Closes the connection for calls of this process that has been idle longest.
    *
-   * @return false if no such connection is idle
+   * @return {@code false} if no such connection is idle
    */
   boolean closeIdleOutbound() {
     return closeLongestIdle(idleOutbound);
--- a/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
+++ b/src/test/java/org/fieldtrestle/leadership/MembershipTest.java
@@ -21,7 +21,10 @@
 class MembershipTest {
   private static final String LABEL = "trestle-0";
 
-  /** Delay of answers; below a request's timeout and above the delay of a watch. */
+  /**
+   * Delay of the answers to commits: shorter than a request's timeout, and longer than a watch
+   * takes to deliver a change.
+   */
   private static final long ANSWER_DELAY_MS = 1000;
 
   private final SimulatedNetwork network = new SimulatedNetwork();
@@ -30,7 +33,7 @@
 
   private Http.Caller callerWithDelayedCommits() {
     Http.Caller promptCaller = network.caller();
-    return (address, method, path, body, timeoutMs, done) -> {
+    return (address, method, path, body, timeoutMs, callback) -> {
       long delayMs = path.equals(KeyValueProtocol.COMMIT_PATH) ? ANSWER_DELAY_MS : 0;
       promptCaller.call(
           address,
@@ -38,7 +41,7 @@
           path,
           body,
           timeoutMs,
-          outcome -> reactor.schedule(delayMs, () -> done.accept(outcome)));
+          outcome -> reactor.schedule(delayMs, () -> callback.accept(outcome)));
     };
   }
 
@@ -55,7 +58,7 @@
   /**
    * Another controller acquires the shard before this controller receives the answer to its own
    * acquisition, and the state cache already shows that. A term that began with the late answer
-   * would never end, because no later change of the key would end it.
+   * would never end, because the change of the key that should end it has been applied already.
    */
   @Test
   void shardAcquiredByAnotherBeforeTheAnswerArrivesIsNotLed() {
--- a/src/test/java/org/fieldtrestle/protocol/CompatibilityFixture.java
+++ b/src/test/java/org/fieldtrestle/protocol/CompatibilityFixture.java
@@ -8,8 +8,8 @@
 
 /**
  * Reads the files under {@code compatibility/} in the test resources, which the sources of
- * 2026-12-02 wrote. Each line consists of the name of a case, a space and the text that this
- * version wrote. The current code must read and write exactly the same texts, because a cluster is
+ * 2026-12-02 wrote. Each line consists of the name of a case, a space and the text that these
+ * sources wrote. The current code must read and write exactly the same texts, because a cluster is
  * upgraded one controller at a time.
  */
 public final class CompatibilityFixture {
--- a/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
+++ b/src/test/java/org/fieldtrestle/transport/EventLoopMeterTest.java
@@ -8,13 +8,13 @@
 
 /** Checks the times and counts of nested and of failing activities. */
 class EventLoopMeterTest {
-  private static final long MS = 1_000_000;
+  private static final long NANOS_PER_MS = 1_000_000;
 
-  private long now;
-  private final EventLoopMeter meter = new EventLoopMeter(() -> now);
+  private long nowNanos;
+  private final EventLoopMeter meter = new EventLoopMeter(() -> nowNanos);
 
   private void pass(long ms) {
-    now += ms * MS;
+    nowNanos += ms * NANOS_PER_MS;
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
+++ b/src/test/java/org/fieldtrestle/transport/HttpServerTest.java
@@ -13,7 +13,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 import java.util.concurrent.Future;
-import org.fieldtrestle.transport.SocketBudget.Priority;
+import org.fieldtrestle.transport.SocketBudget.ConnectionPriority;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -33,7 +33,7 @@
     port = serve(60_000);
   }
 
-  private int serve(long requestMs) throws InterruptedException {
+  private int serve(long requestTimeoutMs) throws InterruptedException {
     HttpServer server =
         new HttpServer(
             group,
@@ -48,7 +48,7 @@
             new SocketBudget(6), // four of them are for users and workers
             path -> path.equals("/often"),
             60_000,
-            requestMs,
+            requestTimeoutMs,
             new EventLoopMeter(System::nanoTime));
     return server.start(new InetSocketAddress(LOOPBACK, 0));
   }
@@ -192,15 +192,17 @@
     for (int i = 0; i < open.length; i++) {
       assertEquals(i > 76, sockets.mustCloseAfterResponse(true), "expendable connections, at " + i);
       assertEquals(i > 86, sockets.mustCloseAfterResponse(false), "all connections, at " + i);
-      assertEquals(i < 92, sockets.makeRoom(Priority.ORDINARY), "for users and workers, at " + i);
-      assertTrue(sockets.makeRoom(Priority.ESSENTIAL), "for essential connections, at " + i);
+      assertEquals(
+          i < 92, sockets.makeRoom(ConnectionPriority.ORDINARY), "for users and workers, at " + i);
+      assertTrue(
+          sockets.makeRoom(ConnectionPriority.ESSENTIAL), "for essential connections, at " + i);
       open[i] = new EmbeddedChannel();
       sockets.register(open[i]);
     }
     sockets.markIdleInbound(open[3]);
     sockets.markIdleOutbound(open[50]);
     assertTrue(
-        sockets.makeRoom(Priority.ORDINARY) || !open[50].isOpen(),
+        sockets.makeRoom(ConnectionPriority.ORDINARY) || !open[50].isOpen(),
         "an idle outbound connection is closed first");
     assertTrue(
         !open[50].isOpen() && !open[3].isOpen(), "then an idle inbound connection is closed");
