--- a/src/main/java/org/fieldtrestle/controller/HeartbeatRouter.java
+++ b/src/main/java/org/fieldtrestle/controller/HeartbeatRouter.java
@@ -75,8 +75,8 @@
     if (leader != null) {
       leadershipTransfer.redirected(machine, leader);
     }
-    boolean self = context.settings().label().equals(leader);
+    boolean leaderIsSelf = context.settings().label().equals(leader);
     return new Http.Response(
-        STATUS_MISDIRECTED, WorkerProtocol.writeRedirect(self ? null : leader));
+        STATUS_MISDIRECTED, WorkerProtocol.writeRedirect(leaderIsSelf ? null : leader));
   }
 }
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -13,7 +13,7 @@
 /**
  * A client of the key-value store that stays within this controller's share of the store's rate
  * limits. Every result says whether the request was executed, was not executed, or may yet be
- * executed at any time. All methods must be called on the event loop's thread. Callbacks run on the
+ * executed at any time. All methods must be called on the reactor's thread. Callbacks run on the
  * same thread, and not before the call has returned unless stated otherwise.
  */
 public final class KeyValueClient {
--- a/src/main/java/org/fieldtrestle/state/StateCache.java
+++ b/src/main/java/org/fieldtrestle/state/StateCache.java
@@ -22,8 +22,8 @@
 
 /**
  * A copy of what the key-value store held at the applied revision, plus this controller's own later
- * commits. Listeners are called for every key that changes. All methods must be called on the event
- * loop's thread. The collections that are returned are live views and must not be modified.
+ * commits. Listeners are called for every key that changes. All methods must be called on the
+ * reactor's thread. The collections that are returned are live views and must not be modified.
  */
 public final class StateCache {
   private static final Logger LOG = LoggerFactory.getLogger(StateCache.class);
--- a/src/main/java/org/fieldtrestle/state/StateKeys.java
+++ b/src/main/java/org/fieldtrestle/state/StateKeys.java
@@ -22,13 +22,13 @@
    */
   public static final String FINISHED_PREFIX = "ft/final/";
 
-  private static final String JOB = LIVE_PREFIX + "job/";
-  private static final String RANGE = LIVE_PREFIX + "range/";
-  private static final String INVENTORY = LIVE_PREFIX + "roster/";
-  private static final String ORPHAN = LIVE_PREFIX + "stray/";
-  private static final String SHARD = LIVE_PREFIX + "master/";
-  private static final String MEMBER = LIVE_PREFIX + "member/";
-  private static final String QUOTA = LIVE_PREFIX + "quota/";
+  private static final String JOB_PREFIX = LIVE_PREFIX + "job/";
+  private static final String RANGE_PREFIX = LIVE_PREFIX + "range/";
+  private static final String INVENTORY_PREFIX = LIVE_PREFIX + "roster/";
+  private static final String ORPHAN_PREFIX = LIVE_PREFIX + "stray/";
+  private static final String SHARD_PREFIX = LIVE_PREFIX + "master/";
+  private static final String MEMBER_PREFIX = LIVE_PREFIX + "member/";
+  private static final String QUOTA_PREFIX = LIVE_PREFIX + "quota/";
 
   /**
    * Prefix of the records of single machines, which former versions wrote instead of inventories.
@@ -42,17 +42,17 @@
 
   /** Returns the key of an accepted job. */
   public static String job(String id) {
-    return JOB + id;
+    return JOB_PREFIX + id;
   }
 
   /** Returns the key of a task range. */
   public static String range(RangeKey key) {
-    return RANGE + key.job() + "/" + key.index();
+    return RANGE_PREFIX + key.job() + "/" + key.index();
   }
 
   /** Returns the key of one part of a shard's machine inventory. */
   public static String inventory(InventoryKey key) {
-    return INVENTORY + key.shard() + "/" + key.part();
+    return INVENTORY_PREFIX + key.shard() + "/" + key.part();
   }
 
   /**
@@ -61,17 +61,17 @@
    * record on condition that this key is absent.
    */
   public static String orphan(String machine) {
-    return ORPHAN + machine;
+    return ORPHAN_PREFIX + machine;
   }
 
   /** Returns the key whose record names the leader of a shard; its version is the shard's epoch. */
   public static String shard(String label) {
-    return SHARD + label;
+    return SHARD_PREFIX + label;
   }
 
   /** Returns the key that a controller keeps under its lease while it runs. */
   public static String member(String label) {
-    return MEMBER + label;
+    return MEMBER_PREFIX + label;
   }
 
   /**
@@ -79,7 +79,7 @@
    * any character.
    */
   public static String quota(String team) {
-    return QUOTA + team.replace("%", "%25").replace(" ", "%20").replace("/", "%2F");
+    return QUOTA_PREFIX + team.replace("%", "%25").replace(" ", "%20").replace("/", "%2F");
   }
 
   /** Returns the key of the record that states how a job ended. */
@@ -89,28 +89,28 @@
 
   /** Parses a key; returns an {@link UnknownKey} for a key that this version does not use. */
   public static StateKey parse(String key) {
-    if (key.startsWith(JOB)) {
-      return new JobKey(key.substring(JOB.length()));
+    if (key.startsWith(JOB_PREFIX)) {
+      return new JobKey(key.substring(JOB_PREFIX.length()));
     }
     int slash = key.lastIndexOf('/');
     int index = parseIndex(key, slash + 1);
-    if (key.startsWith(RANGE) && slash > RANGE.length() && index >= 0) {
-      return new RangeKey(key.substring(RANGE.length(), slash), index);
+    if (key.startsWith(RANGE_PREFIX) && slash > RANGE_PREFIX.length() && index >= 0) {
+      return new RangeKey(key.substring(RANGE_PREFIX.length(), slash), index);
     }
-    if (key.startsWith(INVENTORY) && slash > INVENTORY.length() && index >= 0) {
-      return new InventoryKey(key.substring(INVENTORY.length(), slash), index);
+    if (key.startsWith(INVENTORY_PREFIX) && slash > INVENTORY_PREFIX.length() && index >= 0) {
+      return new InventoryKey(key.substring(INVENTORY_PREFIX.length(), slash), index);
     }
-    if (key.startsWith(ORPHAN)) {
-      return new OrphanKey(key.substring(ORPHAN.length()));
+    if (key.startsWith(ORPHAN_PREFIX)) {
+      return new OrphanKey(key.substring(ORPHAN_PREFIX.length()));
     }
-    if (key.startsWith(SHARD)) {
-      return new ShardKey(key.substring(SHARD.length()));
+    if (key.startsWith(SHARD_PREFIX)) {
+      return new ShardKey(key.substring(SHARD_PREFIX.length()));
     }
-    if (key.startsWith(MEMBER)) {
-      return new MemberKey(key.substring(MEMBER.length()));
+    if (key.startsWith(MEMBER_PREFIX)) {
+      return new MemberKey(key.substring(MEMBER_PREFIX.length()));
     }
-    if (key.startsWith(QUOTA)) {
-      return new QuotaKey(unescape(key.substring(QUOTA.length())));
+    if (key.startsWith(QUOTA_PREFIX)) {
+      return new QuotaKey(unescape(key.substring(QUOTA_PREFIX.length())));
     }
     return new UnknownKey(key);
   }
--- a/src/main/java/org/fieldtrestle/state/package-info.java
+++ b/src/main/java/org/fieldtrestle/state/package-info.java
@@ -8,7 +8,7 @@
  * org.fieldtrestle.state.StateKeys} and {@link org.fieldtrestle.state.RecordCodec} are the only
  * places that know the names of keys and the stored formats.
  *
- * <p>Every package that needs durable state may call this package, but only on the event loop's
+ * <p>Every package that needs durable state may call this package, but only on the reactor's
  * thread. The package depends on {@code config}, {@code protocol} and {@code transport}.
  */
 package org.fieldtrestle.state;
