--- a/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ConfirmedCancellationTest.java
@@ -85,7 +85,7 @@
     assertEquals(0, cluster.invariants.runningTasksOf(job.id()));
     assertEquals(
         0,
-        cluster.invariants.startsOrderedAfterCancellation(),
+        cluster.invariants.startCommandsAfterCancellation(),
         "starts ordered after the confirmation");
   }
 
@@ -241,12 +241,12 @@
               cluster.invariants.lastStageOf(job.id()),
               "cancelled before the late answer");
           assertEquals(List.of(), answers, "the submission is not answered yet");
-          int startsBeforeLateAnswer = cluster.invariants.startsOrderedAfterCancellation();
+          int startsBeforeLateAnswer = cluster.invariants.startCommandsAfterCancellation();
           runFor(cluster, 30_000);
           assertEquals(0, cluster.invariants.runningTasksOf(job.id()));
           assertEquals(
               startsBeforeLateAnswer,
-              cluster.invariants.startsOrderedAfterCancellation(),
+              cluster.invariants.startCommandsAfterCancellation(),
               "no further start is ordered");
           assertEquals(
               List.of(200), answers, "answered as a known job, not as a newly accepted one");
--- a/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
@@ -42,7 +42,7 @@
   void controllerIsNotReadyWhileTheStoreRefusesOnlyThatController() {
     SimulatedCluster cluster = startCluster(12);
     cluster.time.runUntil(10_000);
-    cluster.faults.refuse("trestle-1", 60_000);
+    cluster.faults.refuseStoreRequests("trestle-1", 60_000);
     cluster.time.runUntil(16_000);
     assertFalse(cluster.isReady("trestle-1"), "users should use the other controllers");
     assertTrue(cluster.isReady("trestle-0") && cluster.isReady("trestle-2"));
@@ -214,7 +214,7 @@
     candidate.from().fail();
     secondMachine.startForFormerLeader(task, 1);
     // The worker reports the task, but receives no command to stop it until its lease has expired.
-    secondMachine.faults.deafen(60_000);
+    secondMachine.faults.blockIncoming(60_000);
     submit(cluster, "job-2", 10, 100_000); // fills the room that this machine seems to have
 
     cluster.time.runUntil(45_000);
--- a/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
@@ -50,12 +50,12 @@
   @Test
   void taskOnTwoMachinesAtATimeIsAViolation() {
     submit("job-1", j -> {});
-    cluster.invariants.started("job-1/0", addMachine("host-1", "big", "a", false));
-    cluster.invariants.left("job-1/0", "host-1");
-    cluster.invariants.started("job-1/0", addMachine("host-2", "big", "a", false));
+    cluster.invariants.taskStarted("job-1/0", addMachine("host-1", "big", "a", false));
+    cluster.invariants.taskStopped("job-1/0", "host-1");
+    cluster.invariants.taskStarted("job-1/0", addMachine("host-2", "big", "a", false));
     assertEquals(
         0, cluster.invariants.violations().size(), "a task may move from one machine to another");
-    cluster.invariants.started("job-1/0", addMachine("host-3", "big", "a", false));
+    cluster.invariants.taskStarted("job-1/0", addMachine("host-3", "big", "a", false));
     assertOnlyViolation("ran_twice");
   }
 
@@ -63,39 +63,39 @@
   void teamBeyondItsQuotaIsAViolation() {
     submit("job-1", j -> j.team("limited"));
     for (int i = 0; i < 10; i++) {
-      cluster.invariants.started("job-1/" + i, addMachine("host-" + i, "big", "a", false));
+      cluster.invariants.taskStarted("job-1/" + i, addMachine("host-" + i, "big", "a", false));
     }
     assertEquals(0, cluster.invariants.violations().size(), "40 CPUs are allowed");
-    cluster.invariants.started("job-1/10", addMachine("host-10", "big", "a", false));
+    cluster.invariants.taskStarted("job-1/10", addMachine("host-10", "big", "a", false));
     assertOnlyViolation("quota");
   }
 
   @Test
   void taskOnAnotherMachineTypeIsAViolation() {
     submit("job-1", j -> j.type("odd"));
-    cluster.invariants.started("job-1/0", addMachine("host-1", "big", "a", true));
+    cluster.invariants.taskStarted("job-1/0", addMachine("host-1", "big", "a", true));
     assertOnlyViolation("wrong_place");
   }
 
   @Test
   void taskOnASpotMachineThatItsJobExcludesIsAViolation() {
     submit("job-2", j -> j.spot(false));
-    cluster.invariants.started("job-2/0", addMachine("host-2", "big", "a", true));
+    cluster.invariants.taskStarted("job-2/0", addMachine("host-2", "big", "a", true));
     assertOnlyViolation("wrong_place");
   }
 
   @Test
   void taskInAnotherZoneIsAViolation() {
     submit("job-3", j -> j.zone("b"));
-    cluster.invariants.started("job-3/0", addMachine("host-3", "big", "a", true));
+    cluster.invariants.taskStarted("job-3/0", addMachine("host-3", "big", "a", true));
     assertOnlyViolation("wrong_place");
   }
 
   @Test
   void tasksInTwoZonesOfAJobBoundToOneIsAViolation() {
     submit("job-4", j -> j.oneZone(true));
-    cluster.invariants.started("job-4/0", addMachine("host-4", "big", "a", true));
-    cluster.invariants.started("job-4/1", addMachine("host-5", "big", "b", true));
+    cluster.invariants.taskStarted("job-4/0", addMachine("host-4", "big", "a", true));
+    cluster.invariants.taskStarted("job-4/1", addMachine("host-5", "big", "b", true));
     assertOnlyViolation("wrong_place");
   }
 
@@ -103,10 +103,10 @@
   void moreThanHalfOfASpreadJobInOneZoneIsAViolation() {
     submit("job-5", j -> j.spread(true));
     for (int i = 0; i < 6; i++) {
-      cluster.invariants.started("job-5/" + i, addMachine("host-1" + i, "big", "a", true));
+      cluster.invariants.taskStarted("job-5/" + i, addMachine("host-1" + i, "big", "a", true));
     }
     assertEquals(0, cluster.invariants.violations().size(), "half of the twelve tasks");
-    cluster.invariants.started("job-5/6", addMachine("host-17", "big", "a", true));
+    cluster.invariants.taskStarted("job-5/6", addMachine("host-17", "big", "a", true));
     assertOnlyViolation("wrong_place");
   }
 
@@ -114,8 +114,8 @@
   void taskThatRunsTooLongAfterItsCancellationIsAViolation() {
     SimulatedJob job = submit("job-1", j -> {});
     cluster.users.noteCancellation(job.id());
-    cluster.invariants.started("job-1/0", addMachine("host-1", "big", "a", false));
-    cluster.invariants.told("job-1", 200, "cancelled", 0);
+    cluster.invariants.taskStarted("job-1/0", addMachine("host-1", "big", "a", false));
+    cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
     cluster.time.runUntil(cluster.cancelMs - 1000);
     assertTrue(
         cluster.invariants.violations().stream()
@@ -128,23 +128,23 @@
 
   @Test
   void acceptedJobThatIsNotFoundIsAViolation() {
-    cluster.invariants.accepted("job-1");
-    cluster.invariants.told("job-1", 404, "", 0);
+    cluster.invariants.jobAccepted("job-1");
+    cluster.invariants.answerReceived("job-1", 404, "", 0);
     assertOnlyViolation("forgotten");
   }
 
   @Test
   void unsubmittedJobThatIsFoundIsAViolation() {
-    cluster.invariants.told("job-7", 404, "", 0);
+    cluster.invariants.answerReceived("job-7", 404, "", 0);
     assertEquals(0, cluster.invariants.violations().size(), "nobody submitted it");
-    cluster.invariants.told("job-7", 200, "queued", 0);
+    cluster.invariants.answerReceived("job-7", 200, "queued", 0);
     assertOnlyViolation("invented");
   }
 
   @Test
   void jobThatIsDoneWithoutResultsIsAViolation() {
     submit("job-1", j -> j.tasks(1));
-    cluster.invariants.told("job-1", 200, "done", 0);
+    cluster.invariants.answerReceived("job-1", 200, "done", 0);
     assertOnlyViolation("not_done");
   }
 
@@ -152,16 +152,16 @@
   void doneJobThatRunsAgainIsAViolation() {
     submit("job-1", j -> j.tasks(1));
     cluster.addResult("job-1/0");
-    cluster.invariants.told("job-1", 200, "done", 0);
+    cluster.invariants.answerReceived("job-1", 200, "done", 0);
     cluster.time.runUntil(10);
-    cluster.invariants.told("job-1", 200, "running", 5);
+    cluster.invariants.answerReceived("job-1", 200, "running", 5);
     assertOnlyViolation("went_back");
   }
 
   @Test
   void unrequestedCancellationIsAViolation() {
     submit("job-2", j -> {});
-    cluster.invariants.told("job-2", 200, "cancelled", 0);
+    cluster.invariants.answerReceived("job-2", 200, "cancelled", 0);
     assertOnlyViolation("went_back");
   }
 
@@ -171,12 +171,12 @@
     cluster.users.noteCancellation(job.id());
     SimulatedWorker machine = addMachine("host-1", "big", "a", false);
     machine.faults.hang(cluster.cancelMs + 5000);
-    cluster.invariants.started("job-1/0", machine);
-    cluster.invariants.told("job-1", 200, "cancelled", 0);
-    cluster.invariants.left("job-1/0", "host-1");
+    cluster.invariants.taskStarted("job-1/0", machine);
+    cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
+    cluster.invariants.taskStopped("job-1/0", "host-1");
     cluster.time.runUntil(cluster.cancelMs + 6000);
     assertEquals(List.of(), cluster.invariants.violations(), "the task stopped in time");
-    cluster.invariants.started("job-1/0", machine);
+    cluster.invariants.taskStarted("job-1/0", machine);
     assertTrue(
         cluster.invariants.violations().stream()
             .anyMatch(violation -> violation.startsWith("ran_cancelled")));
@@ -187,19 +187,19 @@
     SimulatedJob job = define("job-1", j -> {});
     cluster.users.noteCancellation(job.id());
     cluster.time.runUntil(1000);
-    cluster.invariants.told("job-1", 200, "cancelled", 0);
-    cluster.invariants.startOrdered("job-1/0", 1001);
+    cluster.invariants.answerReceived("job-1", 200, "cancelled", 0);
+    cluster.invariants.startCommandExecuted("job-1/0", 1001);
     assertEquals(
         0,
         cluster.invariants.violations().size(),
         "a start may be ordered shortly after the confirmation");
-    assertEquals(1, cluster.invariants.startsOrderedAfterCancellation());
+    assertEquals(1, cluster.invariants.startCommandsAfterCancellation());
     cluster.time.runUntil(4000);
-    cluster.invariants.startOrdered("job-1/1", 4000);
+    cluster.invariants.startCommandExecuted("job-1/1", 4000);
     assertOnlyViolation("started_cancelled");
     cluster.invariants.clearViolations();
     cluster.faults.note(60_000);
-    cluster.invariants.startOrdered("job-1/2", 4000);
+    cluster.invariants.startCommandExecuted("job-1/2", 4000);
     assertEquals(
         0,
         cluster.invariants.violations().size(),
@@ -209,21 +209,21 @@
   @Test
   void acceptedUnsatisfiableJobIsAViolation() {
     cluster.users.submitUnsatisfiable("job-1", new byte[0], 400);
-    cluster.invariants.accepted("job-1");
+    cluster.invariants.jobAccepted("job-1");
     assertOnlyViolation("accepted_hopeless");
   }
 
   @Test
   void jobUnansweredForTooLongIsAViolation() {
     define("job-1", j -> {});
-    cluster.invariants.accepted("job-1");
+    cluster.invariants.jobAccepted("job-1");
     cluster.faults.note(20_000);
-    cluster.invariants.told("job-1", 503, "", 0);
+    cluster.invariants.answerReceived("job-1", 503, "", 0);
     cluster.time.runUntil(94_000);
-    cluster.invariants.told("job-1", 503, "", 0);
+    cluster.invariants.answerReceived("job-1", 503, "", 0);
     assertEquals(0, cluster.invariants.violations().size(), "less than 75 s after the faults");
     cluster.time.runUntil(96_000);
-    cluster.invariants.told("job-1", 0, "", 0);
+    cluster.invariants.answerReceived("job-1", 0, "", 0);
     assertOnlyViolation("forgotten");
   }
 
@@ -237,7 +237,7 @@
               j.cpus(16);
               j.zone("b");
             });
-    cluster.invariants.accepted(job.id());
+    cluster.invariants.jobAccepted(job.id());
     cluster
         .labels()
         .forEach(label -> cluster.faults.kill(label, 1_000_000)); // no controller schedules the job
@@ -245,7 +245,7 @@
     cluster.time.runUntil(100_000);
     assertEquals(0, cluster.invariants.violations().size(), "no machine in the zone of the job");
     addMachine("host-2", "big", "b", false).boot();
-    cluster.invariants.started("job-1/0", addMachine("host-3", "big", "b", false));
+    cluster.invariants.taskStarted("job-1/0", addMachine("host-3", "big", "b", false));
     cluster.time.runUntil(185_000);
     assertEquals(0, cluster.invariants.violations().size(), "less than 90 s with free room");
     cluster.time.runUntil(195_000);
@@ -265,9 +265,9 @@
       int tasks = i + 1;
       define("job-" + i, j -> j.tasks(tasks));
     }
-    cluster.invariants.started("job-3/0", addMachine("host-1", "big", "a", false));
-    cluster.invariants.told("job-0", 200, "running", 0);
-    cluster.invariants.checkEndOfDay();
+    cluster.invariants.taskStarted("job-3/0", addMachine("host-1", "big", "a", false));
+    cluster.invariants.answerReceived("job-0", 200, "running", 0);
+    cluster.invariants.checkFinalProgress();
     assertTrue(
         cluster.invariants.violations().stream()
             .anyMatch(violation -> violation.contains("team open: 0 of 4")));
@@ -282,9 +282,9 @@
       for (int task = 0; task <= i; task++) {
         cluster.addResult("job-" + i + "/" + task);
       }
-      cluster.invariants.told("job-" + i, 200, "done", 0);
+      cluster.invariants.answerReceived("job-" + i, 200, "done", 0);
     }
-    cluster.invariants.checkEndOfDay();
+    cluster.invariants.checkFinalProgress();
     assertEquals(
         List.of(),
         cluster.invariants.violations(),
@@ -292,7 +292,7 @@
     define("job-9", j -> j.tasks(12));
     cluster.time.runUntil(250_000);
     cluster.invariants.clearViolations();
-    cluster.invariants.checkEndOfDay();
+    cluster.invariants.checkFinalProgress();
     assertTrue(
         cluster.invariants.violations().stream()
             .anyMatch(
--- a/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
@@ -1,7 +1,7 @@
 package org.fieldtrestle.simulation;
 
 import static org.fieldtrestle.simulation.ConcurrentFailures.forEachDeployment;
-import static org.fieldtrestle.simulation.ConcurrentFailures.heartbeats;
+import static org.fieldtrestle.simulation.ConcurrentFailures.lastHeartbeats;
 import static org.fieldtrestle.simulation.ConcurrentFailures.submit;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -100,7 +100,7 @@
           for (int i = 0; i < 270; i++) {
             cluster.runFor(500);
             if (i % 6 == 0) {
-              oldHeartbeats.add(heartbeats(cluster));
+              oldHeartbeats.add(lastHeartbeats(cluster));
             }
             if (i == 72) {
               cluster.faults.kill("trestle-1", 500);
@@ -136,15 +136,15 @@
           // Most machines are silent, so that this looks like a partition; the others have room for
           // the lost tasks.
           List<SimulatedWorker> all = cluster.machines();
-          List<SimulatedWorker> mute = all.subList(0, all.size() * 2 / 3);
-          mute.forEach(machine -> machine.faults.mute(ms));
+          List<SimulatedWorker> affected = all.subList(0, all.size() * 2 / 3);
+          affected.forEach(machine -> machine.faults.blockHeartbeats(ms));
           jobs.addAll(submit(cluster, 3, 4, 10_000));
           cluster.runFor(1500);
           jobs.subList(0, 3).forEach(cluster.users::cancel);
           cluster.runFor(4000);
           assertTrue(
-              mute.stream().anyMatch(machine -> machine.commandsWhileMute() > 0),
-              "commands reached a mute machine");
+              affected.stream().anyMatch(machine -> machine.commandsWhileHeartbeatsBlocked() > 0),
+              "commands reached a machine whose heartbeats were blocked");
           cluster.runFor(ms);
         });
   }
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaults.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaults.java
@@ -1,78 +1,79 @@
 package org.fieldtrestle.simulation;
 
-/** The faults of one simulated machine. */
+/** The faults that tests inject into one simulated machine. */
 final class WorkerFaults {
   private final SimulatedTime time;
-  private boolean failsTasks;
-  private int slowness = 1;
-  private long hangsUntilMs;
-  private long deafUntilMs;
-  private long muteUntilMs;
-  private String unreachableLabel = "";
+  private boolean failingTasks;
+  private int slowdownFactor = 1;
+  private long hangUntilMs;
+  private long incomingBlockedUntilMs;
+  private long heartbeatsBlockedUntilMs;
+  private String unreachableController = "";
   private long unreachableUntilMs;
 
   WorkerFaults(SimulatedTime time) {
     this.time = time;
   }
 
-  /** The machine stands still for a while; what reaches it is taken in afterwards. */
-  void hang(long ms) {
-    hangsUntilMs = time.now() + ms;
+  /** Makes the machine hang for a time; it handles what arrives in the meantime afterwards. */
+  void hang(long durationMs) {
+    hangUntilMs = time.now() + durationMs;
   }
 
   boolean isHanging() {
-    return time.now() < hangsUntilMs;
+    return time.now() < hangUntilMs;
   }
 
-  /** For how long the machine goes on hanging. */
-  long hangsForMs() {
-    return hangsUntilMs - time.now();
+  /** Returns how much longer the machine hangs. */
+  long remainingHangMs() {
+    return hangUntilMs - time.now();
   }
 
-  /** For a while the machine's heartbeats leave, but nothing reaches it. */
-  void deafen(long ms) {
-    deafUntilMs = time.now() + ms;
+  /** Blocks everything that is sent to the machine for a time; its heartbeats still leave. */
+  void blockIncoming(long durationMs) {
+    incomingBlockedUntilMs = time.now() + durationMs;
   }
 
-  boolean isDeaf() {
-    return time.now() < deafUntilMs;
+  boolean isIncomingBlocked() {
+    return time.now() < incomingBlockedUntilMs;
   }
 
-  /** For a while the machine reaches no controller, while direct commands reach it. */
-  void mute(long ms) {
-    muteUntilMs = time.now() + ms;
+  /** Blocks the heartbeats of the machine for a time; direct commands still reach it. */
+  void blockHeartbeats(long durationMs) {
+    heartbeatsBlockedUntilMs = time.now() + durationMs;
   }
 
-  boolean isMute() {
-    return time.now() < muteUntilMs;
+  boolean areHeartbeatsBlocked() {
+    return time.now() < heartbeatsBlockedUntilMs;
   }
 
-  /** For a while the machine does not reach one controller, which still reaches it. */
-  void disconnect(String label, long ms) {
-    unreachableLabel = label;
-    unreachableUntilMs = time.now() + ms;
+  /** Blocks the heartbeats to one controller for a time; its commands still reach the machine. */
+  void disconnect(String label, long durationMs) {
+    unreachableController = label;
+    unreachableUntilMs = time.now() + durationMs;
   }
 
-  /** Whether the machine's heartbeats reach a controller. */
-  boolean reaches(String label) {
-    return !isMute() && !(label.equals(unreachableLabel) && time.now() < unreachableUntilMs);
+  /** Whether the heartbeats of the machine reach a controller. */
+  boolean canReach(String label) {
+    return !areHeartbeatsBlocked()
+        && !(label.equals(unreachableController) && time.now() < unreachableUntilMs);
   }
 
-  /** From now on all tasks on the machine fail. */
+  /** Makes all tasks on the machine fail from now on. */
   void failTasks() {
-    failsTasks = true;
+    failingTasks = true;
   }
 
-  boolean failsTasks() {
-    return failsTasks;
+  boolean isFailingTasks() {
+    return failingTasks;
   }
 
-  /** From now on tasks on the machine take so many times longer. */
+  /** Makes tasks on the machine take longer by this factor from now on. */
   void slowDown(int factor) {
-    slowness = factor;
+    slowdownFactor = factor;
   }
 
-  int slowness() {
-    return slowness;
+  int slowdownFactor() {
+    return slowdownFactor;
   }
 }
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -29,11 +29,12 @@
         SimulatedCluster.builder().seed(23).machines(12).timing(6000, 34_000, 64_000).start();
     submit(cluster, "job-1", 600, 20_000);
     cluster.time.runUntil(60_000);
-    String deafMachine = cluster.cloud.machines.firstKey();
-    cluster.cloud.machines.get(deafMachine).faults.deafen(600_000);
+    String unreachableMachine = cluster.cloud.machines.firstKey();
+    cluster.cloud.machines.get(unreachableMachine).faults.blockIncoming(600_000);
     cluster.time.runUntil(165_000);
     assertFalse(
-        cluster.cloud.machines.containsKey(deafMachine), "returned although it sends heartbeats");
+        cluster.cloud.machines.containsKey(unreachableMachine),
+        "returned although it sends heartbeats");
     cluster.time.runUntil(400_000);
     assertNoViolations(cluster);
     assertDone(cluster, "job-1");
@@ -45,7 +46,7 @@
     submit(cluster, "job-1", 8, 300_000);
     cluster.time.runUntil(30_000);
     assertTrue(cluster.invariants.starts() > 0);
-    cluster.cloud.machines.values().forEach(machine -> machine.faults.deafen(120_000));
+    cluster.cloud.machines.values().forEach(machine -> machine.faults.blockIncoming(120_000));
     cluster.users.cancel(cluster.jobs.get("job-1"));
     cluster.time.runUntil(200_000);
     assertNoViolations(cluster);
--- a/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerTasks.java
@@ -93,7 +93,7 @@
   private void stopRunning(String name, Task task) {
     if (task.running) {
       task.running = false;
-      cluster.invariants.left(name, worker.id);
+      cluster.invariants.taskStopped(name, worker.id);
     }
   }
 
@@ -109,7 +109,7 @@
       Task task = tasks.get(name);
       switch (command.path("order").asText()) {
         case "start" -> {
-          cluster.invariants.startOrdered(name, sentAtMs);
+          cluster.invariants.startCommandExecuted(name, sentAtMs);
           startUnlessPresent(name, attempt, task);
         }
         case "stop" -> {
@@ -173,7 +173,7 @@
     fetchedImages.add(job.image());
     task.state = "running";
     task.running = true;
-    cluster.invariants.started(name, worker);
+    cluster.invariants.taskStarted(name, worker);
     time.after(
         runMs(name, job),
         worker::isAlive,
@@ -185,10 +185,10 @@
     if (cluster.hasResult(name)) {
       return 0;
     }
-    if (worker.faults.failsTasks() || job.isFailing()) {
+    if (worker.faults.isFailingTasks() || job.isFailing()) {
       return FAILURE_DELAY_MS;
     }
-    return worker.faults.slowness()
+    return worker.faults.slowdownFactor()
         * (1 + (long) job.unevenness() * SimulatedJob.indexOf(name))
         * time.between(job.runMs() * 3 / 4, job.runMs() * 5 / 4);
   }
@@ -198,7 +198,7 @@
       return;
     }
     Task task = tasks.get(name);
-    if (job.isFailing() || (worker.faults.failsTasks() && !cluster.hasResult(name))) {
+    if (job.isFailing() || (worker.faults.isFailingTasks() && !cluster.hasResult(name))) {
       exit(name, task, "error");
     } else {
       cluster.addResult(name);
