--- a/src/main/java/org/fieldtrestle/worker/ShardEvents.java
+++ b/src/main/java/org/fieldtrestle/worker/ShardEvents.java
@@ -1,7 +1,8 @@
 package org.fieldtrestle.worker;
 
 /**
- * Events and requests from the components of a shard to the actor that runs them, on its thread.
+ * Events and requests from the components of a shard to the actor that runs them. All methods are
+ * called on the actor's thread.
  */
 public interface ShardEvents {
   /** Requests a placement pass after a change that may allow waiting tasks to start. */
@@ -11,8 +12,8 @@
   void rangeAdded(TaskRange range);
 
   /**
-   * Called when a worker has reported for the first time. It may be given tasks once that is
-   * durable.
+   * Called when a worker has reported for the first time. The worker may be given tasks once its
+   * machine is durably recorded as up.
    */
   void workerUp(String worker);
 
