--- a/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ControllerFaultsTest.java
@@ -89,9 +89,9 @@
     cluster.time.runUntil(25_000);
     cluster.faults.note(60_000);
     cluster.faults.kill("trestle-0", 55_000);
-    for (long at = 24_000; at < 34_000; at += 700) {
-      cluster.time.after(at, () -> cluster.faults.kill("trestle-1", 80));
-      cluster.time.after(at + 300, () -> cluster.faults.kill("trestle-2", 250));
+    for (long atMs = 24_000; atMs < 34_000; atMs += 700) {
+      cluster.time.after(atMs, () -> cluster.faults.kill("trestle-1", 80));
+      cluster.time.after(atMs + 300, () -> cluster.faults.kill("trestle-2", 250));
     }
     cluster.time.runUntil(300_000);
     assertNoViolations(cluster);
@@ -100,12 +100,12 @@
 
   @Test
   void jobsEndWhenAControllerPausesForLongerThanItsLease() {
-    for (long ms = 24_000; ms <= 48_000; ms += 6000) {
+    for (long freezeMs = 24_000; freezeMs <= 48_000; freezeMs += 6000) {
       SimulatedCluster cluster = startCluster(12);
       submitJobs(cluster, 6, 12, 20_000);
       cluster.time.runUntil(30_000);
-      cluster.faults.note(ms + 10_000);
-      cluster.faults.freeze("trestle-0", ms);
+      cluster.faults.note(freezeMs + 10_000);
+      cluster.faults.freeze("trestle-0", freezeMs);
       cluster.time.after(2000, () -> cluster.users.cancel(cluster.jobs.get("job-3")));
       cluster.time.runUntil(330_000);
       assertNoViolations(cluster);
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void jobsEndWhenAnswersToAFailoverAreLost() {
+  void jobsEndWhenAnswersAreLostDuringAFailover() {
     for (long seed = 1; seed <= 6; seed++) {
       SimulatedCluster cluster = SimulatedCluster.builder().seed(seed).machines(12).start();
       submitJobs(cluster, 5, 10, 20_000);
@@ -137,7 +137,8 @@
         SimulatedCluster.builder().seed(37).machines(12).timing(4000, 22_000, 52_000).start();
     submit(cluster, "job-1", 48, 300_000);
     cluster.time.runUntil(60_000);
-    // Workers are being redirected to their leader at the time, as after a failover.
+    // Workers are still being redirected to their leader, as after a failover, when the controllers
+    // lose contact with each other.
     cluster.faults.note(60_000);
     cluster.faults.kill("trestle-1", 35_000);
     cluster.time.runUntil(98_000);
--- a/src/test/java/org/fieldtrestle/simulation/DemandTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/DemandTest.java
@@ -56,7 +56,7 @@
           }
           assertTrue(
               cluster.jobs.values().stream().anyMatch(job -> !hasEnded(cluster, job)),
-              "some jobs are still waiting");
+              "some jobs have not ended yet");
           cluster.faults.note(0);
         });
   }
--- a/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FailoverTest.java
@@ -51,7 +51,8 @@
           assertLeadersChanged(cluster, before);
           before = cluster.store.shardEpochs();
           cluster.runFor(25_000);
-          // One controller is back within a second, twice.
+          // While the other two controllers are down, one controller restarts twice within a
+          // second.
           cluster.faults.kill("trestle-0", 45_000);
           cluster.faults.kill("trestle-1", 45_000);
           cluster.faults.kill("trestle-2", 200);
@@ -87,7 +88,8 @@
           }
           assertTrue(
               changes >= 8,
-              "leaders change, apart from two restarts within the outage: " + changes);
+              "at least 8 of the 12 restarts change a leader (two are within the outage): "
+                  + changes);
         });
   }
 
@@ -99,13 +101,14 @@
           List<SimulatedJob> jobs = submit(cluster, 6, 6, 30_000);
           cluster.runFor(35_000);
           int starts = cluster.invariants.starts();
-          long ms = cluster.leaseMs + 8000;
-          cluster.faults.note(ms + 5000);
+          long downtimeMs = cluster.leaseMs + 8000;
+          cluster.faults.note(downtimeMs + 5000);
           cluster.users.cancel(jobs.get(0));
           cluster
               .labels()
-              .forEach(label -> cluster.faults.kill(label, ms + cluster.time.between(0, 900)));
-          cluster.runFor(ms);
+              .forEach(
+                  label -> cluster.faults.kill(label, downtimeMs + cluster.time.between(0, 900)));
+          cluster.runFor(downtimeMs);
           assertEquals(0, runningTasks(cluster, jobs), "all worker leases have expired");
           cluster.runFor(30_000);
           assertTrue(cluster.invariants.starts() > starts, "the jobs resume");
--- a/src/test/java/org/fieldtrestle/simulation/FaultContainmentTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/FaultContainmentTest.java
@@ -14,7 +14,7 @@
 import org.fieldtrestle.protocol.Json;
 import org.junit.jupiter.api.Test;
 
-/** A fault of one job, machine, record or controller does not affect any other. */
+/** A fault of one job, machine, record or controller does not affect the others. */
 class FaultContainmentTest {
   private final SimulatedCluster cluster = SimulatedCluster.builder().seed(11).machines(12).start();
 
--- a/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/InvariantCheckerTest.java
@@ -136,7 +136,8 @@
   @Test
   void unsubmittedJobThatIsFoundIsAViolation() {
     cluster.invariants.answerReceived("job-7", 404, "", 0);
-    assertEquals(0, cluster.invariants.violations().size(), "nobody submitted it");
+    assertEquals(
+        0, cluster.invariants.violations().size(), "a job that nobody submitted need not be found");
     cluster.invariants.answerReceived("job-7", 200, "queued", 0);
     assertOnlyViolation("invented");
   }
@@ -260,7 +261,7 @@
   }
 
   @Test
-  void dayWithTooFewFinishedJobsIsAViolation() {
+  void historyWithTooFewFinishedJobsIsAViolation() {
     for (int i = 0; i < 4; i++) {
       int tasks = i + 1;
       define("job-" + i, j -> j.tasks(tasks));
--- a/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/JobQueriesTest.java
@@ -71,16 +71,17 @@
   @Test
   void finishedJobsAreAnsweredDuringQueriesAboutUnknownJobs() {
     SimulatedCluster cluster = startClusterWithFinishedJobs();
-    // About as many unknown jobs as may have pending queries; their ids sort before and between
-    // those of the known jobs.
+    // Almost as many jobs have pending queries as a controller admits. The unknown jobs sort before
+    // and between the known ones.
     queryAll(cluster, "trestle-1", 1, 900);
     queryAll(cluster, "trestle-1", 10_000_000, 2500);
     assertAllFinishedJobsAreAnswered(cluster);
   }
 
   /**
-   * Each page of finished jobs begins where the previous page ended. Reads are not scarce in this
-   * test.
+   * Queries about low ids do not keep a controller from reading how a job of a high id ended,
+   * because each page of finished jobs begins where the previous page ended. The rate limit allows
+   * enough reads in this test.
    */
   @Test
   void finishedJobOfAHighIdIsAnsweredDuringQueriesAboutLowIds() {
@@ -193,7 +194,9 @@
     }
     TimedResponse first = query(cluster, "trestle-1", "job-1000");
     assertEquals(503, first.response().status());
-    assertTrue(first.afterMs() < 2000, "the user still waits: " + first.afterMs());
+    assertTrue(
+        first.afterMs() < 2000,
+        "answered while the user still waits, after ms: " + first.afterMs());
     TimedResponse next = query(cluster, "trestle-1", "job-1000");
     assertEquals(200, next.response().status());
     assertEquals(0, next.afterMs());
@@ -221,7 +224,9 @@
     }
     TimedResponse answered = query(cluster, "trestle-1", "job-77");
     assertEquals(200, answered.response().status());
-    assertTrue(answered.afterMs() < 2000, "the user still waits: " + answered.afterMs());
+    assertTrue(
+        answered.afterMs() < 2000,
+        "answered while the user still waits, after ms: " + answered.afterMs());
   }
 
   /**
--- a/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/LateMessagesTest.java
@@ -131,13 +131,13 @@
         cluster -> {
           List<SimulatedJob> jobs = submit(cluster, 5, 6, 40_000);
           cluster.runFor(40_000);
-          long ms = cluster.leaseMs + 10_000;
-          cluster.faults.note(ms);
+          long blockedMs = cluster.leaseMs + 10_000;
+          cluster.faults.note(blockedMs);
           // Most machines are silent, so that this looks like a partition; the others have room for
           // the lost tasks.
           List<SimulatedWorker> all = cluster.machines();
           List<SimulatedWorker> affected = all.subList(0, all.size() * 2 / 3);
-          affected.forEach(machine -> machine.faults.blockHeartbeats(ms));
+          affected.forEach(machine -> machine.faults.blockHeartbeats(blockedMs));
           jobs.addAll(submit(cluster, 3, 4, 10_000));
           cluster.runFor(1500);
           jobs.subList(0, 3).forEach(cluster.users::cancel);
@@ -145,7 +145,7 @@
           assertTrue(
               affected.stream().anyMatch(machine -> machine.commandsWhileHeartbeatsBlocked() > 0),
               "commands reached a machine whose heartbeats were blocked");
-          cluster.runFor(ms);
+          cluster.runFor(blockedMs);
         });
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
@@ -44,7 +44,8 @@
     submit(cluster, "job-1", 16, 300_000);
     cluster.time.runUntil(25_000);
     assertEquals(16, cluster.invariants.starts(), "the fleet is full");
-    // So many tasks that the first of them outscores enough waiting tasks to preempt running ones.
+    // The job has so many tasks that the first of them outscores enough of the waiting tasks to be
+    // eligible for preempting running ones.
     submit(cluster, "job-2", 90, 10_000);
     cluster.time.runUntil(150_000);
     assertNoViolations(cluster);
--- a/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/PartitionAndCancellationTest.java
@@ -195,15 +195,15 @@
           List<SimulatedJob> zoneBoundJobs = submit(cluster, 2, 6, 200_000, job -> job.zone("b"));
           cluster.runFor(35_000);
           // Long enough that no controller behind the partition may still answer.
-          long ms = cluster.cancelMs + 12_000;
-          cluster.faults.note(ms + 5000);
-          cluster.network.partition("a", "b", ms);
-          cluster.network.partition("b", "regional", ms);
-          cluster.faults.disconnect("trestle-1", ms, Link.PEERS);
+          long partitionMs = cluster.cancelMs + 12_000;
+          cluster.faults.note(partitionMs + 5000);
+          cluster.network.partition("a", "b", partitionMs);
+          cluster.network.partition("b", "regional", partitionMs);
+          cluster.faults.disconnect("trestle-1", partitionMs, Link.PEERS);
           assertTrue(runningTasks(cluster, zoneBoundJobs) > 0, "the jobs run");
           cluster.runFor(2000);
           cluster.users.cancelAt("trestle-0", jobs.get(0));
-          cluster.runFor(ms - 4000);
+          cluster.runFor(partitionMs - 4000);
           assertEquals(
               0,
               runningTasks(cluster, zoneBoundJobs),
--- a/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/ProductionSizeTest.java
@@ -34,17 +34,17 @@
   private static final long DAY_MS = 660_000;
 
   @Test
-  void everyJobIsAnsweredAfterFaultsOfATimberFleet() {
+  void everyJobIsAnsweredAfterFaultsWithLongHeartbeatIntervals() {
     runDays(Deployment.largeWithLongIntervals());
   }
 
   @Test
-  void everyJobIsAnsweredAfterFaultsOfAPayrollFleet() {
+  void everyJobIsAnsweredAfterFaultsWithShortHeartbeatIntervals() {
     runDays(Deployment.largeWithShortIntervals());
   }
 
   @Test
-  void everyJobIsAnsweredAfterFaultsOfTheSmallestControllers() {
+  void everyJobIsAnsweredAfterFaultsWithTheSmallestControllers() {
     runDays(Deployment.largeWithSmallControllers());
   }
 
--- a/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/StateAccessTest.java
@@ -98,10 +98,11 @@
     }
     int[] committed = {0};
     for (int i = 0; i < 40; i++) {
-      List<KeyValueProtocol.Change> one =
+      List<KeyValueProtocol.Change> change =
           List.of(new KeyValueProtocol.Delete("ft/live/stray/" + i));
       time.after(
-          i * 250L, () -> store.commit(new Transaction(List.of(), one), result -> committed[0]++));
+          i * 250L,
+          () -> store.commit(new Transaction(List.of(), change), result -> committed[0]++));
     }
     time.runUntil(10_500);
     assertEquals(40, committed[0]);
@@ -116,7 +117,7 @@
         List.of(new KeyValueProtocol.Delete("ft/live/member/trestle-0"));
     store.commitWithPriority(new Transaction(List.of(), change), result -> done[0] = true);
     time.runUntil(1000 + 1000 * settings.storeLimits().maxTransactionChanges() / 9);
-    assertTrue(done[0], "written once the rate limit allows for the write before it");
+    assertTrue(done[0], "written as soon as the rate limit permits after the preceding write");
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Single faults of machines, and events that must not be mistaken for one: only faulty machines are
- * replaced.
+ * Single faults of machines, and events that must not be mistaken for such a fault: only faulty
+ * machines are replaced.
  */
 class WorkerFaultsTest {
   @Test
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void cancelledTasksStopOnAMachineThatReceivesNothing() {
+  void cancelledTasksStopOnMachinesThatReceiveNothing() {
     SimulatedCluster cluster = startCluster(12);
     submit(cluster, "job-1", 8, 300_000);
     cluster.time.runUntil(30_000);
@@ -125,8 +125,11 @@
       assertEquals(
           rented,
           cluster.cloud.rentedEver(),
-          "the controllers paused, not the machines; pause at " + offsetMs);
-      assertEquals(starts, cluster.invariants.starts(), "no task was lost; pause at " + offsetMs);
+          "no machine is replaced after a pause of the controllers at " + offsetMs);
+      assertEquals(
+          starts,
+          cluster.invariants.starts(),
+          "no task is lost after a pause of the controllers at " + offsetMs);
     }
   }
 
