--- a/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/WorkerFaultsTest.java
@@ -138,8 +138,8 @@
     SimulatedCluster cluster = startBusyCluster();
     int rented = cluster.cloud.totalRentedMachines();
     cluster.faults.recordFault(60_000);
-    cluster.store.startOutage(
-        45_000); // longer than controllers and workers may act without the store
+    // longer than controllers and workers may act without the store
+    cluster.store.startOutage(45_000);
     cluster.time.runUntil(180_000);
     assertNoViolations(cluster);
     assertEquals(rented, cluster.cloud.totalRentedMachines(), "no machine was replaced");
