--- a/src/main/java/org/fieldtrestle/api/StoreAvailability.java
+++ b/src/main/java/org/fieldtrestle/api/StoreAvailability.java
@@ -8,8 +8,8 @@
  */
 final class StoreAvailability {
   /**
-   * The key-value store counts as unresponsive if it gives no answer for the state lease divided by
-   * this number.
+   * The key-value store counts as unresponsive if it gives no answer for the controllers' lease
+   * time divided by this number.
    */
   private static final int UNRESPONSIVE_LEASE_DIVISOR = 12;
 
@@ -35,9 +35,9 @@
    * better served by another controller.
    *
    * <p>While the store answers no controller, users should stay with this one, because load
-   * balancers take time to return to a controller. If no other controller can be heard, the two
-   * cases cannot be told apart; this controller then counts as cut off once its own lease must have
-   * expired.
+   * balancers take time to return to a controller. If no other controller is alive as far as this
+   * one knows, the two cases cannot be told apart; this controller then counts as cut off once its
+   * own lease must have expired.
    */
   boolean isCutOff() {
     return isUnansweredForLong()
--- a/src/main/java/org/fieldtrestle/routing/JobSplitter.java
+++ b/src/main/java/org/fieldtrestle/routing/JobSplitter.java
@@ -16,7 +16,9 @@
   /** Minimum number of CPUs that a task is counted with, as a task may ask for none. */
   private static final double MIN_CPUS_PER_TASK = 0.1;
 
-  /** Number of steps per candidate in which tasks are distributed that no shard has room for. */
+  /**
+   * Number of steps per candidate in which the tasks that no shard has room for are distributed.
+   */
   private static final int STEPS_PER_CANDIDATE = 4;
 
   private JobSplitter() {}
--- a/src/main/java/org/fieldtrestle/routing/ShardLoads.java
+++ b/src/main/java/org/fieldtrestle/routing/ShardLoads.java
@@ -16,8 +16,8 @@
  */
 public final class ShardLoads {
   /**
-   * Maximum number of free tasks that one entry of a report counts for, as a task may ask for no
-   * resources.
+   * Maximum number of tasks for which the free resources of one zone count as room, as a task may
+   * ask for no resources.
    */
   private static final double MAX_FREE_TASKS = 1e6;
 
--- a/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
+++ b/src/main/java/org/fieldtrestle/scaling/CloudListReconciler.java
@@ -110,9 +110,9 @@
       missingLists.remove(worker.id());
       return;
     }
-    // A worker that has never reported in this term does not have to be silent as well. Otherwise
-    // it would block its team's quota and inherited tasks for the former leader's lease and its
-    // own, and each of several failovers in a row would start that wait again.
+    // A missing worker must also be silent, unless it has never reported in this term. Waiting for
+    // such a worker would block its team's quota and inherited tasks for the former leader's lease
+    // and its own, and each of several failovers in a row would start that wait again.
     if (missingLists.merge(worker.id(), 1, Integer::sum) >= GONE_AFTER_LISTS
         && (!worker.hasReported() || health.isSilent(worker, nowMs))) {
       if (!worker.isDraining()) {
@@ -124,8 +124,8 @@
 
   /**
    * Adopts a machine that has been without a record for too long, because the rental was carried
-   * out late or the controller that rented it has failed. Only the first controller adopts
-   * machines, and only for its home shard.
+   * out late or the controller that rented it has failed. Only the controller with the lowest label
+   * adopts machines, and only for its home shard.
    */
   private void adoptIfOrphan(ListedMachine machine, long nowMs) {
     long sinceMs = unrecordedSinceMs.computeIfAbsent(machine.name(), id -> nowMs);
--- a/src/main/java/org/fieldtrestle/scaling/FleetStatus.java
+++ b/src/main/java/org/fieldtrestle/scaling/FleetStatus.java
@@ -6,7 +6,7 @@
 import org.fieldtrestle.worker.Worker;
 import org.fieldtrestle.worker.WorkerRegistry;
 
-/** Totals over a shard's workers, computed once per tick for the checks of the single workers. */
+/** Totals over a shard's workers, computed once per tick for the checks of individual workers. */
 final class FleetStatus {
   /** Heartbeat intervals without a heartbeat after which a worker counts as silent in its zone. */
   private static final double SILENT_HEARTBEATS = 2;
--- a/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
+++ b/src/main/java/org/fieldtrestle/scaling/InventoryBatch.java
@@ -38,7 +38,8 @@
   private static final double MAX_TRANSACTION_KB = 56;
 
   /**
-   * Operations that are kept free for the changes of a further machine and for the term's guard.
+   * Operations that are kept free for the changes of a further machine and for {@link
+   * LeadershipTerm#guard}.
    */
   private static final int SPARE_OPERATIONS = 4;
 
--- a/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
+++ b/src/main/java/org/fieldtrestle/scaling/MachineInventory.java
@@ -18,8 +18,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineInventory.class);
 
   /**
-   * Minimum time between two writes, as the time that this many writes take at this controller's
-   * share of the key-value store's write rate.
+   * Minimum time between two writes, in multiples of the average interval that this controller's
+   * share of the key-value store's write rate allows.
    */
   private static final double WRITE_INTERVAL_WRITES = 3;
 
--- a/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleIn.java
@@ -191,7 +191,6 @@
 
   private boolean mayBeReturned(Worker worker, long nowMs) {
     if (worker.hasSpotNotice()) {
-
       // The machine is charged for until the cloud takes it back, so its tasks may run until then.
       return worker.isEmpty()
           || (nowMs > worker.spotNoticeUntilMs() + context.heartbeatIntervalsMs(1)
--- a/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ImageLocality.java
@@ -87,8 +87,8 @@
 
   /**
    * Whether the tasks of a range must wait for workers that have their image. They must if these
-   * workers are expected to get through everything that waits for the image before a fetch by
-   * another worker would pay off.
+   * workers are expected to get through all waiting work that uses the image within the time that
+   * the tasks may wait for it, as a fetch by another worker would then be of little use.
    */
   boolean mustWaitForImage(TaskRange range, PlacementPass pass) {
     Boolean decided = pass.mustWaitForImage(range);
--- a/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/fieldtrestle/scheduling/PlacementConstraints.java
@@ -15,9 +15,9 @@
   }
 
   /**
-   * Whether the worker's machine type, market (spot or ordinary) and zone and the earlier failures
-   * allow a task of a range to be placed on it. A worker that still holds an attempt of the same
-   * task is not allowed.
+   * Whether a task of a range may be placed on a worker. This depends on the worker's machine type
+   * and zone, on whether it is a spot machine, and on earlier failures. A worker that still holds
+   * an attempt of the same task is not allowed.
    */
   boolean allow(TaskRange range, int offset, Worker worker) {
     JobSpec spec = range.spec();
@@ -30,7 +30,7 @@
 
   /**
    * Whether any job avoids a worker because of a failure, so that the worker is not equivalent to
-   * others of its machine type and zone.
+   * other spot or ordinary machines of the same machine type and zone.
    */
   boolean isAvoidedByAnyJob(Worker worker) {
     return failures.hasFailuresOn(worker);
--- a/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
+++ b/src/main/java/org/fieldtrestle/scheduling/QuotaShares.java
@@ -166,8 +166,11 @@
     boolean shrinks =
         target.cpus() < share.cpus() - ROUNDING_TOLERANCE
             || target.gpus() < share.gpus() - ROUNDING_TOLERANCE;
-    // A smaller share of which it is not known whether it was written limits this shard until the
-    // record has a newer version. As any write gives it one, the share is written again at once.
+    // While it is not known whether a smaller share was written, that share limits this shard,
+    // until
+    // the record has a newer version. Any write gives the record one, so the target share is
+    // written
+    // at once.
     PendingShrink pending = pendingShrinks.get(team.name());
     boolean writeNow = grows || (pending != null && pending.version() == version);
     if (!isDue(team.name(), writeNow, shrinks)) {
--- a/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
+++ b/src/main/java/org/fieldtrestle/scheduling/RangeReassignment.java
@@ -21,9 +21,9 @@
 
 /**
  * Reassigns waiting tasks to a shard that has room for them or less waiting work per CPU. Only
- * tasks that no worker can hold are reassigned: the tail of a range, which becomes a range of its
- * own. Lost tasks are reassigned too, as they would otherwise wait here forever if the cloud has no
- * more machines.
+ * tasks that cannot be on any worker are reassigned: the tail of a range, which becomes a range of
+ * its own. Lost tasks are reassigned too, as they would otherwise wait here forever if the cloud
+ * has no more machines.
  */
 public final class RangeReassignment {
   private static final Logger LOG = LoggerFactory.getLogger(RangeReassignment.class);
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Returns how many tasks at the end of a range can be reassigned because no worker can hold them.
-   * A task that has failed stays on this shard, as only this shard knows of its failures.
+   * Returns how many tasks at the end of a range can be reassigned because they cannot be on any
+   * worker. A task that has failed stays on this shard, as only this shard knows of its failures.
    */
   private int movableTail(TaskRange range) {
     if (range.spec() == null
@@ -144,7 +144,7 @@
     double waitingPerCpu = waitingCpus / Math.max(1, capacityCpus);
     if (waitingPerCpu
         > MIN_WAITING_PER_CPU_RATIO * target.waitingPerCpu() + MIN_WAITING_PER_CPU_DIFFERENCE) {
-      // Both shards then have the same waiting work per CPU.
+      // After these tasks are moved, both shards have the same waiting work per CPU.
       double balancedWaitingPerCpu =
           (waitingCpus + target.waitingCpus()) / Math.max(1, capacityCpus + target.capacityCpus());
       return (int) ((waitingCpus - balancedWaitingPerCpu * capacityCpus) / cpus);
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -7,8 +7,9 @@
 import org.fieldtrestle.worker.WorkerRegistry;
 
 /**
- * Reserves capacity for latency-sensitive jobs, which other tasks may not take: over all shards
- * together, as many CPUs as one of these jobs usually takes.
+ * Reserves capacity for latency-sensitive jobs, so that other tasks may not take it. All shards
+ * together reserve the average number of CPUs of these jobs, times the number of jobs that the
+ * operators have set ({@link org.fieldtrestle.config.OperatorSettings#reservedJobs}).
  */
 final class ReservedCapacity {
   /** Largest share of a shard's CPUs that is reserved. */
@@ -19,7 +20,8 @@
 
   /**
    * Time in worker leases for which reserved resources may be withheld from a range while none of
-   * its tasks starts or ends. After that, one of its tasks may take reserved resources.
+   * its tasks starts or ends; no longer than the shortest boot time of a machine. After that, one
+   * of its tasks may take reserved resources.
    */
   private static final double MAX_WITHHELD_LEASES = 2;
 
--- a/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
+++ b/src/main/java/org/fieldtrestle/scheduling/TaskPlacer.java
@@ -150,9 +150,7 @@
   private FreeResources selectWorker(
       PlacementPass pass, WaitingTasks tasks, long step, boolean preferImage) {
     TaskRange range = tasks.range();
-
     // Free resources only shrink during a step: if one task of a range finds no room, neither do
-
     // the others.
     if (range.noRoomInStep() == step
         || !quotaShares.allows(range.spec())
--- a/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
+++ b/src/main/java/org/fieldtrestle/scheduling/WaitingTaskCollector.java
@@ -90,7 +90,6 @@
               selectivePreemption.score(spec.estimateS(), waitedS(range, nowMs)),
               range.waitingCount()));
     } else {
-
       // A task of the gang was lost, and the others cannot continue without it.
       List.copyOf(range.placed().values()).forEach(task -> executor.stop(task, spec.saveTimeS()));
     }
