--- a/src/main/java/org/fieldtrestle/cloud/RateLimitedQueue.java
+++ b/src/main/java/org/fieldtrestle/cloud/RateLimitedQueue.java
@@ -25,13 +25,13 @@
     this.intervalMs = intervalMs;
   }
 
-  /** Sends a request that changes the fleet as soon as the rate limit allows. */
+  /** Sends a request that changes the fleet, as soon as the rate limit allows. */
   void addChange(Runnable request) {
     changes.addLast(request);
     sendDue();
   }
 
-  /** Sends a request that only reads as soon as the rate limit allows and no change is waiting. */
+  /** Sends a request that only reads, as soon as the rate limit allows and no change is waiting. */
   void addRead(Runnable request) {
     reads.addLast(request);
     sendDue();
--- a/src/main/java/org/fieldtrestle/routing/JobSplitter.java
+++ b/src/main/java/org/fieldtrestle/routing/JobSplitter.java
@@ -55,11 +55,11 @@
    * remaining tasks are assigned to the shards with the least waiting work.
    *
    * @param candidates at least one shard
-   * @param maxPart the maximum number of tasks of a part
+   * @param maxTasksPerPart the maximum number of tasks of a part
    * @param zones all zones of the cluster
    */
   public static List<Part> split(
-      JobSpec spec, List<Candidate> candidates, int maxPart, List<String> zones) {
+      JobSpec spec, List<Candidate> candidates, int maxTasksPerPart, List<String> zones) {
     List<Candidate> byFreeTasks = new ArrayList<>(candidates);
     byFreeTasks.sort(Comparator.comparingInt(Candidate::freeTasks).reversed());
     Map<String, Integer> counts = tasksByShard(spec, byFreeTasks);
@@ -68,7 +68,7 @@
     for (Candidate candidate : byFreeTasks) {
       int left = counts.getOrDefault(candidate.shard(), 0);
       while (left > 0) {
-        int to = from + Math.min(left, maxPart);
+        int to = from + Math.min(left, maxTasksPerPart);
         parts.add(new Part(candidate.shard(), from, to, zoneLimits(spec, from, to, zones)));
         left -= to - from;
         from = to;
--- a/src/main/java/org/fieldtrestle/routing/ShardLoads.java
+++ b/src/main/java/org/fieldtrestle/routing/ShardLoads.java
@@ -121,7 +121,7 @@
   }
 
   /** Returns the CPUs of the machines of all shards except the given one. */
-  public double capacityOfOthers(String shard) {
+  public double capacityCpusOfOthers(String shard) {
     double sum = 0;
     for (Map.Entry<String, Report> entry : reports.entrySet()) {
       if (!entry.getKey().equals(shard) && isFresh(entry.getValue())) {
--- a/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
+++ b/src/main/java/org/fieldtrestle/scaling/Autoscaler.java
@@ -41,15 +41,16 @@
     this.context = context;
     this.workers = workers;
     this.failures = failures;
-    MachineTypeSelector types = new MachineTypeSelector(context);
-    this.workloadRate = new WorkloadRate(context, types);
+    MachineTypeSelector machineTypeSelector = new MachineTypeSelector(context);
+    this.workloadRate = new WorkloadRate(context, machineTypeSelector);
     this.health = new MachineHealth(context, workers, failures);
     this.listReconciler = new CloudListReconciler(context, term, workers, inventory, health);
     this.scaleIn =
         new ScaleIn(context, term, workers, ranges, inventory, health, workloadRate, reservedCpus);
-    DemandEstimator demand =
-        new DemandEstimator(context, term, workers, ranges, failures, health, workloadRate, types);
-    this.scaleOut = new ScaleOut(context, term, workers, inventory, demand, workloadRate);
+    DemandEstimator demandEstimator =
+        new DemandEstimator(
+            context, term, workers, ranges, failures, health, workloadRate, machineTypeSelector);
+    this.scaleOut = new ScaleOut(context, term, workers, inventory, demandEstimator, workloadRate);
   }
 
   /** Called when this controller begins to lead the shard. */
--- a/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
+++ b/src/main/java/org/fieldtrestle/scaling/DemandEstimator.java
@@ -59,7 +59,7 @@
   private final FailureTracker failures;
   private final MachineHealth health;
   private final WorkloadRate workloadRate;
-  private final MachineTypeSelector machineTypes;
+  private final MachineTypeSelector machineTypeSelector;
 
   DemandEstimator(
       ControllerContext context,
@@ -69,7 +69,7 @@
       FailureTracker failures,
       MachineHealth health,
       WorkloadRate workloadRate,
-      MachineTypeSelector machineTypes) {
+      MachineTypeSelector machineTypeSelector) {
     this.context = context;
     this.term = term;
     this.workers = workers;
@@ -77,7 +77,7 @@
     this.failures = failures;
     this.health = health;
     this.workloadRate = workloadRate;
-    this.machineTypes = machineTypes;
+    this.machineTypeSelector = machineTypeSelector;
   }
 
   /** Returns the demands of the waiting tasks of all ranges, the most urgent first. */
@@ -91,7 +91,7 @@
           && !term.policy().mustStop(range)
           && range.waitingCount() > 0
           && !ranges.mayHaveUnreportedTasks(range)) {
-        Optional<MachineType> type = machineTypes.cheapestFor(range.spec());
+        Optional<MachineType> type = machineTypeSelector.cheapestFor(range.spec());
         if (type.isPresent()) {
           demands.add(demand(range, type.get(), nowMs));
         }
--- a/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
+++ b/src/main/java/org/fieldtrestle/scaling/ScaleOut.java
@@ -30,7 +30,7 @@
    * Divisor of the machine list's lag that gives the delay before a request of unknown outcome is
    * repeated.
    */
-  private static final int RETRY_LAG_PARTS = 4;
+  private static final int RETRY_LAG_DIVISOR = 4;
 
   private static final int MAX_RETRIES = 20;
 
@@ -41,7 +41,7 @@
   private final LeadershipTerm term;
   private final WorkerRegistry workers;
   private final MachineInventory inventory;
-  private final DemandEstimator estimator;
+  private final DemandEstimator demandEstimator;
   private final WorkloadRate workloadRate;
 
   /**
@@ -57,13 +57,13 @@
       LeadershipTerm term,
       WorkerRegistry workers,
       MachineInventory inventory,
-      DemandEstimator estimator,
+      DemandEstimator demandEstimator,
       WorkloadRate workloadRate) {
     this.context = context;
     this.term = term;
     this.workers = workers;
     this.inventory = inventory;
-    this.estimator = estimator;
+    this.demandEstimator = demandEstimator;
     this.workloadRate = workloadRate;
   }
 
@@ -73,7 +73,7 @@
     if (rentalInFlight || context.machineTypes().isEmpty() || context.store().isCongested()) {
       return;
     }
-    List<MachineDemand> demands = estimator.demands(nowMs);
+    List<MachineDemand> demands = demandEstimator.demands(nowMs);
     if (!demands.isEmpty() && !rentForWaitingWork(demands, nowMs)) {
       rentForArrivingWork(demands.get(0), nowMs);
     }
@@ -87,7 +87,7 @@
     MachineDemand largest = null;
     int most = 0;
     for (MachineDemand kind : kinds(demands)) {
-      int missing = estimator.missingMachines(kind, demands, nowMs);
+      int missing = demandEstimator.missingMachines(kind, demands, nowMs);
       if (missing > most) {
         most = missing;
         largest = kind;
@@ -203,7 +203,7 @@
       context
           .reactor()
           .schedule(
-              context.cloud().listLagMs() / RETRY_LAG_PARTS,
+              context.cloud().listLagMs() / RETRY_LAG_DIVISOR,
               () -> send(request, offer, retries + 1));
     } else {
       rentalInFlight = false;
--- a/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
+++ b/src/main/java/org/fieldtrestle/scaling/WorkloadRate.java
@@ -17,7 +17,7 @@
   private static final double HEADROOM = 1.2;
 
   private final ControllerContext context;
-  private final MachineTypeSelector machineTypes;
+  private final MachineTypeSelector machineTypeSelector;
 
   /** Machine-seconds of work that has arrived since the last update. */
   private double arrivedMachineS;
@@ -25,9 +25,9 @@
   private double busyMachines;
   private long updatedAtMs = -1;
 
-  WorkloadRate(ControllerContext context, MachineTypeSelector machineTypes) {
+  WorkloadRate(ControllerContext context, MachineTypeSelector machineTypeSelector) {
     this.context = context;
-    this.machineTypes = machineTypes;
+    this.machineTypeSelector = machineTypeSelector;
   }
 
   /** Starts to measure arriving work. */
@@ -47,11 +47,11 @@
     if (range.isInherited()) {
       double ageS = (context.nowMs() - range.waitingSinceMs()) / 1000.0;
       busyMachines +=
-          machineTypes.machineSeconds(range.spec(), range.record().size())
+          machineTypeSelector.machineSeconds(range.spec(), range.record().size())
               * Math.exp(-ageS / TIME_CONSTANT_S)
               / TIME_CONSTANT_S;
     } else {
-      arrivedMachineS += machineTypes.machineSeconds(range.spec(), range.waitingCount());
+      arrivedMachineS += machineTypeSelector.machineSeconds(range.spec(), range.waitingCount());
     }
   }
 
--- a/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
+++ b/src/main/java/org/fieldtrestle/scheduling/ReservedCapacity.java
@@ -64,7 +64,7 @@
   double reservedCpus() {
     double capacity = workers.capacityCpus();
     double capacityShare =
-        capacity / Math.max(1, capacity + context.loads().capacityOfOthers(shard));
+        capacity / Math.max(1, capacity + context.loads().capacityCpusOfOthers(shard));
     return Math.min(
         latencySensitiveJobCpus * context.operatorSettings().reservedJobs() * capacityShare,
         capacity * MAX_RESERVED_SHARE);
--- a/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
+++ b/src/test/java/org/fieldtrestle/routing/JobSplitterTest.java
@@ -43,19 +43,20 @@
       @ForAll @IntRange(min = 1, max = 100_000) int tasks,
       @ForAll boolean spread,
       @ForAll @Size(min = 1, max = 5) List<@IntRange(max = 400) Integer> freeTasks,
-      @ForAll @IntRange(min = 5_000, max = 25_000) int maxPart) {
+      @ForAll @IntRange(min = 5_000, max = 25_000) int maxTasksPerPart) {
     List<JobSplitter.Candidate> candidates = new ArrayList<>();
     for (int i = 0; i < freeTasks.size(); i++) {
       candidates.add(new JobSplitter.Candidate("m" + i, freeTasks.get(i), 10.0 * i, 100));
     }
     JobSpec job = job(tasks, spread);
-    List<JobSplitter.Part> parts = JobSplitter.split(job, candidates, maxPart, List.of("a", "b"));
+    List<JobSplitter.Part> parts =
+        JobSplitter.split(job, candidates, maxTasksPerPart, List.of("a", "b"));
     int next = 0;
     int limitA = 0;
     int limitB = 0;
     for (JobSplitter.Part part : parts) {
       assertEquals(next, part.from());
-      assertTrue(part.to() > part.from() && part.to() - part.from() <= maxPart);
+      assertTrue(part.to() > part.from() && part.to() - part.from() <= maxTasksPerPart);
       next = part.to();
       limitA += part.zoneLimits().getOrDefault("a", 0);
       limitB += part.zoneLimits().getOrDefault("b", 0);
