--- a/src/main/java/org/fieldtrestle/cloud/CloudClient.java
+++ b/src/main/java/org/fieldtrestle/cloud/CloudClient.java
@@ -52,7 +52,7 @@
    * Returns the machine types with their prices; empty until they have been read for the first
    * time.
    */
-  public List<MachineType> types() {
+  public List<MachineType> machineTypes() {
     return machineTypes;
   }
 
--- a/src/main/java/org/fieldtrestle/context/ControllerContext.java
+++ b/src/main/java/org/fieldtrestle/context/ControllerContext.java
@@ -54,7 +54,7 @@
    * cloud's machine types are not known yet.
    */
   public MachineType machineType(String name) {
-    for (MachineType type : cloud.types()) {
+    for (MachineType type : cloud.machineTypes()) {
       if (type.name().equals(name)) {
         return type;
       }
@@ -64,7 +64,7 @@
 
   /** Returns the machine types that the cloud offers; empty until they are known. */
   public List<MachineType> machineTypes() {
-    return cloud.types();
+    return cloud.machineTypes();
   }
 
   /** Returns the time of the reactor's monotonic clock, in milliseconds. */
--- a/src/main/java/org/fieldtrestle/context/JobObjectives.java
+++ b/src/main/java/org/fieldtrestle/context/JobObjectives.java
@@ -43,7 +43,7 @@
    * type is known.
    */
   public double shortestBootS() {
-    List<MachineType> types = cloud.types();
+    List<MachineType> types = cloud.machineTypes();
     if (types.isEmpty()) {
       return 0;
     }
@@ -60,7 +60,7 @@
    */
   public double imageFetchS(JobSpec spec) {
     double longestS = 0;
-    for (MachineType type : cloud.types()) {
+    for (MachineType type : cloud.machineTypes()) {
       longestS = Math.max(longestS, type.imageFetchS(spec));
     }
     return longestS;
