--- a/src/main/java/org/fieldtrestle/api/StatusHandler.java
+++ b/src/main/java/org/fieldtrestle/api/StatusHandler.java
@@ -23,7 +23,7 @@
    */
   private static final double TIMEOUT_SHARE = 0.9;
 
-  private static final long TIMEOUT_MS = Math.round(UserProtocol.POLL_TIMEOUT_MS * TIMEOUT_SHARE);
+  private static final long TIMEOUT_MS = Math.round(UserProtocol.QUERY_TIMEOUT_MS * TIMEOUT_SHARE);
 
   private final ControllerContext context;
   private final StoreAvailability availability;
--- a/src/main/java/org/fieldtrestle/protocol/UserProtocol.java
+++ b/src/main/java/org/fieldtrestle/protocol/UserProtocol.java
@@ -20,7 +20,7 @@
   public static final int MAX_TASKS = 100_000;
 
   /** How long a user waits for the answer to a query about a job. */
-  public static final long POLL_TIMEOUT_MS = 2000;
+  public static final long QUERY_TIMEOUT_MS = 2000;
 
   private static final Pattern JOB_ID = Pattern.compile("job-[0-9]{1,40}");
 
--- a/src/main/java/org/fieldtrestle/state/KeyValueClient.java
+++ b/src/main/java/org/fieldtrestle/state/KeyValueClient.java
@@ -61,7 +61,7 @@
     this.reactor = reactor;
     this.caller = caller;
     this.address = settings.keyValueStoreAddress();
-    this.timeoutMs = Math.round(UserProtocol.POLL_TIMEOUT_MS * TIMEOUT_SHARE);
+    this.timeoutMs = Math.round(UserProtocol.QUERY_TIMEOUT_MS * TIMEOUT_SHARE);
     this.queue =
         new RequestQueue(
             reactor,
