--- a/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
+++ b/src/test/java/org/fieldtrestle/simulation/OverloadTest.java
@@ -34,7 +34,8 @@
     cluster.time.after(20_000, () -> submit(cluster, "job-900", 60, 20_000));
     cluster.time.runUntil(60_000 + 240_000);
     assertNoViolations(cluster);
-    assertTrue(cluster.invariants.hasBegun("job-900"), "the largest job begins despite the burst");
+    assertTrue(
+        cluster.invariants.hasStarted("job-900"), "the largest job begins despite the burst");
   }
 
   @Test
@@ -48,7 +49,7 @@
     cluster.time.runUntil(150_000);
     assertNoViolations(cluster);
     assertEquals(16, cluster.invariants.starts(), "no task was stopped and started again");
-    assertFalse(cluster.invariants.hasBegun("job-2"), "the second job waits for room");
+    assertFalse(cluster.invariants.hasStarted("job-2"), "the second job waits for room");
   }
 
   @Test
--- a/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
+++ b/src/test/java/org/fieldtrestle/simulation/SimulatedControllerCaller.java
@@ -28,7 +28,7 @@
       Consumer<Http.Outcome> done) {
     String label = controller.label();
     Link link = linkTo(address);
-    if (link == Link.STORE && cluster.faults.refusedForMs(label) > 0) {
+    if (link == Link.STORE && cluster.faults.remainingStoreRefusalMs(label) > 0) {
       complete(REFUSAL_DELAY_MS, new Http.Answer(503, Http.Response.EMPTY), done);
       return;
     }
@@ -73,7 +73,7 @@
       Consumer<Http.Outcome> done) {
     String label = controller.label();
     // While the store refuses requests, open watches wait, as they do in an outage.
-    long refusedMs = path.startsWith("/watch") ? cluster.faults.refusedForMs(label) : 0;
+    long refusedMs = path.startsWith("/watch") ? cluster.faults.remainingStoreRefusalMs(label) : 0;
     long delayMs = cluster.messageObserver().beforeAnswer(label, link, path, body);
     if (link == Link.STORE && delayMs == MessageObserver.NO_DELAY) {
       delayMs = cluster.storeAnswerDelays().delayMs(label, path, body);
--- a/src/test/java/org/fieldtrestle/simulation/search/Violation.java
+++ b/src/test/java/org/fieldtrestle/simulation/search/Finding.java
@@ -10,14 +10,14 @@
 import java.util.List;
 
 /**
- * A run that broke a rule, as it is written to a file and played again from there.
+ * A run that violated an invariant. A finding can be written to a file and run again from there.
  *
- * @param version of this form of file
- * @param scenario its printed name
- * @param faultSteps the steps before which the faults were placed, for the reader
- * @param broken what was broken, for the reader
+ * @param version the version of the file format
+ * @param scenario the printed name of the scenario
+ * @param faultSteps the steps before which the faults were placed, as information for the reader
+ * @param broken the violations, as information for the reader
  */
-record Violation(
+record Finding(
     int version,
     String scenario,
     long seed,
@@ -32,39 +32,39 @@
           .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES)
           .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
 
-  static Violation of(Scenario scenario, long seed, List<FaultPlacement> placements) {
-    ScenarioRun run = new ScenarioRun(scenario, seed, placements);
-    ScenarioRun.Result result = run.play();
-    return new Violation(
+  static Finding of(Scenario scenario, long seed, List<FaultPlacement> placements) {
+    ScenarioRun scenarioRun = new ScenarioRun(scenario, seed, placements);
+    ScenarioRun.Result result = scenarioRun.run();
+    return new Finding(
         VERSION,
         scenario.printedName(),
         seed,
         placements,
-        run.faultSteps().stream().map(Object::toString).toList(),
-        result.broken());
+        scenarioRun.faultSteps().stream().map(Object::toString).toList(),
+        result.violations());
   }
 
-  /** Plays it again. */
+  /** Runs the scenario with the same seed and faults again. */
   ScenarioRun.Result replay() throws InvalidInputException {
-    return new ScenarioRun(Scenario.named(scenario), seed, placements).play();
+    return new ScenarioRun(Scenario.named(scenario), seed, placements).run();
   }
 
   void write(Path file) throws IOException {
     Files.write(file, MAPPER.writeValueAsBytes(this));
   }
 
-  static Violation read(Path file) throws InvalidInputException {
-    Violation finding;
+  static Finding read(Path file) throws InvalidInputException {
+    Finding finding;
     try {
-      finding = MAPPER.readValue(Files.readAllBytes(file), Violation.class);
+      finding = MAPPER.readValue(Files.readAllBytes(file), Finding.class);
     } catch (JsonProcessingException e) {
-      throw new InvalidInputException(file + " is no finding: " + e.getOriginalMessage());
+      throw new InvalidInputException(file + " is not a finding: " + e.getOriginalMessage());
     } catch (IOException e) {
       throw new InvalidInputException("cannot read " + file);
     }
     if (finding.version() != VERSION) {
       throw new InvalidInputException(
-          file + " is of version " + finding.version() + ", not " + VERSION);
+          file + " has version " + finding.version() + ", expected " + VERSION);
     }
     Scenario.named(finding.scenario());
     return finding;
