--- a/src/main/java/org/fieldtrestle/scaling/package-info.java
+++ b/src/main/java/org/fieldtrestle/scaling/package-info.java
@@ -6,6 +6,6 @@
  * flight, the moving average of arriving work, and what the cloud's machine list has shown so far.
  * Workers belong to the package {@code worker}; this package drains, cordons and terminates them
  * through their methods. Only {@code shard} and {@code controller} call this package, always on the
- * shard's event loop. The classes are not thread-safe.
+ * controller's event loop. The classes are not thread-safe.
  */
 package org.fieldtrestle.scaling;
