--- a/src/main/java/org/fieldtrestle/routing/JobSplitter.java
+++ b/src/main/java/org/fieldtrestle/routing/JobSplitter.java
@@ -16,7 +16,9 @@
   /** Minimum number of CPUs that a task is counted with, as a task may ask for none. */
   private static final double MIN_CPUS_PER_TASK = 0.1;
 
-  /** Number of steps per candidate in which tasks are distributed that no shard has room for. */
+  /**
+   * Number of steps per candidate in which the tasks that no shard has room for are distributed.
+   */
   private static final int STEPS_PER_CANDIDATE = 4;
 
   private JobSplitter() {}
@@ -53,11 +55,11 @@
    * remaining tasks are assigned to the shards with the least waiting work.
    *
    * @param candidates at least one shard
-   * @param maxPart the maximum number of tasks of a part
+   * @param maxTasksPerPart the maximum number of tasks of a part
    * @param zones all zones of the cluster
    */
   public static List<Part> split(
-      JobSpec spec, List<Candidate> candidates, int maxPart, List<String> zones) {
+      JobSpec spec, List<Candidate> candidates, int maxTasksPerPart, List<String> zones) {
     List<Candidate> byFreeTasks = new ArrayList<>(candidates);
     byFreeTasks.sort(Comparator.comparingInt(Candidate::freeTasks).reversed());
     Map<String, Integer> counts = tasksByShard(spec, byFreeTasks);
@@ -66,7 +68,7 @@
     for (Candidate candidate : byFreeTasks) {
       int left = counts.getOrDefault(candidate.shard(), 0);
       while (left > 0) {
-        int to = from + Math.min(left, maxPart);
+        int to = from + Math.min(left, maxTasksPerPart);
         parts.add(new Part(candidate.shard(), from, to, zoneLimits(spec, from, to, zones)));
         left -= to - from;
         from = to;
